--- a/acceptor/core.go
+++ b/acceptor/core.go
@@ -168,6 +168,6 @@
 	if !ok || r.Agent != name {
 		return
 	}
-	c.links[name].heard(r.Stamp)
+	c.links[name].heard(r.Timestamp)
 	c.scheduler.Report(*r)
 }
--- a/acceptor/link.go
+++ b/acceptor/link.go
@@ -10,7 +10,7 @@
 
 // beatTogether is the time after a heartbeat from which the next one goes out with
 // those that are due on other links.
-const beatTogether = messenger.BeatInterval / 2
+const beatTogether = messenger.HeartbeatInterval / 2
 
 // link is an open link to an agent as the core sees it.
 type link struct {
@@ -44,14 +44,14 @@
 	now := c.acceptor.deps.Clock.Now()
 	for _, l := range due {
 		l.beatAt = now
-		l.Send(messenger.Beat{
-			Stamp:     now.Sub(l.openedAt),
-			Echo:      l.echo,
-			Revision:  directives.Revision,
-			Evacuated: evacuated,
-			Want:      want,
-			Heard:     c.scheduler.Heard(c.names[l.Link]),
-			Held:      held,
+		l.Send(messenger.Heartbeat{
+			Timestamp:    now.Sub(l.openedAt),
+			Echo:         l.echo,
+			Revision:     directives.Revision,
+			Evacuated:    evacuated,
+			Backlog:      want,
+			AckedOutcome: c.scheduler.Heard(c.names[l.Link]),
+			HeldJobs:     held,
 		})
 	}
 }
@@ -63,7 +63,7 @@
 	if c.scheduler.Asks() {
 		return c.quietFor(0, now)
 	}
-	if len(c.quietFor(messenger.BeatInterval, now)) == 0 {
+	if len(c.quietFor(messenger.HeartbeatInterval, now)) == 0 {
 		return nil
 	}
 	return c.quietFor(beatTogether, now)
--- a/acceptor/link_test.go
+++ b/acceptor/link_test.go
@@ -43,16 +43,16 @@
 func TestLinkIsNotReleasedWhileTasksRunAtItsAgent(t *testing.T) {
 	a := &Acceptor{deps: provider.NewDeps(io.Discard), cfg: Config{DataCentre: "dc"}}
 	c := newCore(a)
-	up := messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: messenger.Demand{CPU: 1000}}
+	up := messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: messenger.Resources{CPU: 1000}}
 	for _, name := range []string{"busy", "idle"} {
 		c.opened(linkOpened{agent: name, link: newTestLink(t)})
-		c.scheduler.Report(messenger.Report{Agent: name, Incarnation: 1, Complete: true})
+		c.scheduler.Report(messenger.Report{Agent: name, Incarnation: 1, RunsComplete: true})
 	}
 	queue := scheduler.Queue{Name: "q", Service: "quotes", MaxAttempts: 1}
 	c.scheduler.Configure(scheduler.Configuration{Version: 1, Queues: []scheduler.Queue{queue}})
 	c.scheduler.Submit(1, scheduler.Job{
 		ID: "j", Queue: queue, Deadline: a.deps.Clock.Now().Add(time.Minute),
-		Steps: []scheduler.Step{{Count: 1, Demand: messenger.Demand{CPU: 1000}}},
+		Steps: []scheduler.Step{{Count: 1, Demand: messenger.Resources{CPU: 1000}}},
 	})
 	c.scheduler.Report(messenger.Report{Agent: "busy", Incarnation: 1, Upstream: &up, Free: up.Capacity})
 	require.Equal(t, []string{"idle"}, c.release([]string{"busy", "idle"}))
@@ -67,7 +67,7 @@
 		c.opened(linkOpened{agent: name, link: newTestLink(t)})
 		clock.Advance(beatTogether / 2)
 	}
-	clock.Advance(messenger.BeatInterval - beatTogether)
+	clock.Advance(messenger.HeartbeatInterval - beatTogether)
 	c.beat()
 	require.Equal(t, c.links["first"].beatAt, c.links["second"].beatAt)
 	require.Equal(t, clock.Now(), c.links["first"].beatAt)
--- a/attendant/core.go
+++ b/attendant/core.go
@@ -153,7 +153,7 @@
 		return // A link that another one of the same entry has replaced.
 	}
 	switch msg := m.msg.(type) {
-	case *messenger.Beat:
+	case *messenger.Heartbeat:
 		c.executor.Beat(name, *msg)
 	case *messenger.Place:
 		c.executor.Place(name, *msg)
--- a/attendant/core_test.go
+++ b/attendant/core_test.go
@@ -63,11 +63,11 @@
 		worker:    noWorker{},
 		described: make(chan messenger.Upstream, 1),
 	})
-	room := messenger.Demand{CPU: 8000}
+	room := messenger.Resources{CPU: 8000}
 	c.heartbeat(platform.Heartbeat{Upstream: messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: room}, Sequence: 1})
 	link := new(messenger.Link)
 	c.receive(linkMessage{link: link, msg: &messenger.Hello{Entry: "e", Incarnation: 1}})
-	want := messenger.Demand{CPU: 4000}
-	c.receive(linkMessage{link: link, msg: &messenger.Reserve{Number: 1, Demand: want, For: time.Second}})
+	want := messenger.Resources{CPU: 4000}
+	c.receive(linkMessage{link: link, msg: &messenger.Reserve{Number: 1, Demand: want, TTL: time.Second}})
 	require.Equal(t, want, c.executor.Kept())
 }
--- a/courier/courier.go
+++ b/courier/courier.go
@@ -1,7 +1,7 @@
 // Package courier carries typed messages between the processes of the system.
 // Messages travel as JSON-RPC notifications over one TCP connection, a Link.
 // A Link delivers in order and at most once. When it breaks, or stays silent
-// for longer than SilenceLimit, it closes for good, and the owner of the
+// for longer than IdleTimeout, it closes for good, and the owner of the
 // connection opens a new one.
 package courier
 
@@ -18,7 +18,7 @@
 )
 
 const (
-	// SilenceLimit closes a link on which nothing arrived for so long. Both
+	// IdleTimeout closes a link on which nothing arrived for so long. Both
 	// sides send a heartbeat several times in this span.
 	SilenceLimit = 1500 * time.Millisecond
 	// DialTimeout bounds the opening of a link.
--- a/executor/ahead.go
+++ b/executor/ahead.go
@@ -7,18 +7,18 @@
 )
 
 // ahead returns the room that runs are expected to have given back after each of
-// messenger.AheadSpans; nil when none is.
-func (x *Executor) ahead(now time.Time) []messenger.Demand {
+// messenger.ForecastHorizons; nil when none is.
+func (x *Executor) ahead(now time.Time) []messenger.Resources {
 	if !x.refillable() {
 		return nil
 	}
-	out := make([]messenger.Demand, len(messenger.AheadSpans))
+	out := make([]messenger.Resources, len(messenger.ForecastHorizons))
 	for _, r := range x.runs {
 		if !r.here() || !r.foreseeable() {
 			continue
 		}
 		after := x.expectedEnd(r, now).Sub(now)
-		for i, span := range messenger.AheadSpans {
+		for i, span := range messenger.ForecastHorizons {
 			if after <= span {
 				out[i] = out[i].Plus(r.Demand)
 			}
--- a/executor/ahead_test.go
+++ b/executor/ahead_test.go
@@ -14,13 +14,13 @@
 // what its next report says of it, in thousandths of a core.
 func (b *bench) waits() []int {
 	b.t.Helper()
-	b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp, Want: messenger.Want{Tasks: 1, Sum: messenger.Demand{CPU: 1}, Least: messenger.Demand{CPU: 1}, Ahead: true}})
-	b.clock.Advance(messenger.BeatInterval)
+	b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Backlog: messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 1}, Min: messenger.Resources{CPU: 1}, WantsForecast: true}})
+	b.clock.Advance(messenger.HeartbeatInterval)
 	b.x.Tick()
 	b.drain()
 	require.NotEmpty(b.t, b.tells)
 	var out []int
-	for _, d := range b.tells[len(b.tells)-1].Ahead {
+	for _, d := range b.tells[len(b.tells)-1].Forecast {
 		out = append(out, d.CPU)
 	}
 	return out
@@ -30,8 +30,8 @@
 func (b *bench) begins(estimate time.Duration) {
 	b.placed++
 	b.x.Place("e", messenger.Place{
-		Number: b.placed, Job: "j", Spec: "spec", Service: "quotes", Patience: 12 * time.Millisecond, Echo: b.stamp,
-		Tasks: []messenger.Task{{Run: run1, Demand: messenger.Demand{CPU: 1000}, Estimate: estimate}},
+		Number: b.placed, Job: "j", Spec: "spec", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: b.stamp,
+		Tasks: []messenger.Task{{Run: run1, Demand: messenger.Resources{CPU: 1000}, Estimate: estimate}},
 	})
 	b.drain()
 	b.x.Started(run1, b.starts[0].Token, executor.Accepted)
@@ -64,7 +64,7 @@
 			b.lookAnswered(b.lastLook, nil)
 			b.begins(tt.estimate)
 			b.clock.Advance(100 * time.Millisecond)
-			b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp})
+			b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 			b.lookAnswered(b.lastLook, []messenger.Progress{{Run: run1, Percent: tt.percent}})
 			require.Equal(t, tt.want, b.waits())
 		})
@@ -77,13 +77,13 @@
 	b := newBench(t)
 	b.lookAnswered(b.lastLook, nil)
 	b.begins(200 * time.Millisecond)
-	b.clock.Advance(messenger.BeatInterval)
-	b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp, Want: messenger.Want{Tasks: 1, Sum: messenger.Demand{CPU: 1}, Least: messenger.Demand{CPU: 1}}})
+	b.clock.Advance(messenger.HeartbeatInterval)
+	b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Backlog: messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 1}, Min: messenger.Resources{CPU: 1}}})
 	b.x.Tick()
 	b.drain()
 	require.NotEmpty(t, b.tells)
 	for _, r := range b.tells {
-		require.Empty(t, r.Ahead)
+		require.Empty(t, r.Forecast)
 	}
 	require.NotEmpty(t, b.waits())
 }
@@ -104,7 +104,7 @@
 			b.x.SetUpstream(up)
 		}},
 		{"data centre evacuated", func(b *bench) {
-			b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp, Revision: 1, Evacuated: []string{"dc"}})
+			b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Revision: 1, Evacuated: []string{"dc"}})
 		}},
 	}
 	for _, tt := range tests {
--- a/executor/calltime_test.go
+++ b/executor/calltime_test.go
@@ -25,7 +25,7 @@
 		if out == executor.Unanswered {
 			// It took effect.
 			b.lookAnswered(b.lastLook, []messenger.Progress{{Run: s.Run}})
-			b.lookAnswered(b.lastLook, nil, executor.Ended{Number: int64(b.placed), End: messenger.End{Run: s.Run, How: messenger.Done}})
+			b.lookAnswered(b.lastLook, nil, executor.Ended{Number: int64(b.placed), RunEnd: messenger.RunEnd{Run: s.Run, Reason: messenger.RunDone}})
 		}
 	}
 	return within
@@ -56,7 +56,7 @@
 		{"long ago", func(b *bench) {
 			b.calls(15, time.Millisecond, executor.Rejected)
 			b.clock.Advance(6 * time.Second)
-			b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.clock.Since(b.start())})
+			b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.clock.Since(b.start())})
 			b.x.Tick()
 			b.drain()
 		}, 40 * time.Millisecond},
@@ -78,11 +78,11 @@
 func (b *bench) startAll(tasks int) []executor.Start {
 	b.lookAnswered(b.lastLook, nil)
 	b.calls(15, time.Millisecond, executor.Rejected)
-	p := messenger.Place{Number: b.placed + 1, Job: "j", Service: "quotes", Patience: time.Second, Echo: b.stamp}
+	p := messenger.Place{Number: b.placed + 1, Job: "j", Service: "quotes", MaxWait: time.Second, Echo: b.stamp}
 	for i := range tasks {
 		p.Tasks = append(p.Tasks, messenger.Task{
 			Run:    messenger.Run{Task: fmt.Sprintf("j.0.0.%d", i), Number: 1},
-			Demand: messenger.Demand{CPU: 100}, Estimate: 60 * time.Millisecond,
+			Demand: messenger.Resources{CPU: 100}, Estimate: 60 * time.Millisecond,
 		})
 	}
 	b.placed++
@@ -114,7 +114,7 @@
 				looks = append(looks, b.looks...)
 				require.Empty(t, b.refused())
 				for _, r := range b.tells {
-					require.Zero(t, r.Unanswered, "the worker is not set aside")
+					require.Zero(t, r.UnansweredCalls, "the worker is not set aside")
 				}
 			}
 			require.Len(t, looks, 1)
@@ -159,7 +159,7 @@
 		s := b.starts[0]
 		b.timeOut(s)
 		for _, r := range b.tells {
-			unanswered = max(unanswered, r.Unanswered)
+			unanswered = max(unanswered, r.UnansweredCalls)
 		}
 	}
 	require.Positive(t, unanswered)
--- a/executor/dump.go
+++ b/executor/dump.go
@@ -7,9 +7,9 @@
 	Identity Identity
 	Token    uint64
 	Upstream messenger.Upstream
-	Free     messenger.Demand
+	Free     messenger.Resources
 	// Kept is the part of Free that is kept for a large task of Holder's.
-	Kept       messenger.Demand
+	Kept       messenger.Resources
 	Holder     string
 	Leaving    bool
 	Unanswered int
--- a/executor/entry.go
+++ b/executor/entry.go
@@ -34,14 +34,14 @@
 	roomChanged bool
 	toldAt      time.Time
 	// told is the room that the entry was last told of.
-	told messenger.Demand
+	told messenger.Resources
 	// toldBackfill is the same of the room for tasks that end soon.
-	toldBackfill messenger.Demand
+	toldBackfill messenger.Resources
 	// toldSpeed is the speed of the worker that the entry was last told of.
 	toldSpeed speed
 	// want is what waits there, and share the room that it has had in
 	// proportion to that.
-	want  messenger.Want
+	want  messenger.Backlog
 	share float64
 	// wantsSince is since when tasks have waited there.
 	wantsSince time.Time
@@ -87,7 +87,7 @@
 	e.toldSpeed = speed{value: 1}
 	e.held.told = false
 	e.changed = true
-	e.want = messenger.Want{}
+	e.want = messenger.Backlog{}
 	if x.upstream.Born == 0 && x.upstream.ID == "" && h.Upstream.Born != 0 {
 		x.SetUpstream(h.Upstream)
 	}
@@ -102,20 +102,20 @@
 }
 
 // Beat notes an entry's heartbeat.
-func (x *Executor) Beat(name string, b messenger.Beat) {
+func (x *Executor) Beat(name string, b messenger.Heartbeat) {
 	e := x.entries[name]
 	if e == nil {
 		return
 	}
-	if b.Stamp-e.echo > 2*messenger.BeatInterval {
+	if b.Timestamp-e.echo > 2*messenger.HeartbeatInterval {
 		// The entry was paused and waits for an echo.
 		e.changed = true
 	}
-	e.echo = b.Stamp
-	e.outcomes.heard(b.Heard)
+	e.echo = b.Timestamp
+	e.outcomes.heard(b.AckedOutcome)
 	x.direct(name, b)
-	x.wants(e, b.Want)
-	x.holds(e, b.Held)
+	x.wants(e, b.Backlog)
+	x.holds(e, b.HeldJobs)
 	x.contact(e, b.Echo)
 	// The answer goes out while both sides are awake for this one.
 	if now := x.clock.Now(); e.open && now.Sub(e.beatAt) >= beatEarly {
@@ -160,7 +160,7 @@
 }
 
 // direct takes in the operators' directives, unless newer ones are known.
-func (x *Executor) direct(name string, b messenger.Beat) {
+func (x *Executor) direct(name string, b messenger.Heartbeat) {
 	if b.Revision < x.directives {
 		return
 	}
@@ -172,7 +172,7 @@
 	x.evacuated = evacuated
 	if evacuated {
 		x.endReservation("data centre evacuated")
-		x.refuseWaiting(messenger.Evacuated)
+		x.refuseWaiting(messenger.RefusedEvacuated)
 	}
 }
 
@@ -261,7 +261,7 @@
 // beat reports to the entries that have heard nothing for a while.
 func (x *Executor) beat(now time.Time) {
 	for _, e := range x.order {
-		if e.open && now.Sub(e.beatAt) >= messenger.BeatInterval {
+		if e.open && now.Sub(e.beatAt) >= messenger.HeartbeatInterval {
 			x.tell(e, now, true)
 		}
 	}
@@ -271,24 +271,24 @@
 // refusals are kept for the next link when none is open.
 func (x *Executor) tell(e *entry, now time.Time, beat bool) {
 	r := messenger.Report{
-		Agent:       x.identity.Agent,
-		DataCentre:  x.identity.DataCentre,
-		Incarnation: x.identity.Incarnation,
-		Stamp:       x.stamp(),
-		Echo:        e.echo,
-		Seen:        e.seen,
-		Free:        x.offer(e),
-		Unanswered:  x.look.unanswered,
-		FailedJobs:  x.failures.jobs,
-		Entries:     x.inTouch(),
-		Leaving:     x.leaving,
-		Reserved:    x.reservedFor(e),
-		Backfill:    x.backfillFor(e, now),
-	}
-	r.Ended, r.Refused, r.Outcomes = e.outcomes.tell()
-	r.Pace, r.PacedJobs = x.paces.median(now)
-	if e.want.Ahead {
-		r.Ahead = x.ahead(now)
+		Agent:                 x.identity.Agent,
+		DataCentre:            x.identity.DataCentre,
+		Incarnation:           x.identity.Incarnation,
+		Timestamp:             x.stamp(),
+		Echo:                  e.echo,
+		AckedPlace:            e.seen,
+		Free:                  x.offer(e),
+		UnansweredCalls:       x.look.unanswered,
+		ConsecutiveFailedJobs: x.failures.jobs,
+		ConnectedEntries:      x.inTouch(),
+		Leaving:               x.leaving,
+		ReservationNumber:     x.reservedFor(e),
+		Backfill:              x.backfillFor(e, now),
+	}
+	r.Ended, r.Refused, r.LastOutcome = e.outcomes.tell()
+	r.Pace, r.PaceJobs = x.paces.median(now)
+	if e.want.WantsForecast {
+		r.Forecast = x.ahead(now)
 	}
 	s := x.tellSpeed(e, now, beat)
 	r.Speed, r.SpeedJobs = s.value, s.jobs
@@ -299,26 +299,26 @@
 	}
 	if (beat || !e.complete) && !e.held.told {
 		others := x.heldBeside(e)
-		r.Held = &others
+		r.HeldJobs = &others
 		e.held.told = true
 	}
 	// A list of runs is complete only after the worker has been seen.
 	if !e.complete && x.settled {
-		r.Complete = true
+		r.RunsComplete = true
 		e.complete = true
 		r.Ended = append(r.Ended, x.unclaimedEnds()...)
 	}
-	if beat || r.Complete {
+	if beat || r.RunsComplete {
 		e.beatAt = now
-		r.Runs = x.runsFor(e, r.Complete)
+		r.Runs = x.runsFor(e, r.RunsComplete)
 	}
-	if r.Complete {
+	if r.RunsComplete {
 		x.emit(Note{Owner: e.name, Worker: x.upstream.ID, What: "list of runs sent", Why: fmt.Sprintf("%d runs", len(r.Runs)), Age: x.clock.Since(x.look.openAt)})
 	}
 	e.changed = false
 	e.roomChanged = false
 	e.told = r.Free
-	e.toldBackfill = r.Backfill.Room
+	e.toldBackfill = r.Backfill.Resources
 	e.toldAt = now
 	x.emit(Tell{Entry: e.name, Report: r})
 }
--- a/executor/evidence_test.go
+++ b/executor/evidence_test.go
@@ -29,7 +29,7 @@
 	var ends []messenger.Report
 	for ; d > 0; d -= step {
 		b.clock.Advance(step)
-		b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp})
+		b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 		b.x.Tick()
 		b.drain()
 		for _, l := range b.looks {
@@ -79,7 +79,7 @@
 			b.pass(100 * time.Millisecond)
 			require.Empty(t, b.ended(), "its lease is not over")
 			b.pass(leaseOver)
-			require.Equal(t, []messenger.End{{Run: run1, How: messenger.Lapsed}}, b.ended())
+			require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunLapsed}}, b.ended())
 		})
 	}
 }
@@ -91,9 +91,9 @@
 	b.x.ClearUpstream("w")
 	b.place(messenger.Run{Task: "j.0.0.1", Number: 1}, 1000)
 	require.Empty(t, b.starts)
-	require.Equal(t, messenger.NoWorker, b.refused()[0].Reason)
-	b.lookAnswered(1, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Done}})
-	require.Equal(t, []messenger.End{{Run: run1, How: messenger.Done}}, b.ended())
+	require.Equal(t, messenger.RefusedNoWorker, b.refused()[0].Reason)
+	b.lookAnswered(1, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunDone}}, b.ended())
 	b.pass(leaseOver)
 	require.Empty(t, b.looks, "nothing is left to look for")
 	b.x.SetUpstream(upstream(1))
@@ -145,7 +145,7 @@
 			}
 			b.pass(100 * time.Millisecond)
 			for _, r := range append(tells, b.tells...) {
-				require.False(t, r.Complete, "what an earlier incarnation started may run")
+				require.False(t, r.RunsComplete, "what an earlier incarnation started may run")
 			}
 			b.pass(leaseOver)
 			require.True(t, complete(b.tells), "its leases are over")
@@ -155,7 +155,7 @@
 
 func complete(list []messenger.Report) bool {
 	for _, r := range list {
-		if r.Complete {
+		if r.RunsComplete {
 			return true
 		}
 	}
@@ -184,7 +184,7 @@
 	b.x.Started(run1, start.Token, executor.Late)
 	b.drain()
 	require.Empty(t, b.starts)
-	require.Equal(t, []messenger.Refusal{{Run: run1, Reason: messenger.Overtaken}}, b.refused())
+	require.Equal(t, []messenger.Refusal{{Run: run1, Reason: messenger.RefusedWithdrawn}}, b.refused())
 }
 
 func TestPausedAgentSendsNoUnansweredStartAgainForAnEntryThatHasGivenItUp(t *testing.T) {
@@ -196,20 +196,20 @@
 	b.clock.Advance(2 * time.Second)
 	b.lookAnswered(look.Number, nil)
 	require.Empty(t, b.starts)
-	require.Equal(t, []messenger.Refusal{{Run: run1, Reason: messenger.Overtaken}}, b.refused())
+	require.Equal(t, []messenger.Refusal{{Run: run1, Reason: messenger.RefusedWithdrawn}}, b.refused())
 }
 
 func TestNoStartIsSentAgainWhileARunThatHasToEndGoesOn(t *testing.T) {
 	b := newBench(t)
 	b.running(run1)
 	b.x.Hello(messenger.Hello{Entry: "f", Incarnation: 1})
-	b.clock.Advance(messenger.SilenceLimit + time.Millisecond)
+	b.clock.Advance(messenger.IdleTimeout + time.Millisecond)
 	b.x.Tick()
 	b.drain()
 	other := messenger.Run{Task: "k.0.0.0", Number: 1}
 	b.x.Place("f", messenger.Place{
-		Number: 1, Job: "k", Spec: "spec", Service: "quotes", Patience: 12 * time.Millisecond, Echo: b.stamp,
-		Tasks: []messenger.Task{{Run: other, Demand: messenger.Demand{CPU: 1000}}},
+		Number: 1, Job: "k", Spec: "spec", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: b.stamp,
+		Tasks: []messenger.Task{{Run: other, Demand: messenger.Resources{CPU: 1000}}},
 	})
 	b.drain()
 	require.Len(t, b.starts, 1)
@@ -219,7 +219,7 @@
 	b.clock.Advance(110 * time.Millisecond)
 	b.lookAnswered(look.Number, []messenger.Progress{{Run: run1, Percent: 50}})
 	require.Empty(t, b.starts, "it would lengthen the lease of run 1")
-	require.Equal(t, []messenger.Refusal{{Run: other, Reason: messenger.Unhealthy}}, b.refused())
+	require.Equal(t, []messenger.Refusal{{Run: other, Reason: messenger.RefusedUnhealthy}}, b.refused())
 }
 
 func TestPausedAgentStartsNothingThatHasWaitedTooLong(t *testing.T) {
@@ -228,9 +228,9 @@
 	b.place(run1, 8000)
 	require.Empty(t, b.starts)
 	b.clock.Advance(200 * time.Millisecond)
-	b.lookAnswered(1, nil, executor.Ended{Number: 1, End: messenger.End{Run: messenger.Run{Task: "big", Number: 1}, How: messenger.Done}})
+	b.lookAnswered(1, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: messenger.Run{Task: "big", Number: 1}, Reason: messenger.RunDone}})
 	require.Empty(t, b.starts)
-	require.Equal(t, []messenger.Refusal{{Run: run1, Reason: messenger.NoRoom}}, b.refused())
+	require.Equal(t, []messenger.Refusal{{Run: run1, Reason: messenger.RefusedNoRoom}}, b.refused())
 }
 
 func TestRestartedAgentDoesNotWaitForAnEndBeforeItTellsWhatRuns(t *testing.T) {
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -31,10 +31,10 @@
 	retryMost  = 640 * time.Millisecond
 	// entryPatience is how long an entry may be silent before its runs are
 	// stopped.
-	entryPatience = messenger.SilenceLimit
+	entryPatience = messenger.IdleTimeout
 	// echoCredit is how long after the stamp that it echoes an entry's word
 	// counts as said at most, however late it is read.
-	echoCredit = messenger.BeatInterval
+	echoCredit = messenger.HeartbeatInterval
 	// stopPatience is how long runs that must end may take to be stopped. Then
 	// no lease is renewed until they are over.
 	stopPatience = 100 * time.Millisecond
@@ -44,7 +44,7 @@
 	// that may claim it. No lease is renewed meanwhile.
 	orphanPatience = 150 * time.Millisecond
 	// placeAge is the greatest age of a Place that is still carried out.
-	placeAge = messenger.SilenceLimit
+	placeAge = messenger.IdleTimeout
 	// stopAgain is the time after which a stop is sent again.
 	stopAgain = 100 * time.Millisecond
 	// startTries bounds how often one run is sent to the worker.
@@ -55,11 +55,11 @@
 	// calmInterval is the same for an entry at which nothing waits. It asks when
 	// something does. One that has placed nothing for idleAfter hears of room with
 	// its heartbeats alone.
-	calmInterval = messenger.BeatInterval / 2
+	calmInterval = messenger.HeartbeatInterval / 2
 	idleAfter    = 500 * time.Millisecond
 	// beatEarly is the time after a heartbeat from which a report that is sent
 	// anyhow serves as the next one.
-	beatEarly = messenger.BeatInterval / 2
+	beatEarly = messenger.HeartbeatInterval / 2
 	// tokenStep is the least step of the fencing token when the worker has
 	// seen a higher one.
 	tokenStep = 1_000_000
@@ -119,7 +119,7 @@
 	runs    map[messenger.Run]*run
 	byTask  map[string]*run
 	waiting []*run
-	used    messenger.Demand
+	used    messenger.Resources
 
 	// unclaimed keeps the ends of runs that no entry had claimed.
 	unclaimed map[messenger.Run]unclaimedEnd
@@ -176,7 +176,7 @@
 func (x *Executor) SetLeaving() {
 	x.leaving = true
 	x.endReservation("agent leaves")
-	x.refuseWaiting(messenger.Leaving)
+	x.refuseWaiting(messenger.RefusedLeaving)
 	x.changed()
 }
 
@@ -198,10 +198,10 @@
 }
 
 // free returns the room that nothing holds.
-func (x *Executor) free() messenger.Demand { return x.upstream.Capacity.Minus(x.used) }
+func (x *Executor) free() messenger.Resources { return x.upstream.Capacity.Minus(x.used) }
 
 // unassignedRoom returns the room that nothing holds or waits for.
-func (x *Executor) unassignedRoom() messenger.Demand {
+func (x *Executor) unassignedRoom() messenger.Resources {
 	d := x.free()
 	for _, r := range x.waiting {
 		d = d.Minus(r.Demand)
--- a/executor/executor_test.go
+++ b/executor/executor_test.go
@@ -31,7 +31,7 @@
 	// told counts the reports of the last effects by entry.
 	told map[string]int
 	// held is what the last effects told each entry of the others' jobs.
-	held map[string]*messenger.Held
+	held map[string]*messenger.HeldJobs
 }
 
 func newBench(t *testing.T) *bench {
@@ -45,12 +45,12 @@
 }
 
 func upstream(born int64) messenger.Upstream {
-	return messenger.Upstream{ID: "w", Born: born, Service: "quotes", Capacity: messenger.Demand{CPU: 8000, Memory: 1000}}
+	return messenger.Upstream{ID: "w", Born: born, Service: "quotes", Capacity: messenger.Resources{CPU: 8000, Memory: 1000}}
 }
 
 func (b *bench) drain() {
 	b.starts, b.stops, b.looks, b.tells = nil, nil, nil, nil
-	b.held = make(map[string]*messenger.Held)
+	b.held = make(map[string]*messenger.HeldJobs)
 	b.told = make(map[string]int)
 	for _, e := range b.x.Drain() {
 		switch e := e.(type) {
@@ -66,10 +66,10 @@
 			}
 		case executor.Tell:
 			b.tells = append(b.tells, e.Report)
-			b.stamp = e.Report.Stamp
+			b.stamp = e.Report.Timestamp
 			b.told[e.Entry]++
-			if e.Report.Held != nil {
-				b.held[e.Entry] = e.Report.Held
+			if e.Report.HeldJobs != nil {
+				b.held[e.Entry] = e.Report.HeldJobs
 			}
 		}
 	}
@@ -81,8 +81,8 @@
 func (b *bench) place(r messenger.Run, cpu int) {
 	b.placed++
 	b.x.Place("e", messenger.Place{
-		Number: b.placed, Job: "j", Spec: "spec", Service: "quotes", Patience: 12 * time.Millisecond, Echo: b.stamp,
-		Tasks: []messenger.Task{{Run: r, Demand: messenger.Demand{CPU: cpu}, Estimate: 60 * time.Millisecond}},
+		Number: b.placed, Job: "j", Spec: "spec", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: b.stamp,
+		Tasks: []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: cpu}, Estimate: 60 * time.Millisecond}},
 	})
 	b.drain()
 }
@@ -94,8 +94,8 @@
 }
 
 // ended returns the ends in the last reports.
-func (b *bench) ended() []messenger.End {
-	var out []messenger.End
+func (b *bench) ended() []messenger.RunEnd {
+	var out []messenger.RunEnd
 	for _, r := range b.tells {
 		out = append(out, r.Ended...)
 	}
@@ -166,7 +166,7 @@
 			}
 		}
 		b.clock.Advance(80 * time.Millisecond)
-		b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp})
+		b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 		b.x.Tick()
 		b.drain()
 		for _, l := range b.looks {
@@ -184,7 +184,7 @@
 	b := newBench(t)
 	b.place(run1, 1000)
 	b.x.Started(run1, b.starts[0].Token, executor.Accepted)
-	b.clock.Advance(messenger.SilenceLimit + time.Millisecond)
+	b.clock.Advance(messenger.IdleTimeout + time.Millisecond)
 	b.x.Tick()
 	b.drain()
 	require.Len(t, b.stops, 1)
@@ -194,11 +194,11 @@
 func TestPlaceThatIsOldIsRefused(t *testing.T) {
 	b := newBench(t)
 	stamp := b.stamp
-	b.clock.Advance(messenger.SilenceLimit + time.Millisecond)
+	b.clock.Advance(messenger.IdleTimeout + time.Millisecond)
 	b.stamp = stamp
 	b.place(run1, 1000)
 	require.Empty(t, b.starts)
-	require.Equal(t, messenger.Overtaken, b.refused()[0].Reason)
+	require.Equal(t, messenger.RefusedWithdrawn, b.refused()[0].Reason)
 }
 
 func TestRunWaitsForRoomAndIsRefusedWhenItWaitsTooLong(t *testing.T) {
@@ -210,13 +210,13 @@
 	require.Empty(t, b.starts)
 	b.clock.Advance(5 * time.Millisecond)
 	b.place(run3, 6000)
-	b.lookAnswered(1, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Done}})
+	b.lookAnswered(1, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
 	require.Len(t, b.starts, 1)
 	require.Equal(t, run2, b.starts[0].Run)
 	b.clock.Advance(13 * time.Millisecond)
 	b.x.Tick()
 	b.drain()
-	require.Equal(t, []messenger.Refusal{{Run: run3, Reason: messenger.NoRoom}}, b.refused())
+	require.Equal(t, []messenger.Refusal{{Run: run3, Reason: messenger.RefusedNoRoom}}, b.refused())
 }
 
 // TestRefusalForLackOfRoomIsToldWhenItIsDue guards against a run that waits for the
@@ -226,8 +226,8 @@
 	b := newBench(t)
 	b.place(run1, 6000)
 	b.x.Place("e", messenger.Place{
-		Number: 2, Job: "j", Service: "quotes", Patience: patience, Echo: b.stamp,
-		Tasks: []messenger.Task{{Run: messenger.Run{Task: "j.0.0.1", Number: 1}, Demand: messenger.Demand{CPU: 6000}}},
+		Number: 2, Job: "j", Service: "quotes", MaxWait: patience, Echo: b.stamp,
+		Tasks: []messenger.Task{{Run: messenger.Run{Task: "j.0.0.1", Number: 1}, Demand: messenger.Resources{CPU: 6000}}},
 	})
 	var wake time.Duration
 	for _, e := range b.x.Drain() {
@@ -253,7 +253,7 @@
 		}
 		for range 5 {
 			b.clock.Advance(100 * time.Millisecond)
-			b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp})
+			b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 			b.x.Tick()
 			b.drain()
 		}
@@ -273,7 +273,7 @@
 	look := b.looks[len(b.looks)-1]
 	b.x.Looked(executor.Seen{Number: look.Number, Born: 2})
 	b.drain()
-	require.Equal(t, []messenger.End{{Run: run1, How: messenger.Lapsed}}, b.ended())
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunLapsed}}, b.ended())
 	// A word of the earlier incarnation that comes late changes nothing.
 	b.x.SetUpstream(upstream(1))
 	require.Equal(t, int64(2), b.x.Upstream().Born)
@@ -304,7 +304,7 @@
 	b.drain()
 	require.Empty(t, b.starts)
 	require.Empty(t, b.refused())
-	require.Equal(t, []messenger.End{{Run: run1, How: messenger.Lapsed}}, b.ended())
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunLapsed}}, b.ended())
 }
 
 func TestWorkerKnownOnlyByItsListsTakesNothing(t *testing.T) {
@@ -324,14 +324,14 @@
 	b.place(run1, 1000)
 	b.x.Started(run1, b.starts[0].Token, executor.Accepted)
 	b.x.Closed("e")
-	b.clock.Advance(messenger.SilenceLimit + time.Millisecond)
+	b.clock.Advance(messenger.IdleTimeout + time.Millisecond)
 	b.x.Tick()
 	b.drain()
-	b.lookAnswered(1, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Stopped}})
+	b.lookAnswered(1, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunStopped}})
 	b.x.Tick()
 	b.x.Hello(messenger.Hello{Entry: "e", Incarnation: 1})
 	b.drain()
-	require.Equal(t, []messenger.End{{Run: run1, How: messenger.Stopped}}, b.ended())
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunStopped}}, b.ended())
 }
 
 func TestDrainingWorkerTakesOnlyWhatEndsInTime(t *testing.T) {
@@ -353,7 +353,7 @@
 			up.Remaining = tt.remaining
 			b.x.SetUpstream(up)
 			b.clock.Advance(tt.since)
-			b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: tt.since})
+			b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: tt.since})
 			b.x.Tick()
 			b.drain()
 			b.place(run1, 1000)
@@ -368,21 +368,21 @@
 		r := messenger.Run{Task: job + ".0.0.0", Number: 1}
 		b.placed++
 		b.x.Place("e", messenger.Place{
-			Number: b.placed, Job: job, Service: "quotes", Patience: time.Second, Echo: b.stamp,
-			Tasks: []messenger.Task{{Run: r, Demand: messenger.Demand{CPU: 1000}, Estimate: 60 * time.Millisecond}},
+			Number: b.placed, Job: job, Service: "quotes", MaxWait: time.Second, Echo: b.stamp,
+			Tasks: []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: 1000}, Estimate: 60 * time.Millisecond}},
 		})
 		b.drain()
 		b.clock.Advance(10 * time.Millisecond)
-		b.lookAnswered(uint64(i+1), nil, executor.Ended{Number: int64(i + 1), End: messenger.End{Run: r, How: messenger.Failed}})
+		b.lookAnswered(uint64(i+1), nil, executor.Ended{Number: int64(i + 1), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunFailed}})
 	}
-	require.Equal(t, 2, b.tells[len(b.tells)-1].FailedJobs)
+	require.Equal(t, 2, b.tells[len(b.tells)-1].ConsecutiveFailedJobs)
 }
 
 func TestAgentGoesByTheNewestDirectivesOfAnyEntry(t *testing.T) {
 	b := newBench(t)
 	b.x.Hello(messenger.Hello{Entry: "cut off", Incarnation: 1})
 	beat := func(entry string, revision int64, evacuated ...string) {
-		b.x.Beat(entry, messenger.Beat{Stamp: 1, Echo: b.stamp, Revision: revision, Evacuated: evacuated})
+		b.x.Beat(entry, messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Revision: revision, Evacuated: evacuated})
 	}
 	starts := func(number int) int {
 		b.place(messenger.Run{Task: "j.0.0.0", Number: number}, 100)
--- a/executor/held.go
+++ b/executor/held.go
@@ -10,7 +10,7 @@
 // held is what an entry and the others have to know of each other's jobs.
 type held struct {
 	// jobs are those of the entry's last heartbeat, which came at.
-	jobs messenger.Held
+	jobs messenger.HeldJobs
 	at   time.Time
 	// past are the jobs of earlier incarnations of the entry, whose runs may go
 	// on.
@@ -27,9 +27,9 @@
 
 // restart keeps the jobs of an earlier incarnation of an entry for a while.
 func (h *held) restart() {
-	if jobs := slices.Concat(h.jobs.Jobs, h.jobs.Waits, h.jobs.Over); len(jobs) > 0 {
-		h.past = append(h.past, pastJobs{jobs: jobs, until: h.at.Add(messenger.HeldFor)})
-		h.jobs = messenger.Held{}
+	if jobs := slices.Concat(h.jobs.Running, h.jobs.Yielding, h.jobs.Finished); len(jobs) > 0 {
+		h.past = append(h.past, pastJobs{jobs: jobs, until: h.at.Add(messenger.HeldJobsTTL)})
+		h.jobs = messenger.HeldJobs{}
 	}
 }
 
@@ -38,19 +38,19 @@
 	n := len(h.past)
 	h.past = slices.DeleteFunc(h.past, func(p pastJobs) bool { return now.After(p.until) })
 	forgotten := len(h.past) < n
-	if now.Sub(h.at) > messenger.HeldFor && !equalHeld(h.jobs, messenger.Held{}) {
-		h.jobs = messenger.Held{}
+	if now.Sub(h.at) > messenger.HeldJobsTTL && !equalHeld(h.jobs, messenger.HeldJobs{}) {
+		h.jobs = messenger.HeldJobs{}
 		forgotten = true
 	}
 	return forgotten
 }
 
-func equalHeld(a, b messenger.Held) bool {
-	return slices.Equal(a.Jobs, b.Jobs) && slices.Equal(a.Waits, b.Waits) && slices.Equal(a.Over, b.Over)
+func equalHeld(a, b messenger.HeldJobs) bool {
+	return slices.Equal(a.Running, b.Running) && slices.Equal(a.Yielding, b.Yielding) && slices.Equal(a.Finished, b.Finished)
 }
 
 // holds takes in the jobs that an entry holds. The others hear of a change.
-func (x *Executor) holds(e *entry, jobs messenger.Held) {
+func (x *Executor) holds(e *entry, jobs messenger.HeldJobs) {
 	e.held.at = x.clock.Now()
 	if !equalHeld(e.held.jobs, jobs) {
 		e.held.jobs = jobs
@@ -78,18 +78,18 @@
 }
 
 // heldBeside returns the jobs that the other entries hold.
-func (x *Executor) heldBeside(e *entry) messenger.Held {
-	var out messenger.Held
+func (x *Executor) heldBeside(e *entry) messenger.HeldJobs {
+	var out messenger.HeldJobs
 	for _, o := range x.order {
 		if o == e {
 			continue
 		}
-		out.Jobs = append(out.Jobs, o.held.jobs.Jobs...)
-		out.Waits = append(out.Waits, o.held.jobs.Waits...)
-		out.Over = append(out.Over, o.held.jobs.Over...)
+		out.Running = append(out.Running, o.held.jobs.Running...)
+		out.Yielding = append(out.Yielding, o.held.jobs.Yielding...)
+		out.Finished = append(out.Finished, o.held.jobs.Finished...)
 		for _, p := range o.held.past {
 			// Its callers have gone, and its runs are being stopped.
-			out.Over = append(out.Over, p.jobs...)
+			out.Finished = append(out.Finished, p.jobs...)
 		}
 	}
 	return out
--- a/executor/lease_test.go
+++ b/executor/lease_test.go
@@ -62,7 +62,7 @@
 	b.running(run1)
 	stranger := b.announceAnother()
 	b.clock.Advance(300 * time.Millisecond)
-	b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp})
+	b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 	b.x.LookFailed(stranger.Number, executor.OtherWorker)
 	b.drain()
 	look := b.looks[len(b.looks)-1]
@@ -88,7 +88,7 @@
 			b.x.Looked(executor.Seen{Number: l.Number, Born: 3000})
 		}
 		b.clock.Advance(10 * time.Millisecond)
-		b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp})
+		b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 		b.x.Tick()
 		b.drain()
 		if len(b.ended()) > 0 {
@@ -105,7 +105,7 @@
 	// The agent is paused with the heartbeat unread; the entry's link has ended
 	// right after it.
 	b.clock.Advance(390 * time.Millisecond)
-	b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: stamp})
+	b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: stamp})
 	b.x.Closed("e")
 	b.clock.Advance(20 * time.Millisecond)
 	b.x.Tick()
@@ -124,8 +124,8 @@
 	b.drain()
 	require.Len(t, b.stops, 1)
 	b.clock.Advance(50 * time.Millisecond)
-	b.lookAnswered(2, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Stopped}})
-	require.Equal(t, []messenger.End{{Run: run1, How: messenger.Stopped}}, b.ended(), "the entry's next try waits for it")
+	b.lookAnswered(2, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunStopped}})
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunStopped}}, b.ended(), "the entry's next try waits for it")
 }
 
 func TestOutcomesOfAnEarlierLifeOfAnEntryAreNotToldToTheNext(t *testing.T) {
@@ -153,14 +153,14 @@
 			b.clock.Advance(10 * time.Millisecond)
 			other := messenger.Run{Task: run1.Task, Number: number}
 			b.x.Place("f", messenger.Place{
-				Number: 1, Job: "j", Spec: "spec", Service: "quotes", Patience: 12 * time.Millisecond, Echo: 10 * time.Millisecond,
-				Tasks: []messenger.Task{{Run: other, Demand: messenger.Demand{CPU: 1000}}},
+				Number: 1, Job: "j", Spec: "spec", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: 10 * time.Millisecond,
+				Tasks: []messenger.Task{{Run: other, Demand: messenger.Resources{CPU: 1000}}},
 			})
 			b.drain()
 			require.Empty(t, b.starts)
 			require.Empty(t, b.refused(), "it may not run elsewhere either")
-			b.lookAnswered(1, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Done}})
-			require.ElementsMatch(t, []messenger.End{{Run: run1, How: messenger.Done}, {Run: other, How: messenger.Done}}, b.ended())
+			b.lookAnswered(1, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+			require.ElementsMatch(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunDone}, {Run: other, Reason: messenger.RunDone}}, b.ended())
 		})
 	}
 }
--- a/executor/look.go
+++ b/executor/look.go
@@ -146,7 +146,7 @@
 type Ended struct {
 	// Number rises with each end of one incarnation.
 	Number int64
-	messenger.End
+	messenger.RunEnd
 }
 
 // Seen is the worker's answer to a look.
@@ -230,11 +230,11 @@
 		}
 		x.look.seen = e.Number
 		if r := x.runs[e.Run]; r != nil {
-			x.settle(r, e.How)
+			x.settle(r, e.Reason)
 			continue
 		}
 		// An earlier incarnation of the agent started it.
-		x.unclaimed[e.Run] = unclaimedEnd{End: e.End, at: x.clock.Now()}
+		x.unclaimed[e.Run] = unclaimedEnd{RunEnd: e.RunEnd, at: x.clock.Now()}
 	}
 }
 
@@ -263,13 +263,13 @@
 		}
 		switch {
 		case r.phase == doubtful && r.token <= l.token && !r.begunAt.IsZero():
-			x.settle(r, messenger.Lapsed)
+			x.settle(r, messenger.RunLapsed)
 		case r.phase == doubtful && r.token <= l.token:
 			// The look came under a higher token: the start has done nothing
 			// and can do nothing any more.
 			x.again(r)
 		case (r.phase == running || r.phase == stopping) && r.begunAt.Before(l.openAt):
-			x.settle(r, messenger.Lapsed)
+			x.settle(r, messenger.RunLapsed)
 		}
 	}
 }
--- a/executor/outcome.go
+++ b/executor/outcome.go
@@ -10,7 +10,7 @@
 // outcome is the end of a run, or its refusal; the other is empty.
 type outcome struct {
 	number  uint64
-	end     messenger.End
+	end     messenger.RunEnd
 	refused messenger.Refusal
 }
 
@@ -50,13 +50,13 @@
 
 // tell returns what has not been told on the present link, and the number of
 // the last outcome.
-func (o *outcomes) tell() ([]messenger.End, []messenger.Refusal, uint64) {
-	var ends []messenger.End
+func (o *outcomes) tell() ([]messenger.RunEnd, []messenger.Refusal, uint64) {
+	var ends []messenger.RunEnd
 	var refusals []messenger.Refusal
 	for _, c := range o.list {
 		switch {
 		case c.number <= o.told:
-		case c.end.How != "":
+		case c.end.Reason != "":
 			ends = append(ends, c.end)
 		default:
 			refusals = append(refusals, c.refused)
@@ -75,18 +75,18 @@
 
 // unclaimedEnd is the end of a run that no entry had claimed.
 type unclaimedEnd struct {
-	messenger.End
+	messenger.RunEnd
 	at time.Time
 }
 
 // unclaimedEnds returns the ends of runs that no entry had claimed, in a fixed
 // order.
-func (x *Executor) unclaimedEnds() []messenger.End {
-	var out []messenger.End
+func (x *Executor) unclaimedEnds() []messenger.RunEnd {
+	var out []messenger.RunEnd
 	for _, e := range x.unclaimed {
-		out = append(out, e.End)
+		out = append(out, e.RunEnd)
 	}
-	slices.SortFunc(out, func(a, b messenger.End) int { return compareRuns(a.Run, b.Run) })
+	slices.SortFunc(out, func(a, b messenger.RunEnd) int { return compareRuns(a.Run, b.Run) })
 	return out
 }
 
--- a/executor/outcome_test.go
+++ b/executor/outcome_test.go
@@ -14,8 +14,8 @@
 	b := newBench(t)
 	b.running(run1)
 	b.clock.Advance(time.Millisecond)
-	b.lookAnswered(1, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Done}})
-	end := []messenger.End{{Run: run1, How: messenger.Done}}
+	b.lookAnswered(1, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+	end := []messenger.RunEnd{{Run: run1, Reason: messenger.RunDone}}
 	require.Equal(t, end, b.ended())
 	told := b.tells[len(b.tells)-1]
 	for range 2 {
@@ -24,7 +24,7 @@
 		b.drain()
 		require.Equal(t, end, b.ended(), "the link may have lost it")
 	}
-	b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp, Heard: told.Outcomes})
+	b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, AckedOutcome: told.LastOutcome})
 	b.x.Closed("e")
 	b.x.Hello(messenger.Hello{Entry: "e", Incarnation: 1})
 	b.drain()
@@ -34,9 +34,9 @@
 func TestEndThatCameWhileNoAgentWasThereIsToldWithTheList(t *testing.T) {
 	b := restarted(t, upstream(1))
 	b.clock.Advance(10 * time.Millisecond)
-	b.lookAnswered(1, nil, executor.Ended{Number: 7, End: messenger.End{Run: run1, How: messenger.Done}})
+	b.lookAnswered(1, nil, executor.Ended{Number: 7, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
 	require.True(t, complete(b.tells))
-	require.Equal(t, []messenger.End{{Run: run1, How: messenger.Done}}, b.ended())
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunDone}}, b.ended())
 }
 
 func TestRunThatTheNextLifeOfItsEntryClaimsHoldsItsRoomOnce(t *testing.T) {
@@ -47,16 +47,16 @@
 	b.place(run1, 1000)
 	require.Equal(t, 7000, b.x.Dump().Free.CPU)
 	b.clock.Advance(time.Millisecond)
-	b.lookAnswered(1, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Stopped}})
+	b.lookAnswered(1, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunStopped}})
 	require.Equal(t, 8000, b.x.Dump().Free.CPU)
 }
 
 func TestRunThatHasEndedIsNotStartedAgain(t *testing.T) {
 	b := newBench(t)
 	b.lookAnswered(1, []messenger.Progress{{Run: run1, Percent: 90}})
-	b.lookAnswered(2, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Done}})
+	b.lookAnswered(2, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
 	b.place(run1, 1000)
 	require.Empty(t, b.starts)
 	require.Empty(t, b.refused())
-	require.Contains(t, b.ended(), messenger.End{Run: run1, How: messenger.Done})
+	require.Contains(t, b.ended(), messenger.RunEnd{Run: run1, Reason: messenger.RunDone})
 }
--- a/executor/pace.go
+++ b/executor/pace.go
@@ -74,16 +74,16 @@
 }
 
 // noteEvidence counts the end of a run as evidence on the state of the worker.
-func (x *Executor) noteEvidence(r *run, how messenger.How) {
+func (x *Executor) noteEvidence(r *run, how messenger.EndReason) {
 	switch how {
-	case messenger.Done:
+	case messenger.RunDone:
 		x.failures = failures{}
 		timed := !r.startUnsure && x.clock.Since(x.look.answeredAt) <= paceError
 		if took := x.clock.Since(r.sentAt); timed && took > 0 && r.Estimate > 0 {
 			x.paces.note(jobPace{job: r.job, pace: float64(r.Estimate) / float64(took), at: x.clock.Now()})
 			x.speeds.note(r.job, r.Estimate, took, x.clock.Now())
 		}
-	case messenger.Failed:
+	case messenger.RunFailed:
 		if x.failures.last != r.job {
 			x.failures.jobs++
 			x.failures.last = r.job
--- a/executor/pace_test.go
+++ b/executor/pace_test.go
@@ -30,11 +30,11 @@
 			tt.start(b)
 			// The worker answers nothing while the run ends.
 			b.pass(400 * time.Millisecond)
-			b.lookAnswered(b.lastLook, nil, executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Done}})
+			b.lookAnswered(b.lastLook, nil, executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
 			tells := b.tells
 			b.pass(200 * time.Millisecond)
 			for _, r := range append(tells, b.tells...) {
-				require.Zero(t, r.PacedJobs, "%+v", r)
+				require.Zero(t, r.PaceJobs, "%+v", r)
 			}
 		})
 	}
--- a/executor/reservation.go
+++ b/executor/reservation.go
@@ -25,7 +25,7 @@
 	holder *entry
 	// number is that of the entry's Reserve message.
 	number uint64
-	demand messenger.Demand
+	demand messenger.Resources
 	// asked is when the entry asked for the room, until when it is given back.
 	asked time.Time
 	until time.Time
@@ -41,7 +41,7 @@
 func (v *reservation) held() bool { return v.holder != nil }
 
 // covers reports whether a run of an entry is one that the room is kept for.
-func (v *reservation) covers(owner string, d messenger.Demand) bool {
+func (v *reservation) covers(owner string, d messenger.Resources) bool {
 	return v.held() && v.holder.name == owner && v.demand == d
 }
 
@@ -53,14 +53,14 @@
 		return
 	}
 	e.changed = true
-	if m.For <= 0 {
+	if m.TTL <= 0 {
 		if x.reservation.holder == e && x.reservation.number == m.Number {
 			x.endReservation("given up by its entry")
 		}
 		return
 	}
 	now := x.clock.Now()
-	span := min(m.For, reserveMost)
+	span := min(m.TTL, reserveMost)
 	x.expireReservation(now)
 	due := x.completeAt(m.Demand, now)
 	if why := x.mayReserve(m.Demand, due, now.Add(span)); why != "" {
@@ -81,13 +81,13 @@
 
 // mayReserve tells why no room is kept that is expected to be complete at due, or
 // returns nothing.
-func (x *Executor) mayReserve(d messenger.Demand, due, until time.Time) string {
+func (x *Executor) mayReserve(d messenger.Resources, due, until time.Time) string {
 	switch {
 	case x.reservation.held():
 		return "room is kept for " + x.reservation.holder.name
 	case x.leaving, x.departed, x.evacuated, x.upstream.Draining, x.upstream.Born == 0:
 		return "nothing starts here"
-	case !d.Fits(x.upstream.Capacity):
+	case !d.FitsIn(x.upstream.Capacity):
 		return "larger than the worker"
 	case due.After(until):
 		return "expected too late"
@@ -98,9 +98,9 @@
 }
 
 // smallerWait reports whether tasks smaller than d have waited for long at an entry.
-func (x *Executor) smallerWait(d messenger.Demand, now time.Time) bool {
+func (x *Executor) smallerWait(d messenger.Resources, now time.Time) bool {
 	return slices.ContainsFunc(x.order, func(e *entry) bool {
-		return x.wanting(e, now) && !d.Fits(e.want.Least) && now.Sub(e.wantsSince) >= smallPatience
+		return x.wanting(e, now) && !d.FitsIn(e.want.Min) && now.Sub(e.wantsSince) >= smallPatience
 	})
 }
 
@@ -147,14 +147,14 @@
 }
 
 // completeAt returns when room for d is expected to be free.
-func (x *Executor) completeAt(d messenger.Demand, now time.Time) time.Time {
+func (x *Executor) completeAt(d messenger.Resources, now time.Time) time.Time {
 	room := x.free()
-	if d.Fits(room) {
+	if d.FitsIn(room) {
 		return now
 	}
 	type end struct {
 		at     time.Time
-		demand messenger.Demand
+		demand messenger.Resources
 	}
 	var ends []end
 	for _, r := range x.runs {
@@ -166,7 +166,7 @@
 	at := now
 	for _, e := range ends {
 		at = e.at
-		if room = room.Plus(e.demand); d.Fits(room) {
+		if room = room.Plus(e.demand); d.FitsIn(room) {
 			break
 		}
 	}
@@ -187,31 +187,31 @@
 	if at := x.completeAt(v.demand, now); at.Before(v.due) {
 		v.due = at
 	}
-	if !v.ready && v.demand.Fits(x.free()) {
+	if !v.ready && v.demand.FitsIn(x.free()) {
 		v.ready = true
 		x.emit(Note{Owner: v.holder.name, Worker: x.upstream.ID, What: "reservation complete", Age: now.Sub(v.asked)})
 	}
 }
 
 // Kept returns the room that is kept for a reservation now.
-func (x *Executor) Kept() messenger.Demand {
+func (x *Executor) Kept() messenger.Resources {
 	if !x.reservation.held() {
-		return messenger.Demand{}
+		return messenger.Resources{}
 	}
-	return x.reservation.demand.Least(x.free()).NonNegative()
+	return x.reservation.demand.Min(x.free()).NonNegative()
 }
 
 // sharedRoom returns the room that is reported to all entries alike, which is
 // without the room that is kept. It is negative while waiting runs need more than
 // is free.
-func (x *Executor) sharedRoom() messenger.Demand { return x.unassignedRoom().Minus(x.Kept()) }
+func (x *Executor) sharedRoom() messenger.Resources { return x.unassignedRoom().Minus(x.Kept()) }
 
 // reservedRoom returns the room that is reported to an entry beside the shared room:
 // that of its reservation once it is complete.
-func (x *Executor) reservedRoom(e *entry) messenger.Demand {
+func (x *Executor) reservedRoom(e *entry) messenger.Resources {
 	v := &x.reservation
-	if v.holder != e || !v.held() || !v.demand.Fits(x.free()) {
-		return messenger.Demand{}
+	if v.holder != e || !v.held() || !v.demand.FitsIn(x.free()) {
+		return messenger.Resources{}
 	}
 	return v.demand
 }
@@ -220,7 +220,7 @@
 // complete.
 func (x *Executor) readyUnreported(e *entry) bool {
 	v := &x.reservation
-	return v.held() && v.holder == e && v.demand.Fits(x.free()) && !v.demand.Fits(e.told)
+	return v.held() && v.holder == e && v.demand.FitsIn(x.free()) && !v.demand.FitsIn(e.told)
 }
 
 // reservedFor returns the number of the reservation that is kept for an entry.
@@ -237,22 +237,22 @@
 	if !v.held() || !now.Before(v.due) {
 		return messenger.Backfill{}
 	}
-	return messenger.Backfill{Room: x.Kept(), For: v.due.Sub(now)}
+	return messenger.Backfill{Resources: x.Kept(), Window: v.due.Sub(now)}
 }
 
 // mayStart reports whether a waiting run may start in room, which is all that is
 // free.
-func (x *Executor) mayStart(r *run, room messenger.Demand, now time.Time) bool {
+func (x *Executor) mayStart(r *run, room messenger.Resources, now time.Time) bool {
 	v := &x.reservation
 	if !v.held() {
-		return r.Demand.Fits(room)
+		return r.Demand.FitsIn(room)
 	}
-	return r.Demand.Fits(v.beside(room)) || (r.Demand.Fits(room) && v.endsBefore(r, now))
+	return r.Demand.FitsIn(v.beside(room)) || (r.Demand.FitsIn(room) && v.endsBefore(r, now))
 }
 
 // beside returns what is left of free room without that which is kept.
-func (v *reservation) beside(room messenger.Demand) messenger.Demand {
-	return room.Minus(v.demand.Least(room).NonNegative())
+func (v *reservation) beside(room messenger.Resources) messenger.Resources {
+	return room.Minus(v.demand.Min(room).NonNegative())
 }
 
 // endsBefore reports whether a run that starts now is expected to end before the
@@ -262,9 +262,9 @@
 }
 
 // noteBackfill notes a run that starts in room that is kept.
-func (x *Executor) noteBackfill(r *run, room messenger.Demand, now time.Time) {
+func (x *Executor) noteBackfill(r *run, room messenger.Resources, now time.Time) {
 	v := &x.reservation
-	if v.held() && !r.Demand.Fits(v.beside(room)) {
+	if v.held() && !r.Demand.FitsIn(v.beside(room)) {
 		x.emit(Note{
 			Run: r.Run, Owner: r.owner, Worker: x.upstream.ID, What: "run backfilled",
 			Why: "ends before the kept room is complete", Age: v.due.Sub(now),
--- a/executor/reservation_test.go
+++ b/executor/reservation_test.go
@@ -44,7 +44,7 @@
 		switch m := e.(type) {
 		case executor.Tell:
 			k.last[m.Entry] = m.Report
-			k.stamp = m.Report.Stamp
+			k.stamp = m.Report.Timestamp
 		case executor.Look:
 			k.lastLook = m.Number
 		case executor.Start:
@@ -61,10 +61,10 @@
 // "o" each time.
 func (k *keeper) pass(d time.Duration) {
 	k.clock.Advance(d)
-	want := messenger.Want{}.With(messenger.Demand{CPU: small})
-	k.x.Beat("e", messenger.Beat{Stamp: k.stamp, Echo: k.stamp})
-	k.x.Beat("o", messenger.Beat{Stamp: k.stamp, Echo: k.stamp})
-	k.x.Beat("o", messenger.Beat{Stamp: k.stamp, Echo: k.stamp, Want: want})
+	want := messenger.Backlog{}.With(messenger.Resources{CPU: small})
+	k.x.Beat("e", messenger.Heartbeat{Timestamp: k.stamp, Echo: k.stamp})
+	k.x.Beat("o", messenger.Heartbeat{Timestamp: k.stamp, Echo: k.stamp})
+	k.x.Beat("o", messenger.Heartbeat{Timestamp: k.stamp, Echo: k.stamp, Backlog: want})
 	k.x.Tick()
 	k.take()
 }
@@ -74,8 +74,8 @@
 	k.runs++
 	r := messenger.Run{Task: fmt.Sprintf("j%d.0.0.0", k.runs), Number: 1}
 	k.x.Place(owner, messenger.Place{
-		Number: uint64(k.runs), Job: "j", Service: "quotes", Patience: 12 * time.Millisecond, Echo: k.stamp,
-		Tasks: []messenger.Task{{Run: r, Demand: messenger.Demand{CPU: cpu}, Estimate: estimate}},
+		Number: uint64(k.runs), Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: k.stamp,
+		Tasks: []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: cpu}, Estimate: estimate}},
 	})
 	k.take()
 	return r
@@ -96,7 +96,7 @@
 	ended := make([]executor.Ended, len(runs))
 	for i, r := range runs {
 		k.placed++
-		ended[i] = executor.Ended{Number: int64(k.placed), End: messenger.End{Run: r, How: messenger.Done}}
+		ended[i] = executor.Ended{Number: int64(k.placed), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}}
 		k.going = slices.DeleteFunc(k.going, func(o messenger.Run) bool { return o == r })
 	}
 	var running []messenger.Progress
@@ -108,7 +108,7 @@
 }
 
 func (k *keeper) reserve(owner string, number uint64, span time.Duration) {
-	k.x.Reserve(owner, messenger.Reserve{Number: number, Demand: messenger.Demand{CPU: large}, For: span})
+	k.x.Reserve(owner, messenger.Reserve{Number: number, Demand: messenger.Resources{CPU: large}, TTL: span})
 	k.take()
 }
 
@@ -124,8 +124,8 @@
 	runs := k.fill(8, 100*time.Millisecond)
 	k.reserve("e", 1, time.Second)
 	k.pass(20 * time.Millisecond)
-	require.EqualValues(t, 1, k.last["e"].Reserved)
-	require.Zero(t, k.last["o"].Reserved)
+	require.EqualValues(t, 1, k.last["e"].ReservationNumber)
+	require.Zero(t, k.last["o"].ReservationNumber)
 	for n := range 3 {
 		k.end(runs[n])
 		k.pass(20 * time.Millisecond)
@@ -136,14 +136,14 @@
 	k.end(runs[3])
 	require.Equal(t, large, k.last["e"].Free.CPU, "told at once")
 	k.end(runs[4])
-	k.pass(messenger.BeatInterval)
+	k.pass(messenger.HeartbeatInterval)
 	require.Equal(t, small, k.last["o"].Free.CPU, "the rest is open to all")
 	require.Equal(t, large+small, k.last["e"].Free.CPU)
 	require.True(t, k.started(k.placeFor("e", large, time.Second)))
 	require.Zero(t, k.x.Kept())
 	require.Contains(t, k.notes, "reservation ended")
 	k.pass(20 * time.Millisecond)
-	require.Zero(t, k.last["e"].Reserved)
+	require.Zero(t, k.last["e"].ReservationNumber)
 }
 
 // TestRunsStartInKeptRoomOnlyIfTheyEndBeforeItIsComplete guards against kept room
@@ -153,7 +153,7 @@
 	k.fill(6, 100*time.Millisecond)
 	k.reserve("e", 1, time.Second)
 	k.pass(20 * time.Millisecond)
-	require.Equal(t, messenger.Backfill{Room: messenger.Demand{CPU: 2 * small}, For: 80 * time.Millisecond}, k.last["o"].Backfill)
+	require.Equal(t, messenger.Backfill{Resources: messenger.Resources{CPU: 2 * small}, Window: 80 * time.Millisecond}, k.last["o"].Backfill)
 	require.False(t, k.started(k.placeFor("o", small, 81*time.Millisecond)), "ends too late")
 	require.False(t, k.started(k.placeFor("e", small, 81*time.Millisecond)), "another task of the holder's")
 	require.True(t, k.started(k.placeFor("o", small, 80*time.Millisecond)))
@@ -170,14 +170,14 @@
 	k.reserve("e", 1, time.Second)
 	k.reserve("o", 7, time.Second)
 	k.pass(20 * time.Millisecond)
-	require.EqualValues(t, 1, k.last["e"].Reserved)
-	require.Zero(t, k.last["o"].Reserved)
+	require.EqualValues(t, 1, k.last["e"].ReservationNumber)
+	require.Zero(t, k.last["o"].ReservationNumber)
 	k.reserve("o", 7, 0)
 	require.NotZero(t, k.x.Kept(), "only the holder may end it")
 	k.reserve("e", 1, 0)
 	k.reserve("o", 8, time.Second)
 	k.pass(20 * time.Millisecond)
-	require.EqualValues(t, 8, k.last["o"].Reserved)
+	require.EqualValues(t, 8, k.last["o"].ReservationNumber)
 }
 
 // TestReservationThatCannotBeOfUseIsNotKept guards against room that stands idle
@@ -186,12 +186,12 @@
 	tests := map[string]func(k *keeper){
 		"complete too late": func(k *keeper) { k.reserve("e", 1, 50*time.Millisecond) },
 		"larger than the worker": func(k *keeper) {
-			k.x.Reserve("e", messenger.Reserve{Number: 1, Demand: messenger.Demand{CPU: 8001}, For: time.Second})
+			k.x.Reserve("e", messenger.Reserve{Number: 1, Demand: messenger.Resources{CPU: 8001}, TTL: time.Second})
 		},
 		"unknown entry": func(k *keeper) { k.reserve("stranger", 1, time.Second) },
 		"agent leaves":  func(k *keeper) { k.x.SetLeaving(); k.reserve("e", 1, time.Second) },
 		"evacuated": func(k *keeper) {
-			k.x.Beat("o", messenger.Beat{Stamp: 1, Echo: k.stamp, Revision: 3, Evacuated: []string{"dc"}})
+			k.x.Beat("o", messenger.Heartbeat{Timestamp: 1, Echo: k.stamp, Revision: 3, Evacuated: []string{"dc"}})
 			k.reserve("e", 1, time.Second)
 		},
 		"worker leaves": func(k *keeper) {
@@ -226,8 +226,8 @@
 		"entry restarted":       func(k *keeper) { k.x.Hello(messenger.Hello{Entry: "e", Incarnation: 2}) },
 		"entry silent": func(k *keeper) {
 			for range 5 {
-				k.clock.Advance(messenger.SilenceLimit / 4)
-				k.x.Beat("o", messenger.Beat{Stamp: 1, Echo: k.stamp})
+				k.clock.Advance(messenger.IdleTimeout / 4)
+				k.x.Beat("o", messenger.Heartbeat{Timestamp: 1, Echo: k.stamp})
 				k.x.Tick()
 				k.take()
 			}
@@ -251,7 +251,7 @@
 		},
 		"worker left": func(k *keeper) { k.x.ClearUpstream("w") },
 		"evacuated": func(k *keeper) {
-			k.x.Beat("o", messenger.Beat{Stamp: 1, Echo: k.stamp, Revision: 3, Evacuated: []string{"dc"}})
+			k.x.Beat("o", messenger.Heartbeat{Timestamp: 1, Echo: k.stamp, Revision: 3, Evacuated: []string{"dc"}})
 		},
 		"agent leaves": func(k *keeper) { k.x.SetLeaving() },
 		"placement":    func(k *keeper) { k.placeFor("e", large, time.Second) },
@@ -309,12 +309,12 @@
 	k.fill(8, 100*time.Millisecond)
 	k.reserve("e", 1, time.Second)
 	k.pass(10 * time.Millisecond)
-	want := messenger.Want{}.With(messenger.Demand{CPU: small})
+	want := messenger.Backlog{}.With(messenger.Resources{CPU: small})
 	for range 3 {
-		require.EqualValues(t, 1, k.last["e"].Reserved)
+		require.EqualValues(t, 1, k.last["e"].ReservationNumber)
 		k.clock.Advance(20 * time.Millisecond)
-		k.x.Beat("o", messenger.Beat{Stamp: k.stamp, Echo: k.stamp, Want: want})
-		k.x.Beat("e", messenger.Beat{Stamp: k.stamp, Echo: k.stamp})
+		k.x.Beat("o", messenger.Heartbeat{Timestamp: k.stamp, Echo: k.stamp, Backlog: want})
+		k.x.Beat("e", messenger.Heartbeat{Timestamp: k.stamp, Echo: k.stamp})
 		k.x.Tick()
 		k.take()
 	}
@@ -327,12 +327,12 @@
 // has to wait for its turn, and against others that are told of its room.
 func TestScarceRoomBesideAReservationIsSharedInTurns(t *testing.T) {
 	k := newKeeper(t)
-	want := messenger.Want{Tasks: 20, Sum: messenger.Demand{CPU: 20 * small}, Least: messenger.Demand{CPU: small}}
+	want := messenger.Backlog{Tasks: 20, Total: messenger.Resources{CPU: 20 * small}, Min: messenger.Resources{CPU: small}}
 	runs := k.fill(8, 100*time.Millisecond)
 	k.reserve("e", 1, time.Second)
 	k.others("p")
 	for _, name := range []string{"o", "p"} {
-		k.x.Beat(name, messenger.Beat{Stamp: 1, Echo: k.stamp, Want: want})
+		k.x.Beat(name, messenger.Heartbeat{Timestamp: 1, Echo: k.stamp, Backlog: want})
 	}
 	k.end(runs[:5]...)
 	require.Equal(t, large, k.last["e"].Free.CPU)
--- a/executor/run.go
+++ b/executor/run.go
@@ -90,25 +90,25 @@
 }
 
 // settle notes the end of a run.
-func (x *Executor) settle(r *run, how messenger.How) {
+func (x *Executor) settle(r *run, how messenger.EndReason) {
 	x.remove(r)
 	x.noteEvidence(r, how)
-	end := messenger.End{Run: r.Run, How: how}
+	end := messenger.RunEnd{Run: r.Run, Reason: how}
 	if r.owner == "" {
-		x.unclaimed[r.Run] = unclaimedEnd{End: end, at: x.clock.Now()}
+		x.unclaimed[r.Run] = unclaimedEnd{RunEnd: end, at: x.clock.Now()}
 	}
 	x.keep(r.owner, outcome{end: end})
 	for _, c := range r.joined {
-		x.keep(c.entry, outcome{end: messenger.End{Run: c.run, How: how}})
+		x.keep(c.entry, outcome{end: messenger.RunEnd{Run: c.run, Reason: how}})
 	}
-	if how != messenger.Done {
+	if how != messenger.RunDone {
 		// The entry's line on the job covers runs that end well.
 		x.emit(Note{Run: r.Run, Owner: r.owner, Worker: r.worker, What: "run ended", Why: string(how), Age: x.clock.Since(r.sentAt)})
 	}
 }
 
 // refuse notes that a run has not started and will not start.
-func (x *Executor) refuse(r *run, why messenger.Reason) {
+func (x *Executor) refuse(r *run, why messenger.RefusalReason) {
 	x.remove(r)
 	x.refused(r.owner, r.Run, why)
 	for _, c := range r.joined {
@@ -123,16 +123,16 @@
 		r.joined = slices.DeleteFunc(r.joined, func(c claimant) bool { return c.entry == owner && c.run == id })
 	}
 	if e := x.entries[owner]; e != nil && x.settled && !e.outcomes.holds(id) {
-		x.refused(owner, id, messenger.Overtaken)
+		x.refused(owner, id, messenger.RefusedWithdrawn)
 	}
 }
 
-func (x *Executor) refused(owner string, r messenger.Run, why messenger.Reason) {
+func (x *Executor) refused(owner string, r messenger.Run, why messenger.RefusalReason) {
 	x.keep(owner, outcome{refused: messenger.Refusal{Run: r, Reason: why}})
 	x.emit(Note{Run: r, Owner: owner, What: "run refused", Why: string(why)})
 }
 
-func (x *Executor) refuseWaiting(why messenger.Reason) {
+func (x *Executor) refuseWaiting(why messenger.RefusalReason) {
 	for _, r := range slices.Clone(x.waiting) {
 		x.refuse(r, why)
 	}
@@ -145,7 +145,7 @@
 func (x *Executor) lapseAt(worker string) {
 	for _, r := range x.runsThat(func(r *run) bool { return r.phase != waiting && r.worker == worker }) {
 		x.emit(Note{Run: r.Run, Owner: r.owner, Worker: worker, What: "run lost", Why: "another worker answers at its address"})
-		x.settle(r, messenger.Lapsed)
+		x.settle(r, messenger.RunLapsed)
 	}
 }
 
@@ -192,7 +192,7 @@
 		return (r.phase == detached && now.After(r.over)) || (r.here() && now.After(renewed))
 	}
 	for _, r := range x.runsThat(over) {
-		x.settle(r, messenger.Lapsed)
+		x.settle(r, messenger.RunLapsed)
 	}
 }
 
--- a/executor/speed_test.go
+++ b/executor/speed_test.go
@@ -52,7 +52,7 @@
 	const step = 10 * time.Millisecond
 	for passed := time.Duration(0); passed < span; passed += step {
 		b.clock.Advance(min(step, span-passed))
-		b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp})
+		b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 		b.x.Tick()
 		b.drain()
 		b.hear()
@@ -75,15 +75,15 @@
 	b.placed++
 	r := messenger.Run{Task: fmt.Sprintf("%s.0.0.%d", job, b.placed), Number: 1}
 	b.x.Place("e", messenger.Place{
-		Number: b.placed, Job: job, Service: "quotes", Patience: time.Second, Echo: b.stamp,
-		Tasks: []messenger.Task{{Run: r, Demand: messenger.Demand{CPU: 1000}, Estimate: time.Duration(estimate * float64(work))}},
+		Number: b.placed, Job: job, Service: "quotes", MaxWait: time.Second, Echo: b.stamp,
+		Tasks: []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: 1000}, Estimate: time.Duration(estimate * float64(work))}},
 	})
 	b.drain()
 	b.x.Started(r, b.starts[0].Token, executor.Accepted)
 	b.drain()
 	b.wait(time.Duration(float64(work)/speed), messenger.Progress{Run: r})
 	b.ends++
-	b.answer(executor.Ended{Number: b.ends, End: messenger.End{Run: r, How: messenger.Done}})
+	b.answer(executor.Ended{Number: b.ends, RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}})
 }
 
 // TestSpeedIsKnownDespiteTheErrorOfEstimates guards against a speed that follows the
@@ -95,7 +95,7 @@
 			for range 30 {
 				b.job(speed)
 			}
-			b.wait(messenger.BeatInterval)
+			b.wait(messenger.HeartbeatInterval)
 			require.InEpsilon(t, speed, b.speed, 0.2, "seed %d", seed)
 			require.GreaterOrEqual(t, b.weight, 8)
 		}
@@ -111,7 +111,7 @@
 		b.run(job, 1, 1)
 		b.run(job, 1.0/7, 1)
 	}
-	b.wait(messenger.BeatInterval)
+	b.wait(messenger.HeartbeatInterval)
 	require.InEpsilon(t, 1, b.speed, 0.1)
 	require.LessOrEqual(t, b.weight, 12, "tasks of one job are one sample")
 }
@@ -146,7 +146,7 @@
 	b.ends = 0
 	b.x.SetUpstream(upstream(2))
 	b.drain()
-	b.wait(2 * messenger.BeatInterval)
+	b.wait(2 * messenger.HeartbeatInterval)
 	require.InDelta(t, 1, b.speed, 0)
 	require.Zero(t, b.weight)
 }
@@ -170,8 +170,8 @@
 	b.x.Started(run1, b.starts[0].Token, executor.Accepted)
 	b.drain()
 	b.clock.Advance(300 * time.Millisecond)
-	b.answer(executor.Ended{Number: 1, End: messenger.End{Run: run1, How: messenger.Done}})
-	b.wait(2 * messenger.BeatInterval)
+	b.answer(executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+	b.wait(2 * messenger.HeartbeatInterval)
 	require.Zero(t, b.speed)
 }
 
@@ -187,9 +187,9 @@
 		b.x.Started(r, b.starts[0].Token, executor.Accepted)
 		b.drain()
 		b.clock.Advance(10 * time.Millisecond)
-		b.x.Beat("e", messenger.Beat{Stamp: 1, Echo: b.stamp})
+		b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 		b.drain()
-		b.x.Looked(executor.Seen{Number: b.lastLook, Born: 1, Ended: []executor.Ended{{Number: int64(i + 1), End: messenger.End{Run: r, How: messenger.Done}}}})
+		b.x.Looked(executor.Seen{Number: b.lastLook, Born: 1, Ended: []executor.Ended{{Number: int64(i + 1), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}}}})
 		b.drain()
 		for _, tell := range b.tells {
 			all++
@@ -198,7 +198,7 @@
 			}
 		}
 	}
-	beats := int(b.clock.Since(began)/(messenger.BeatInterval/2)) + 2
+	beats := int(b.clock.Since(began)/(messenger.HeartbeatInterval/2)) + 2
 	require.LessOrEqual(t, told, beats)
 	require.Greater(t, all, 2*told)
 }
--- a/executor/start.go
+++ b/executor/start.go
@@ -44,7 +44,7 @@
 	now := x.clock.Now()
 	e.placedAt = now
 	stale := x.stamp()-p.Echo > placeAge
-	x.wants(e, p.Want)
+	x.wants(e, p.Backlog)
 	x.reacted(e, p.Echo)
 	taken := 0
 	for _, t := range p.Tasks {
@@ -53,14 +53,14 @@
 			continue
 		}
 		if end, ok := x.unclaimed[t.Run]; ok {
-			e.outcomes.note(outcome{end: end.End})
+			e.outcomes.note(outcome{end: end.RunEnd})
 			continue
 		}
 		if why, ok := x.takes(t, p, stale); !ok {
 			x.refused(owner, t.Run, why)
 			continue
 		}
-		r := &run{Task: t, owner: owner, job: p.Job, spec: p.Spec, phase: waiting, expires: now.Add(p.Patience)}
+		r := &run{Task: t, owner: owner, job: p.Job, spec: p.Spec, phase: waiting, expires: now.Add(p.MaxWait)}
 		x.add(r)
 		x.queueUp(r)
 		taken++
@@ -70,7 +70,7 @@
 	x.pump()
 	if len(x.waiting) > 0 {
 		// The entry can use the time if it hears of the refusal when it is due.
-		x.emit(Wake{After: p.Patience + time.Millisecond})
+		x.emit(Wake{After: p.MaxWait + time.Millisecond})
 	}
 }
 
@@ -99,20 +99,20 @@
 }
 
 // takes reports whether a new run may wait here, and if not, why.
-func (x *Executor) takes(t messenger.Task, p messenger.Place, stale bool) (messenger.Reason, bool) {
+func (x *Executor) takes(t messenger.Task, p messenger.Place, stale bool) (messenger.RefusalReason, bool) {
 	switch {
 	case stale:
-		return messenger.Overtaken, false
+		return messenger.RefusedWithdrawn, false
 	case x.leaving:
-		return messenger.Leaving, false
+		return messenger.RefusedLeaving, false
 	case x.evacuated:
-		return messenger.Evacuated, false
+		return messenger.RefusedEvacuated, false
 	case x.departed || x.upstream.Born == 0 || x.upstream.Service != p.Service:
-		return messenger.NoWorker, false
+		return messenger.RefusedNoWorker, false
 	case x.upstream.Draining && !x.endsBeforeLeave(t):
-		return messenger.Leaving, false
-	case !t.Demand.Fits(x.upstream.Capacity):
-		return messenger.NoRoom, false
+		return messenger.RefusedLeaving, false
+	case !t.Demand.FitsIn(x.upstream.Capacity):
+		return messenger.RefusedNoRoom, false
 	}
 	return "", true
 }
@@ -204,16 +204,16 @@
 	case Late:
 		x.again(r)
 	case Old:
-		x.refuse(r, messenger.Superseded)
+		x.refuse(r, messenger.RefusedSuperseded)
 	case Full:
-		x.refuse(r, messenger.NoRoom)
+		x.refuse(r, messenger.RefusedNoRoom)
 	case Rejected:
-		x.refuse(r, messenger.Unhealthy)
+		x.refuse(r, messenger.RefusedUnhealthy)
 	case OtherWorker:
-		x.refuse(r, messenger.NoWorker)
+		x.refuse(r, messenger.RefusedNoWorker)
 	case NotSent:
 		x.look.unanswered++
-		x.refuse(r, messenger.Unhealthy)
+		x.refuse(r, messenger.RefusedUnhealthy)
 	case Unanswered:
 		x.doubt(r)
 	}
@@ -282,9 +282,9 @@
 	x.dropSilent(now)
 	switch {
 	case r.dropped:
-		x.refuse(r, messenger.Overtaken)
+		x.refuse(r, messenger.RefusedWithdrawn)
 	case r.tries >= startTries || x.overdue(now):
-		x.refuse(r, messenger.Unhealthy)
+		x.refuse(r, messenger.RefusedUnhealthy)
 	default:
 		x.start(r)
 	}
@@ -315,7 +315,7 @@
 func (x *Executor) drop(r *run) {
 	switch r.phase {
 	case waiting:
-		x.refuse(r, messenger.Overtaken)
+		x.refuse(r, messenger.RefusedWithdrawn)
 	case starting, doubtful, detached:
 		r.dropped = true
 	case running:
@@ -342,7 +342,7 @@
 func (x *Executor) expireWaiting(now time.Time) {
 	for _, r := range slices.Clone(x.waiting) {
 		if now.After(r.expires) {
-			x.refuse(r, messenger.NoRoom)
+			x.refuse(r, messenger.RefusedNoRoom)
 		}
 	}
 }
--- a/executor/turn.go
+++ b/executor/turn.go
@@ -40,7 +40,7 @@
 }
 
 // wants notes what waits at an entry.
-func (x *Executor) wants(e *entry, w messenger.Want) {
+func (x *Executor) wants(e *entry, w messenger.Backlog) {
 	if e.want.Tasks == 0 && w.Tasks > 0 {
 		e.changed = true
 		e.wantsSince = x.clock.Now()
@@ -64,7 +64,7 @@
 // nextTurn ends a turn that is over and gives the next one.
 func (x *Executor) nextTurn(now time.Time) {
 	t := &x.turns
-	backfill := x.backfill(now).Room
+	backfill := x.backfill(now).Resources
 	room := x.sharedRoom().Plus(backfill)
 	t.contended = x.contended(room, now)
 	if !t.contended {
@@ -82,7 +82,7 @@
 	default:
 		// It has not used what it was told of: it wants nothing until it says so. Its
 		// tasks may still wait for other workers, so that it needs the forecast.
-		t.holder.want = messenger.Want{Ahead: t.holder.want.Ahead}
+		t.holder.want = messenger.Backlog{WantsForecast: t.holder.want.WantsForecast}
 	}
 	t.holder = nil
 	for _, e := range x.order {
@@ -126,21 +126,21 @@
 
 // contended reports whether several entries have tasks that wait, and more than
 // there is room for.
-func (x *Executor) contended(room messenger.Demand, now time.Time) bool {
+func (x *Executor) contended(room messenger.Resources, now time.Time) bool {
 	n := 0
-	var sum messenger.Demand
+	var sum messenger.Resources
 	for _, e := range x.order {
 		if x.wanting(e, now) {
 			n++
-			sum = sum.Plus(e.want.Sum)
+			sum = sum.Plus(e.want.Total)
 		}
 	}
-	return n > 1 && !sum.Fits(room)
+	return n > 1 && !sum.FitsIn(room)
 }
 
 // canUse reports whether an entry has a task that fits the room.
-func (x *Executor) canUse(e *entry, room messenger.Demand, now time.Time) bool {
-	return x.wanting(e, now) && e.want.Least.Fits(room)
+func (x *Executor) canUse(e *entry, room messenger.Resources, now time.Time) bool {
+	return x.wanting(e, now) && e.want.Min.FitsIn(room)
 }
 
 // wanting reports whether an entry that is in touch has tasks that wait.
@@ -152,7 +152,7 @@
 func (x *Executor) passOver(e *entry) { e.share += 1 / float64(max(e.want.Tasks, 1)) }
 
 // offer returns the room that an entry is told of.
-func (x *Executor) offer(e *entry) messenger.Demand {
+func (x *Executor) offer(e *entry) messenger.Resources {
 	reserved := x.reservedRoom(e)
 	if x.awaitsTurn(e) {
 		return reserved
@@ -166,7 +166,7 @@
 // offerChanged reports whether an entry was last told of other room than it is
 // offered now.
 func (x *Executor) offerChanged(e *entry, now time.Time) bool {
-	return x.offer(e) != e.told || x.backfillFor(e, now).Room != e.toldBackfill
+	return x.offer(e) != e.told || x.backfillFor(e, now).Resources != e.toldBackfill
 }
 
 // backfillFor returns the room for tasks that end soon that an entry is told of.
--- a/executor/turn_test.go
+++ b/executor/turn_test.go
@@ -19,7 +19,7 @@
 	// core.
 	told map[string]int
 	// ahead is the forecast in the last report to each entry.
-	ahead map[string][]messenger.Demand
+	ahead map[string][]messenger.Resources
 	runs  int
 	// ended counts the runs that the worker has ended, and look is the number of
 	// its last look.
@@ -33,7 +33,7 @@
 )
 
 func newCrowd(t *testing.T, entries int) *crowd {
-	c := &crowd{bench: newBench(t), told: make(map[string]int), ahead: make(map[string][]messenger.Demand), look: 1}
+	c := &crowd{bench: newBench(t), told: make(map[string]int), ahead: make(map[string][]messenger.Resources), look: 1}
 	c.x.Closed("e")
 	for i := range entries {
 		name := fmt.Sprintf("entry-%d", i)
@@ -50,8 +50,8 @@
 		switch m := e.(type) {
 		case executor.Tell:
 			c.told[m.Entry] = m.Report.Free.CPU
-			c.ahead[m.Entry] = m.Report.Ahead
-			c.stamp = m.Report.Stamp
+			c.ahead[m.Entry] = m.Report.Forecast
+			c.stamp = m.Report.Timestamp
 		case executor.Look:
 			c.look = m.Number
 		case executor.Start:
@@ -62,7 +62,7 @@
 
 // want tells the agent what waits at an entry.
 func (c *crowd) want(name string, tasks int) {
-	c.x.Beat(name, messenger.Beat{Stamp: 1, Want: waits(tasks)})
+	c.x.Beat(name, messenger.Heartbeat{Timestamp: 1, Backlog: waits(tasks)})
 	c.take()
 }
 
@@ -71,16 +71,16 @@
 	c.runs++
 	r := taskRun(c.runs)
 	c.x.Place(name, messenger.Place{
-		Number: uint64(c.runs), Job: "j", Service: "quotes", Patience: 12 * time.Millisecond, Echo: c.stamp,
-		Tasks: []messenger.Task{{Run: r, Demand: messenger.Demand{CPU: taskCPU}, Estimate: time.Second}},
-		Want:  waits(waiting),
+		Number: uint64(c.runs), Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: c.stamp,
+		Tasks:   []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: taskCPU}, Estimate: time.Second}},
+		Backlog: waits(waiting),
 	})
 	c.take()
 }
 
 // waits returns what tells of tasks that wait.
-func waits(tasks int) messenger.Want {
-	return messenger.Want{Tasks: tasks, Sum: messenger.Demand{CPU: tasks * taskCPU}, Least: messenger.Demand{CPU: taskCPU}}
+func waits(tasks int) messenger.Backlog {
+	return messenger.Backlog{Tasks: tasks, Total: messenger.Resources{CPU: tasks * taskCPU}, Min: messenger.Resources{CPU: taskCPU}}
 }
 
 func taskRun(i int) messenger.Run {
@@ -182,7 +182,7 @@
 	}
 	c.ended++
 	seen := executor.Seen{Number: c.look, Born: 1, Ended: []executor.Ended{
-		{Number: c.ended, End: messenger.End{Run: taskRun(int(c.ended)), How: messenger.Done}},
+		{Number: c.ended, RunEnd: messenger.RunEnd{Run: taskRun(int(c.ended)), Reason: messenger.RunDone}},
 	}}
 	for i := int(c.ended) + 1; i <= c.runs; i++ {
 		seen.Running = append(seen.Running, messenger.Progress{Run: taskRun(i)})
@@ -196,17 +196,17 @@
 func TestUnusedTurnKeepsTheRequestForTheForecast(t *testing.T) {
 	c := newCrowd(t, 2)
 	c.x.Place("entry-0", messenger.Place{
-		Number: 1, Job: "j", Service: "quotes", Patience: 12 * time.Millisecond, Echo: c.stamp,
-		Tasks: []messenger.Task{{Run: taskRun(1), Demand: messenger.Demand{CPU: taskCPU}, Estimate: 200 * time.Millisecond}},
+		Number: 1, Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: c.stamp,
+		Tasks: []messenger.Task{{Run: taskRun(1), Demand: messenger.Resources{CPU: taskCPU}, Estimate: 200 * time.Millisecond}},
 	})
 	c.take()
 	want := waits(15)
-	want.Ahead = true
+	want.WantsForecast = true
 	for _, name := range c.names {
-		c.x.Beat(name, messenger.Beat{Stamp: 1, Want: want})
+		c.x.Beat(name, messenger.Heartbeat{Timestamp: 1, Backlog: want})
 	}
 	c.take()
-	for at := time.Duration(0); at <= messenger.BeatInterval; at += 5 * time.Millisecond {
+	for at := time.Duration(0); at <= messenger.HeartbeatInterval; at += 5 * time.Millisecond {
 		c.pass(5 * time.Millisecond)
 	}
 	for _, name := range c.names {
--- a/executor/upstream.go
+++ b/executor/upstream.go
@@ -31,7 +31,7 @@
 	switch {
 	case u.Draining:
 		x.endReservation("worker leaves")
-	case x.reservation.held() && !x.reservation.demand.Fits(u.Capacity):
+	case x.reservation.held() && !x.reservation.demand.FitsIn(u.Capacity):
 		x.endReservation("larger than the worker")
 	}
 	x.look.notBefore = time.Time{}
@@ -47,14 +47,14 @@
 	}
 	x.departed = true
 	x.endReservation("worker left")
-	x.refuseWaiting(messenger.NoWorker)
+	x.refuseWaiting(messenger.RefusedNoWorker)
 	x.upstreamChanged()
 	x.nextLook()
 }
 
 // withoutWorker refuses what waits until another worker is known.
 func (x *Executor) withoutWorker() {
-	x.refuseWaiting(messenger.NoWorker)
+	x.refuseWaiting(messenger.RefusedNoWorker)
 	x.upstream = messenger.Upstream{ID: x.upstream.ID}
 	x.departed = false
 	x.forgetWorker()
--- a/messenger/link.go
+++ b/messenger/link.go
@@ -19,14 +19,14 @@
 	// dialTimeout bounds the opening of a link. A machine without power leaves
 	// it unanswered; the farthest one answers within 50 ms.
 	dialTimeout = 120 * time.Millisecond
-	// messageLimit bounds one message, in bytes.
-	messageLimit = 1 << 20
+	// maxMessageBytes bounds one message, in bytes.
+	maxMessageBytes = 1 << 20
 )
 
-// types are the message types; the index of a type is its number on the wire.
-var types = []reflect.Type{
+// messageTypes are the message types; the index of a type is its number on the wire.
+var messageTypes = []reflect.Type{
 	reflect.TypeFor[Hello](),
-	reflect.TypeFor[Beat](),
+	reflect.TypeFor[Heartbeat](),
 	reflect.TypeFor[Place](),
 	reflect.TypeFor[Withdraw](),
 	reflect.TypeFor[Report](),
@@ -45,12 +45,12 @@
 // Link is one connection between an entry and an agent. It carries messages in
 // CBOR, each after its type and length; all that is queued goes out in one
 // write. It delivers in order and at most once. When it breaks, or stays silent
-// for longer than SilenceLimit, it closes for good, and what was not delivered
+// for longer than IdleTimeout, it closes for good, and what was not delivered
 // is dropped.
 type Link struct {
 	*courier.Sender
-	socket courier.LimitedConn
-	h      Handler
+	conn    courier.LimitedConn
+	handler Handler
 }
 
 // NewLink starts a link over socket. The link closes socket in the end.
@@ -60,9 +60,9 @@
 		_ = tcp.SetLinger(0)
 	}
 	l := &Link{
-		Sender: courier.NewSender(func() { _ = socket.Close() }),
-		socket: courier.LimitedConn{Conn: socket, Limit: SilenceLimit},
-		h:      h,
+		Sender:  courier.NewSender(func() { _ = socket.Close() }),
+		conn:    courier.LimitedConn{Conn: socket, Limit: IdleTimeout},
+		handler: h,
 	}
 	go l.write()
 	go l.read()
@@ -94,29 +94,29 @@
 				return
 			}
 		}
-		if _, err := l.socket.Write(batch); err != nil {
+		if _, err := l.conn.Write(batch); err != nil {
 			return
 		}
 	}
 }
 
 func (l *Link) read() {
-	defer l.h.Closed(l)
+	defer l.handler.Closed(l)
 	defer l.Close()
-	in := bufio.NewReader(l.socket)
+	in := bufio.NewReader(l.conn)
 	for {
 		msg, err := readMessage(in)
 		if err != nil {
 			return
 		}
-		l.h.Receive(l, msg)
+		l.handler.Receive(l, msg)
 	}
 }
 
 // appendMessage appends msg as it goes over the wire.
 func appendMessage(out []byte, msg any) ([]byte, error) {
 	number := -1
-	for i, t := range types {
+	for i, t := range messageTypes {
 		if t == reflect.TypeOf(msg) {
 			number = i
 		}
@@ -143,16 +143,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if int(number) >= len(types) || size > messageLimit {
+	if int(number) >= len(messageTypes) || size > maxMessageBytes {
 		return nil, errors.Errorf("message of type %d and %d bytes", number, size)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(in, body); err != nil {
 		return nil, err
 	}
-	msg := reflect.New(types[number]).Interface()
+	msg := reflect.New(messageTypes[number]).Interface()
 	if err := cbor.Unmarshal(body, msg); err != nil {
-		return nil, errors.Wrapf(err, "decode %s", types[number].Name())
+		return nil, errors.Wrapf(err, "decode %s", messageTypes[number].Name())
 	}
 	return msg, nil
 }
--- a/messenger/link_test.go
+++ b/messenger/link_test.go
@@ -43,30 +43,30 @@
 
 func TestMessagesArriveWholeAndInOrder(t *testing.T) {
 	a, b, ha, hb := pair(t)
-	up := messenger.Upstream{ID: "w", Born: 17, Service: "s", DataCentre: "d", Labels: []string{"x"}, Capacity: messenger.Demand{CPU: 1, Memory: 2, GPU: 3}, Draining: true, Remaining: time.Second}
+	up := messenger.Upstream{ID: "w", Born: 17, Service: "s", DataCentre: "d", Labels: []string{"x"}, Capacity: messenger.Resources{CPU: 1, Memory: 2, GPU: 3}, Draining: true, Remaining: time.Second}
 	run := messenger.Run{Task: "j.0.0.1", Number: 2}
 	down := []any{
 		messenger.Hello{Entry: "e", Incarnation: 3, Upstream: up},
-		messenger.Place{Number: 1, Job: "j", Spec: "spec", Service: "s", Patience: time.Millisecond, Echo: 5, Tasks: []messenger.Task{{Run: run, Demand: messenger.Demand{CPU: 3100}, Estimate: time.Second}}},
+		messenger.Place{Number: 1, Job: "j", Spec: "spec", Service: "s", MaxWait: time.Millisecond, Echo: 5, Tasks: []messenger.Task{{Run: run, Demand: messenger.Resources{CPU: 3100}, Estimate: time.Second}}},
 		messenger.Withdraw{Runs: []messenger.Run{run}},
-		messenger.Reserve{Number: 4, Demand: messenger.Demand{CPU: 16_000}, For: time.Second},
-		messenger.Beat{Stamp: 7, Echo: 8, Held: messenger.Held{Jobs: []string{"j"}, Waits: []string{"k"}, Over: []string{"l"}}},
+		messenger.Reserve{Number: 4, Demand: messenger.Resources{CPU: 16_000}, TTL: time.Second},
+		messenger.Heartbeat{Timestamp: 7, Echo: 8, HeldJobs: messenger.HeldJobs{Running: []string{"j"}, Yielding: []string{"k"}, Finished: []string{"l"}}},
 	}
 	for _, m := range down {
 		a.Send(m)
 	}
 	back := messenger.Report{
-		Agent: "a", DataCentre: "d", Incarnation: 1, Stamp: 2, Echo: 3, Seen: 4, Upstream: &up, Free: messenger.Demand{CPU: -5}, Unanswered: 6, FailedJobs: 7,
-		Pace: 0.5, PacedJobs: 3, Entries: 2, Leaving: true, Complete: true,
-		Ahead: []messenger.Demand{{}, {CPU: 1}}, Reserved: 4,
-		Backfill: messenger.Backfill{Room: messenger.Demand{CPU: 2}, For: time.Millisecond},
+		Agent: "a", DataCentre: "d", Incarnation: 1, Timestamp: 2, Echo: 3, AckedPlace: 4, Upstream: &up, Free: messenger.Resources{CPU: -5}, UnansweredCalls: 6, ConsecutiveFailedJobs: 7,
+		Pace: 0.5, PaceJobs: 3, ConnectedEntries: 2, Leaving: true, RunsComplete: true,
+		Forecast: []messenger.Resources{{}, {CPU: 1}}, ReservationNumber: 4,
+		Backfill: messenger.Backfill{Resources: messenger.Resources{CPU: 2}, Window: time.Millisecond},
 		Runs:     []messenger.Progress{{Run: run, Percent: 41, Age: time.Second}},
-		Ended:    []messenger.End{{Run: run, How: messenger.Done}},
-		Refused:  []messenger.Refusal{{Run: run, Reason: messenger.NoRoom}},
-		Held:     &messenger.Held{Jobs: []string{"j"}, Waits: []string{"k"}, Over: []string{"l"}},
+		Ended:    []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}},
+		Refused:  []messenger.Refusal{{Run: run, Reason: messenger.RefusedNoRoom}},
+		HeldJobs: &messenger.HeldJobs{Running: []string{"j"}, Yielding: []string{"k"}, Finished: []string{"l"}},
 	}
 	b.Send(back)
-	none := messenger.Report{Agent: "a", Held: &messenger.Held{}}
+	none := messenger.Report{Agent: "a", HeldJobs: &messenger.HeldJobs{}}
 	b.Send(none)
 	require.Equal(t, &back, <-ha.got)
 	require.Equal(t, &none, <-ha.got)
@@ -74,7 +74,7 @@
 	require.Equal(t, down[1], *(<-hb.got).(*messenger.Place))
 	require.Equal(t, down[2], *(<-hb.got).(*messenger.Withdraw))
 	require.Equal(t, down[3], *(<-hb.got).(*messenger.Reserve))
-	require.Equal(t, down[4], *(<-hb.got).(*messenger.Beat))
+	require.Equal(t, down[4], *(<-hb.got).(*messenger.Heartbeat))
 }
 
 func TestLinkClosesForBothWhenOneCloses(t *testing.T) {
@@ -89,12 +89,12 @@
 	_, _, ha, _ := pair(t)
 	select {
 	case <-ha.closed:
-	case <-time.After(20 * messenger.SilenceLimit):
+	case <-time.After(20 * messenger.IdleTimeout):
 		t.Fatal("a silent link stays open")
 	}
 }
 
-func TestWhatIsNoMessageClosesTheLink(t *testing.T) {
+func TestInvalidMessageClosesTheLink(t *testing.T) {
 	for name, raw := range map[string][]byte{
 		"unknown type": {99, 1, 0},
 		"too long":     {1, 0xff, 0xff, 0xff, 0xff, 0x0f},
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -6,16 +6,16 @@
 import "time"
 
 const (
-	// BeatInterval is the time between two heartbeats on a link.
-	BeatInterval = 120 * time.Millisecond
-	// SilenceLimit ends a link on which nothing arrived for so long.
-	SilenceLimit = 400 * time.Millisecond
-	// HeldFor is how long agents tell of the jobs in an entry's last heartbeat.
-	HeldFor = 1290 * time.Millisecond
+	// HeartbeatInterval is the time between two heartbeats on a link.
+	HeartbeatInterval = 120 * time.Millisecond
+	// IdleTimeout ends a link on which nothing arrived for so long.
+	IdleTimeout = 400 * time.Millisecond
+	// HeldJobsTTL is how long agents tell of the jobs in an entry's last heartbeat.
+	HeldJobsTTL = 1290 * time.Millisecond
 )
 
-// Demand is an amount of a worker's resources.
-type Demand struct {
+// Resources is an amount of a worker's resources.
+type Resources struct {
 	// CPU is in thousandths of a core.
 	CPU int `cbor:"1,keyasint,omitempty"`
 	// Memory is in megabytes.
@@ -25,33 +25,33 @@
 }
 
 // Plus returns the sum of d and o.
-func (d Demand) Plus(o Demand) Demand {
-	return Demand{CPU: d.CPU + o.CPU, Memory: d.Memory + o.Memory, GPU: d.GPU + o.GPU}
+func (d Resources) Plus(o Resources) Resources {
+	return Resources{CPU: d.CPU + o.CPU, Memory: d.Memory + o.Memory, GPU: d.GPU + o.GPU}
 }
 
 // Minus returns d less o.
-func (d Demand) Minus(o Demand) Demand {
-	return Demand{CPU: d.CPU - o.CPU, Memory: d.Memory - o.Memory, GPU: d.GPU - o.GPU}
+func (d Resources) Minus(o Resources) Resources {
+	return Resources{CPU: d.CPU - o.CPU, Memory: d.Memory - o.Memory, GPU: d.GPU - o.GPU}
 }
 
-// Least returns the smaller of d and o in each respect.
-func (d Demand) Least(o Demand) Demand {
-	return Demand{CPU: min(d.CPU, o.CPU), Memory: min(d.Memory, o.Memory), GPU: min(d.GPU, o.GPU)}
+// Min returns the smaller of d and o in each respect.
+func (d Resources) Min(o Resources) Resources {
+	return Resources{CPU: min(d.CPU, o.CPU), Memory: min(d.Memory, o.Memory), GPU: min(d.GPU, o.GPU)}
 }
 
-// Most returns the larger of d and o in each respect.
-func (d Demand) Most(o Demand) Demand {
-	return Demand{CPU: max(d.CPU, o.CPU), Memory: max(d.Memory, o.Memory), GPU: max(d.GPU, o.GPU)}
+// Max returns the larger of d and o in each respect.
+func (d Resources) Max(o Resources) Resources {
+	return Resources{CPU: max(d.CPU, o.CPU), Memory: max(d.Memory, o.Memory), GPU: max(d.GPU, o.GPU)}
 }
 
 // NonNegative returns d with 0 in place of what is below it.
-func (d Demand) NonNegative() Demand { return d.Most(Demand{}) }
+func (d Resources) NonNegative() Resources { return d.Max(Resources{}) }
 
 // IsZero reports whether d takes nothing.
-func (d Demand) IsZero() bool { return d == Demand{} }
+func (d Resources) IsZero() bool { return d == Resources{} }
 
-// Fits reports whether d can be taken out of room.
-func (d Demand) Fits(room Demand) bool {
+// FitsIn reports whether d can be taken out of room.
+func (d Resources) FitsIn(room Resources) bool {
 	return d.CPU <= room.CPU && d.Memory <= room.Memory && d.GPU <= room.GPU
 }
 
@@ -71,63 +71,63 @@
 	Upstream Upstream `cbor:"3,keyasint,omitempty"`
 }
 
-// Beat is an entry's heartbeat. Stamp is by the sender's clock; Echo is the
+// Heartbeat is an entry's heartbeat. Stamp is by the sender's clock; Echo is the
 // last Stamp of the receiver's that has arrived. Echo tells the receiver how
 // old the last of its words is that got through.
-type Beat struct {
-	Stamp time.Duration `cbor:"1,keyasint,omitempty"`
-	Echo  time.Duration `cbor:"2,keyasint,omitempty"`
+type Heartbeat struct {
+	Timestamp time.Duration `cbor:"1,keyasint,omitempty"`
+	Echo      time.Duration `cbor:"2,keyasint,omitempty"`
 	// Revision is that of the operators' directives as the entry knows them,
 	// and Evacuated lists the data centres in which nothing is to start. The
 	// agent goes by the highest Revision that it hears, so that an entry that
 	// the store cannot reach starts nothing there either.
 	Revision  int64    `cbor:"3,keyasint,omitempty"`
 	Evacuated []string `cbor:"4,keyasint,omitempty"`
-	Want      Want     `cbor:"5,keyasint,omitempty"`
-	// Heard is the Outcomes of the last Report on the link. The agent drops
+	Backlog   Backlog  `cbor:"5,keyasint,omitempty"`
+	// AckedOutcome is the Outcomes of the last Report on the link. The agent drops
 	// those outcomes.
-	Heard uint64 `cbor:"6,keyasint,omitempty"`
-	// Held are the jobs that other entries have to know of.
-	Held Held `cbor:"7,keyasint,omitempty"`
+	AckedOutcome uint64 `cbor:"6,keyasint,omitempty"`
+	// HeldJobs are the jobs that other entries have to know of.
+	HeldJobs HeldJobs `cbor:"7,keyasint,omitempty"`
 }
 
-// Held are jobs that an entry holds and that their callers might soon send to
+// HeldJobs are jobs that an entry holds and that their callers might soon send to
 // another one, or have sent.
-type Held struct {
-	// Jobs go on at the entry.
-	Jobs []string `cbor:"1,keyasint,omitempty"`
-	// Waits lists jobs that wait since another entry holds them.
-	Waits []string `cbor:"2,keyasint,omitempty"`
-	// Over lists jobs that are over and whose runs may go on.
-	Over []string `cbor:"3,keyasint,omitempty"`
+type HeldJobs struct {
+	// Running go on at the entry.
+	Running []string `cbor:"1,keyasint,omitempty"`
+	// Yielding lists jobs that wait since another entry holds them.
+	Yielding []string `cbor:"2,keyasint,omitempty"`
+	// Finished lists jobs that are over and whose runs may go on.
+	Finished []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Want is what waits at an entry for room. Agents share scarce room out by it.
-type Want struct {
+// Backlog is what waits at an entry for room. Agents share scarce room out by it.
+type Backlog struct {
 	// Tasks is how many tasks wait, and Sum what they take together.
-	Tasks int    `cbor:"1,keyasint,omitempty"`
-	Sum   Demand `cbor:"2,keyasint,omitempty"`
-	// Least is the room without which none of them can start.
-	Least Demand `cbor:"3,keyasint,omitempty"`
-	// Ahead asks for Report.Ahead.
-	Ahead bool `cbor:"4,keyasint,omitempty"`
+	Tasks int       `cbor:"1,keyasint,omitempty"`
+	Total Resources `cbor:"2,keyasint,omitempty"`
+	// Min is the room without which none of them can start.
+	Min Resources `cbor:"3,keyasint,omitempty"`
+	// WantsForecast asks for Report.Ahead.
+	WantsForecast bool `cbor:"4,keyasint,omitempty"`
 }
 
 // With returns w with one more task.
-func (w Want) With(d Demand) Want {
+func (w Backlog) With(d Resources) Backlog {
 	if w.Tasks == 0 {
-		return Want{Tasks: 1, Sum: d, Least: d, Ahead: w.Ahead}
+		return Backlog{Tasks: 1, Total: d, Min: d, WantsForecast: w.WantsForecast}
 	}
-	return Want{Tasks: w.Tasks + 1, Sum: w.Sum.Plus(d), Least: w.Least.Least(d), Ahead: w.Ahead}
+	return Backlog{Tasks: w.Tasks + 1, Total: w.Total.Plus(d), Min: w.Min.Min(d), WantsForecast: w.WantsForecast}
 }
 
 // Without returns w less some of its tasks, which take sum together. Least may
 // be too low from then on.
-func (w Want) Without(tasks int, sum Demand) Want {
+func (w Backlog) Without(tasks int, sum Resources) Backlog {
 	if tasks >= w.Tasks {
-		return Want{}
+		return Backlog{}
 	}
-	return Want{Tasks: w.Tasks - tasks, Sum: w.Sum.Minus(sum), Least: w.Least, Ahead: w.Ahead}
+	return Backlog{Tasks: w.Tasks - tasks, Total: w.Total.Minus(sum), Min: w.Min, WantsForecast: w.WantsForecast}
 }
 
 // Place asks an agent to run tasks of one step.
@@ -139,19 +139,19 @@
 	// Service is what the upstream has to serve.
 	Service string `cbor:"4,keyasint,omitempty"`
 	Tasks   []Task `cbor:"5,keyasint,omitempty"`
-	// Patience is how long a task may wait for room before it is refused.
-	Patience time.Duration `cbor:"6,keyasint,omitempty"`
+	// MaxWait is how long a task may wait for room before it is refused.
+	MaxWait time.Duration `cbor:"6,keyasint,omitempty"`
 	// Echo is the agent's last Stamp that the entry has seen. An agent that
 	// has been paused tells by it that the message is old.
 	Echo time.Duration `cbor:"7,keyasint,omitempty"`
-	// Want is what still waits after this.
-	Want Want `cbor:"8,keyasint,omitempty"`
+	// Backlog is what still waits after this.
+	Backlog Backlog `cbor:"8,keyasint,omitempty"`
 }
 
 // Task is one run to start.
 type Task struct {
 	Run    `cbor:"1,keyasint"`
-	Demand Demand `cbor:"2,keyasint,omitempty"`
+	Demand Resources `cbor:"2,keyasint,omitempty"`
 	// Estimate is about how long the task takes on a sound worker.
 	Estimate time.Duration `cbor:"3,keyasint,omitempty"`
 }
@@ -165,17 +165,17 @@
 // keeps one reservation at a time; nothing is started for it.
 type Reserve struct {
 	// Number counts the Reserve messages of a link.
-	Number uint64 `cbor:"1,keyasint,omitempty"`
-	Demand Demand `cbor:"2,keyasint,omitempty"`
-	// For is how long the room is kept at most. Zero ends the reservation.
-	For time.Duration `cbor:"3,keyasint,omitempty"`
+	Number uint64    `cbor:"1,keyasint,omitempty"`
+	Demand Resources `cbor:"2,keyasint,omitempty"`
+	// TTL is how long the room is kept at most. Zero ends the reservation.
+	TTL time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 // Backfill is room that an agent keeps for a large task and that is not complete
 // yet. Tasks that end within For may use it meanwhile.
 type Backfill struct {
-	Room Demand        `cbor:"1,keyasint,omitempty"`
-	For  time.Duration `cbor:"2,keyasint,omitempty"`
+	Resources Resources     `cbor:"1,keyasint,omitempty"`
+	Window    time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
 // Upstream describes the worker beside an agent.
@@ -183,57 +183,57 @@
 	ID string `cbor:"1,keyasint,omitempty"`
 	// Born is when this incarnation started, in Unix milliseconds. Zero means
 	// that no upstream is known.
-	Born       int64    `cbor:"2,keyasint,omitempty"`
-	Service    string   `cbor:"3,keyasint,omitempty"`
-	DataCentre string   `cbor:"4,keyasint,omitempty"`
-	Labels     []string `cbor:"5,keyasint,omitempty"`
-	Capacity   Demand   `cbor:"6,keyasint,omitempty"`
+	Born       int64     `cbor:"2,keyasint,omitempty"`
+	Service    string    `cbor:"3,keyasint,omitempty"`
+	DataCentre string    `cbor:"4,keyasint,omitempty"`
+	Labels     []string  `cbor:"5,keyasint,omitempty"`
+	Capacity   Resources `cbor:"6,keyasint,omitempty"`
 	// Draining means that the upstream is about to leave.
 	Draining bool `cbor:"7,keyasint,omitempty"`
 	// Remaining is the least time until it does.
 	Remaining time.Duration `cbor:"8,keyasint,omitempty"`
 }
 
-// How says how a run ended.
-type How string
+// EndReason says how a run ended.
+type EndReason string
 
 // The ends of runs.
 const (
-	Done   How = "Done"
-	Failed How = "Failed"
-	// Stopped runs were ended by an order.
-	Stopped How = "Stopped"
-	// Lapsed runs were ended since their lease ran out or their worker died.
-	Lapsed How = "Lapsed"
+	RunDone   EndReason = "Done"
+	RunFailed EndReason = "Failed"
+	// RunStopped runs were ended by an order.
+	RunStopped EndReason = "Stopped"
+	// RunLapsed runs were ended since their lease ran out or their worker died.
+	RunLapsed EndReason = "Lapsed"
 )
 
-// End is the end of a run.
-type End struct {
-	Run `cbor:"1,keyasint"`
-	How How `cbor:"2,keyasint,omitempty"`
+// RunEnd is the end of a run.
+type RunEnd struct {
+	Run    `cbor:"1,keyasint"`
+	Reason EndReason `cbor:"2,keyasint,omitempty"`
 }
 
-// Reason says why a run was not started.
-type Reason string
+// RefusalReason says why a run was not started.
+type RefusalReason string
 
 // The reasons.
 const (
-	NoRoom    Reason = "NoRoom"
-	Leaving   Reason = "Leaving"
-	NoWorker  Reason = "NoWorker"
-	Unhealthy Reason = "Unhealthy"
-	// Superseded means that the worker has seen this run number or a higher one.
-	Superseded Reason = "Superseded"
-	// Evacuated means that nothing is to start in the data centre.
-	Evacuated Reason = "Evacuated"
-	// Overtaken means that the run was withdrawn before it started.
-	Overtaken Reason = "Overtaken"
+	RefusedNoRoom    RefusalReason = "NoRoom"
+	RefusedLeaving   RefusalReason = "Leaving"
+	RefusedNoWorker  RefusalReason = "NoWorker"
+	RefusedUnhealthy RefusalReason = "Unhealthy"
+	// RefusedSuperseded means that the worker has seen this run number or a higher one.
+	RefusedSuperseded RefusalReason = "Superseded"
+	// RefusedEvacuated means that nothing is to start in the data centre.
+	RefusedEvacuated RefusalReason = "Evacuated"
+	// RefusedWithdrawn means that the run was withdrawn before it started.
+	RefusedWithdrawn RefusalReason = "Overtaken"
 )
 
 // Refusal tells that a run has not started and will not start.
 type Refusal struct {
 	Run    `cbor:"1,keyasint"`
-	Reason Reason `cbor:"2,keyasint,omitempty"`
+	Reason RefusalReason `cbor:"2,keyasint,omitempty"`
 }
 
 // Progress is how far a run has come.
@@ -254,55 +254,55 @@
 	DataCentre string `cbor:"2,keyasint,omitempty"`
 	// Incarnation is later for a later start of the agent.
 	Incarnation int64         `cbor:"3,keyasint,omitempty"`
-	Stamp       time.Duration `cbor:"4,keyasint,omitempty"`
+	Timestamp   time.Duration `cbor:"4,keyasint,omitempty"`
 	Echo        time.Duration `cbor:"5,keyasint,omitempty"`
-	// Seen is the number of the last Place that has been taken in.
-	Seen uint64 `cbor:"6,keyasint,omitempty"`
+	// AckedPlace is the number of the last Place that has been taken in.
+	AckedPlace uint64 `cbor:"6,keyasint,omitempty"`
 	// Upstream is the worker; nil means as in the last report on the link.
 	Upstream *Upstream `cbor:"7,keyasint,omitempty"`
 	// Free is the room that no run holds or waits for.
-	Free Demand `cbor:"8,keyasint,omitempty"`
-	// Unanswered counts the calls to the worker that got no answer since one
+	Free Resources `cbor:"8,keyasint,omitempty"`
+	// UnansweredCalls counts the calls to the worker that got no answer since one
 	// got an answer.
-	Unanswered int `cbor:"9,keyasint,omitempty"`
-	// FailedJobs counts the jobs in a row that had a failed run.
-	FailedJobs int `cbor:"10,keyasint,omitempty"`
-	// Pace is the median, over the last PacedJobs jobs, of work done over work
+	UnansweredCalls int `cbor:"9,keyasint,omitempty"`
+	// ConsecutiveFailedJobs counts the jobs in a row that had a failed run.
+	ConsecutiveFailedJobs int `cbor:"10,keyasint,omitempty"`
+	// Pace is the median, over the last PaceJobs jobs, of work done over work
 	// expected. A sound worker has about 1.
-	Pace      float64 `cbor:"11,keyasint,omitempty"`
-	PacedJobs int     `cbor:"12,keyasint,omitempty"`
-	// Entries counts the entries that are in touch with the agent.
-	Entries int `cbor:"13,keyasint,omitempty"`
+	Pace     float64 `cbor:"11,keyasint,omitempty"`
+	PaceJobs int     `cbor:"12,keyasint,omitempty"`
+	// ConnectedEntries counts the entries that are in touch with the agent.
+	ConnectedEntries int `cbor:"13,keyasint,omitempty"`
 	// Leaving means that the agent is stopping.
 	Leaving bool `cbor:"14,keyasint,omitempty"`
-	// Complete means that Runs lists every run of the entry's at the agent.
-	Complete bool       `cbor:"15,keyasint,omitempty"`
-	Runs     []Progress `cbor:"16,keyasint,omitempty"`
-	Ended    []End      `cbor:"17,keyasint,omitempty"`
-	Refused  []Refusal  `cbor:"18,keyasint,omitempty"`
-	// Outcomes is the number of the last of all ends and refusals that the
+	// RunsComplete means that Runs lists every run of the entry's at the agent.
+	RunsComplete bool       `cbor:"15,keyasint,omitempty"`
+	Runs         []Progress `cbor:"16,keyasint,omitempty"`
+	Ended        []RunEnd   `cbor:"17,keyasint,omitempty"`
+	Refused      []Refusal  `cbor:"18,keyasint,omitempty"`
+	// LastOutcome is the number of the last of all ends and refusals that the
 	// agent has told the entry of, on this link or an earlier one.
-	Outcomes uint64 `cbor:"19,keyasint,omitempty"`
-	// Held are the jobs of the other entries, as of their last heartbeats; nil
+	LastOutcome uint64 `cbor:"19,keyasint,omitempty"`
+	// HeldJobs are the jobs of the other entries, as of their last heartbeats; nil
 	// means as in the last report on the link.
-	Held *Held `cbor:"20,keyasint,omitempty"`
+	HeldJobs *HeldJobs `cbor:"20,keyasint,omitempty"`
 	// Speed is estimated over taken time of the runs that have ended lately, and
 	// SpeedJobs the weight behind it in jobs. Unlike Pace it covers seconds. A
 	// Speed of zero means both as in the last report on the link.
 	Speed     float64 `cbor:"21,keyasint,omitempty"`
 	SpeedJobs int     `cbor:"22,keyasint,omitempty"`
-	// Ahead is the room, beside Free, that is expected to have fallen free after
-	// each of AheadSpans. It is told while the entry asks for it.
-	Ahead []Demand `cbor:"23,keyasint,omitempty"`
-	// Reserved is the number of the entry's Reserve that the agent keeps; zero
+	// Forecast is the room, beside Free, that is expected to have fallen free after
+	// each of ForecastHorizons. It is told while the entry asks for it.
+	Forecast []Resources `cbor:"23,keyasint,omitempty"`
+	// ReservationNumber is the number of the entry's Reserve that the agent keeps; zero
 	// means none.
-	Reserved uint64 `cbor:"24,keyasint,omitempty"`
+	ReservationNumber uint64 `cbor:"24,keyasint,omitempty"`
 	// Backfill is room beside Free that only tasks which end soon may use.
 	Backfill Backfill `cbor:"30,keyasint,omitempty"`
 }
 
-// AheadSpans are the times that the items of Report.Ahead stand for.
-var AheadSpans = [...]time.Duration{
+// ForecastHorizons are the times that the items of Report.Ahead stand for.
+var ForecastHorizons = [...]time.Duration{
 	25 * time.Millisecond,
 	50 * time.Millisecond,
 	100 * time.Millisecond,
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -64,7 +64,7 @@
 		for _, a := range s.byName {
 			if a.upstream.Born != 0 && a.upstream.Service == j.Queue.Service {
 				known = true
-				fits = fits || (step.Demand.Fits(a.upstream.Capacity) && a.suits(step))
+				fits = fits || (step.Demand.FitsIn(a.upstream.Capacity) && a.suits(step))
 			}
 		}
 		if known && !fits {
@@ -98,7 +98,7 @@
 	var cores float64
 	for _, a := range s.byName {
 		if a.open && now.Sub(a.reportedAt) <= reportAge && a.sound(now) {
-			cores += float64(a.upstream.Capacity.CPU) / 1000 / float64(max(a.report.Entries, 1))
+			cores += float64(a.upstream.Capacity.CPU) / 1000 / float64(max(a.report.ConnectedEntries, 1))
 		}
 	}
 	return cores
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -41,7 +41,7 @@
 			b.clock.Advance(tick)
 			if rapid.Bool().Draw(rt, "room") {
 				r := report("a", seen)
-				room = messenger.Demand{CPU: 3100 * rapid.IntRange(0, 4).Draw(rt, "slots"), Memory: 64_000}
+				room = messenger.Resources{CPU: 3100 * rapid.IntRange(0, 4).Draw(rt, "slots"), Memory: 64_000}
 				r.Free = room
 				b.s.Report(r)
 				told = b.clock.Now()
@@ -57,10 +57,10 @@
 				j := scheduler.Job{
 					ID: id, Queue: q, Spec: "spec",
 					Deadline: b.clock.Now().Add(rapid.SampledFrom([]time.Duration{1500 * time.Millisecond, k.work}).Draw(rt, "deadline")),
-					Steps:    []scheduler.Step{{Count: k.tasks, Demand: messenger.Demand{CPU: k.cpu}, Estimate: k.work}},
+					Steps:    []scheduler.Step{{Count: k.tasks, Demand: messenger.Resources{CPU: k.cpu}, Estimate: k.work}},
 				}
 				arrived[id], at[id] = j, b.clock.Now()
-				fits := j.Steps[0].Demand.Fits(room) && b.clock.Since(told) <= inTouch
+				fits := j.Steps[0].Demand.FitsIn(room) && b.clock.Since(told) <= inTouch
 				ticket := uint64(1 + 10*n + i)
 				b.s.Submit(ticket, j)
 				room, seen = b.taken(room, seen)
@@ -75,7 +75,7 @@
 
 // taken takes the effects in and returns the room that is left after what was placed,
 // and the number of the last placement.
-func (b *bench) taken(room messenger.Demand, seen uint64) (messenger.Demand, uint64) {
+func (b *bench) taken(room messenger.Resources, seen uint64) (messenger.Resources, uint64) {
 	for _, m := range b.drain() {
 		p, ok := m.(messenger.Place)
 		if !ok {
--- a/scheduler/agent.go
+++ b/scheduler/agent.go
@@ -66,7 +66,7 @@
 // pending is what a Place holds that the agent has not reported on.
 type pending struct {
 	number uint64
-	demand messenger.Demand
+	demand messenger.Resources
 }
 
 // Idle reports whether no run of the entry's depends on the link to an agent.
@@ -78,7 +78,7 @@
 func (a *agent) idle() bool { return len(a.tasks) == 0 && len(a.withdrawn) == 0 }
 
 // free returns the room that can be counted on.
-func (a *agent) free() messenger.Demand {
+func (a *agent) free() messenger.Resources {
 	d := a.report.Free
 	for _, p := range a.pending {
 		d = d.Minus(p.demand)
@@ -88,7 +88,7 @@
 
 // covered drops the placements that the report takes into account.
 func (a *agent) covered() {
-	a.pending = slices.DeleteFunc(a.pending, func(p pending) bool { return p.number <= a.report.Seen })
+	a.pending = slices.DeleteFunc(a.pending, func(p pending) bool { return p.number <= a.report.AckedPlace })
 }
 
 // serves reports whether tasks of a queue may be placed here at all.
@@ -107,7 +107,7 @@
 
 // sound reports whether the worker is trusted with tasks now.
 func (a *agent) sound(now time.Time) bool {
-	return a.report.Unanswered == 0 && a.health.usable(now)
+	return a.report.UnansweredCalls == 0 && a.health.usable(now)
 }
 
 // suits reports whether a step may run on the worker.
--- a/scheduler/choose_test.go
+++ b/scheduler/choose_test.go
@@ -32,9 +32,9 @@
 		name := fmt.Sprintf("agent-%02d", i)
 		s.Opened(name)
 		r := messenger.Report{
-			Agent: name, DataCentre: fmt.Sprintf("dc-%d", i%3), Complete: true, Incarnation: 1,
-			Free:     messenger.Demand{CPU: 6000 + 1000*(i%26), Memory: 64_000},
-			Upstream: &messenger.Upstream{ID: name, Born: 1, Service: "quotes", Capacity: messenger.Demand{CPU: 32_000, Memory: 64_000}},
+			Agent: name, DataCentre: fmt.Sprintf("dc-%d", i%3), RunsComplete: true, Incarnation: 1,
+			Free:     messenger.Resources{CPU: 6000 + 1000*(i%26), Memory: 64_000},
+			Upstream: &messenger.Upstream{ID: name, Born: 1, Service: "quotes", Capacity: messenger.Resources{CPU: 32_000, Memory: 64_000}},
 		}
 		if uneven {
 			r.Speed, r.SpeedJobs = 0.83, 12
@@ -49,7 +49,7 @@
 	now := clock.Now()
 	j := newJob(Job{
 		ID: "0000000000000001", Queue: q, Deadline: now.Add(time.Second),
-		Steps: []Step{{Count: 4, Demand: messenger.Demand{CPU: 2900}, Estimate: 200 * time.Millisecond}},
+		Steps: []Step{{Count: 4, Demand: messenger.Resources{CPU: 2900}, Estimate: 200 * time.Millisecond}},
 	}, 1, now, record{})
 	b.ResetTimer()
 	for b.Loop() {
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -28,7 +28,7 @@
 	Open     bool
 	ReportMS int64
 	Upstream messenger.Upstream
-	Free     messenger.Demand
+	Free     messenger.Resources
 	Tasks    int
 	Ejected  bool
 	Pace     float64
@@ -62,7 +62,7 @@
 			Ejected:  a.health.ejected,
 			Pace:     a.report.Pace,
 			Speed:    a.speed.relative,
-			Failed:   a.report.FailedJobs,
+			Failed:   a.report.ConsecutiveFailedJobs,
 		})
 	}
 	return d
--- a/scheduler/fit.go
+++ b/scheduler/fit.go
@@ -34,7 +34,7 @@
 	var bestFit fit
 	timing := s.timingOf(j, step, todo, now)
 	for _, a := range agents {
-		if !j.Steps[step].Demand.Fits(a.roomFor(j, step, now)) {
+		if !j.Steps[step].Demand.FitsIn(a.roomFor(j, step, now)) {
 			continue
 		}
 		if !a.serves(j.Queue, s.config, now, s.woke) || !a.sound(now) || !a.suits(j.Steps[step]) {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -88,9 +88,9 @@
 		return
 	}
 	switch {
-	case a.report.FailedJobs >= ejectAfter:
+	case a.report.ConsecutiveFailedJobs >= ejectAfter:
 		s.eject(a, "fails what it starts")
-	case a.report.PacedJobs >= paceJobs && a.report.Pace < slowShare && a.report.Pace < slowShare*s.usualPace():
+	case a.report.PaceJobs >= paceJobs && a.report.Pace < slowShare && a.report.Pace < slowShare*s.usualPace():
 		// The usual pace is 1 at most, and costs a look at all workers.
 		s.eject(a, "slow")
 	}
@@ -100,7 +100,7 @@
 func (s *Scheduler) usualPace() float64 {
 	var list []float64
 	for _, a := range s.byName {
-		if a.open && a.report.PacedJobs >= paceJobs {
+		if a.open && a.report.PaceJobs >= paceJobs {
 			list = append(list, a.report.Pace)
 		}
 	}
--- a/scheduler/held.go
+++ b/scheduler/held.go
@@ -21,9 +21,9 @@
 	holdAfter = 500 * time.Millisecond
 	knownBy   = 1200 * time.Millisecond
 	// echoMost is the greatest age of the last heartbeat known to have arrived
-	// for the others still to know of the jobs in it. The rest of HeldFor is for
+	// for the others still to know of the jobs in it. The rest of HeldJobsTTL is for
 	// a tick, the word to withdraw runs, their stop and the way of both.
-	echoMost = messenger.HeldFor - 290*time.Millisecond
+	echoMost = messenger.HeldJobsTTL - 290*time.Millisecond
 	// readUpTime is how long after a pause no job is given up for it: its end may
 	// be among what has still to be read.
 	readUpTime = 50 * time.Millisecond
@@ -43,29 +43,29 @@
 }
 
 // Held returns the jobs that other entries have to know of, for a heartbeat.
-func (s *Scheduler) Held() messenger.Held {
+func (s *Scheduler) Held() messenger.HeldJobs {
 	now := s.clock.Now()
-	var h messenger.Held
+	var h messenger.HeldJobs
 	for _, j := range s.jobs {
 		switch {
 		case s.yielding[j.ID] == j:
-			h.Waits = append(h.Waits, j.ID)
+			h.Yielding = append(h.Yielding, j.ID)
 		case now.Sub(j.hold.since) >= holdAfter:
 			if j.hold.toldAt.IsZero() {
 				j.hold.toldAt = now
 			}
-			h.Jobs = append(h.Jobs, j.ID)
+			h.Running = append(h.Running, j.ID)
 		}
 	}
 	for id := range s.remains {
 		r := s.records[id]
 		if s.jobs[id] == nil && (r.named || now.Sub(r.made) >= holdAfter) {
-			h.Over = append(h.Over, id)
+			h.Finished = append(h.Finished, id)
 		}
 	}
-	slices.Sort(h.Jobs)
-	slices.Sort(h.Waits)
-	slices.Sort(h.Over)
+	slices.Sort(h.Running)
+	slices.Sort(h.Yielding)
+	slices.Sort(h.Finished)
 	return h
 }
 
@@ -89,12 +89,12 @@
 			s.echoed = a.echoed
 		}
 	}
-	if r.Held != nil {
+	if r.HeldJobs != nil {
 		a.keepHeld(r.Incarnation, now)
-		a.held = heldIn(*r.Held)
+		a.held = heldIn(*r.HeldJobs)
 	}
 	a.heldAt = now
-	if r.Held != nil {
+	if r.HeldJobs != nil {
 		s.resume()
 	}
 }
@@ -107,27 +107,27 @@
 		return
 	}
 	a.heldBy = incarnation
-	if now.Sub(a.heldAt) > messenger.HeldFor {
+	if now.Sub(a.heldAt) > messenger.HeldJobsTTL {
 		return
 	}
 	if a.heldBefore == nil {
 		a.heldBefore = make(map[string]time.Time)
 	}
 	for id := range a.held {
-		a.heldBefore[id] = now.Add(messenger.HeldFor)
+		a.heldBefore[id] = now.Add(messenger.HeldJobsTTL)
 	}
 }
 
 // heldIn returns how other entries hold the jobs that an agent tells of.
-func heldIn(h messenger.Held) map[string]holding {
-	held := make(map[string]holding, len(h.Jobs)+len(h.Waits)+len(h.Over))
-	for _, id := range h.Over {
+func heldIn(h messenger.HeldJobs) map[string]holding {
+	held := make(map[string]holding, len(h.Running)+len(h.Yielding)+len(h.Finished))
+	for _, id := range h.Finished {
 		held[id] = heldOver
 	}
-	for _, id := range h.Waits {
+	for _, id := range h.Yielding {
 		held[id] = heldWaits
 	}
-	for _, id := range h.Jobs {
+	for _, id := range h.Running {
 		held[id] = heldBegun
 	}
 	return held
@@ -160,7 +160,7 @@
 func (s *Scheduler) heldAs(id string, now time.Time) holding {
 	how := heldNot
 	for _, a := range s.byName {
-		if now.Sub(a.heldAt) <= messenger.HeldFor {
+		if now.Sub(a.heldAt) <= messenger.HeldJobsTTL {
 			how = max(how, a.held[id])
 		}
 		if now.Before(a.heldBefore[id]) {
--- a/scheduler/held_test.go
+++ b/scheduler/held_test.go
@@ -15,14 +15,14 @@
 // heldBy returns an agent's word that other entries hold jobs.
 func heldBy(agent string, jobs ...string) messenger.Report {
 	r := report(agent, 0)
-	r.Held = &messenger.Held{Jobs: jobs}
+	r.HeldJobs = &messenger.HeldJobs{Running: jobs}
 	return r
 }
 
 // waitingBy returns an agent's word that jobs wait at other entries.
 func waitingBy(agent string, jobs ...string) messenger.Report {
 	r := report(agent, 0)
-	r.Held = &messenger.Held{Waits: jobs}
+	r.HeldJobs = &messenger.HeldJobs{Yielding: jobs}
 	return r
 }
 
@@ -34,7 +34,7 @@
 		{"until it holds it no longer", func(b *bench) { b.s.Report(heldBy("a")) }},
 		{"until the agent that said so has been silent for long", func(b *bench) {
 			b.s.Closed("a")
-			b.clock.Advance(messenger.HeldFor)
+			b.clock.Advance(messenger.HeldJobsTTL)
 			b.s.Report(report("b", 0))
 			b.s.Tick()
 			require.Empty(b.t, b.drain())
@@ -49,7 +49,7 @@
 				b.s.Report(r)
 			}
 			require.Empty(b.t, b.drain(), "it has not heard of the job yet")
-			b.clock.Advance(messenger.HeldFor)
+			b.clock.Advance(messenger.HeldJobsTTL)
 			b.s.Report(report("b", 0))
 			b.s.Tick()
 		}},
@@ -110,7 +110,7 @@
 	b.s.Leave(1)
 	require.Contains(t, b.beat("a", 2), jobID, "its run may go on")
 	r := report("a", 2)
-	r.Ended = []messenger.End{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, How: messenger.Stopped}}
+	r.Ended = []messenger.RunEnd{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Reason: messenger.RunStopped}}
 	b.s.Report(r)
 	require.NotContains(t, b.beat("a", 2), jobID)
 }
@@ -153,7 +153,7 @@
 		b.beat("a", 1)
 	}
 	r := waitingBy("a", jobID)
-	r.Ended = []messenger.End{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, How: messenger.Done}}
+	r.Ended = []messenger.RunEnd{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Reason: messenger.RunDone}}
 	b.s.Report(r)
 	b.drain()
 	require.Equal(t, scheduler.Complete, b.replies[1].Outcome)
@@ -175,7 +175,7 @@
 			b.s.Submit(1, b.lasting())
 			r := heldBy("a", jobID)
 			if tt.over {
-				r.Held = &messenger.Held{Over: []string{jobID}}
+				r.HeldJobs = &messenger.HeldJobs{Finished: []string{jobID}}
 			}
 			b.s.Report(r)
 			for range 13 {
@@ -197,7 +197,7 @@
 	b.open("b")
 	b.s.Report(waitingBy("b", jobID))
 	b.s.Closed("b")
-	b.clock.Advance(messenger.HeldFor + time.Millisecond)
+	b.clock.Advance(messenger.HeldJobsTTL + time.Millisecond)
 	b.s.Report(report("a", 0))
 	b.s.Submit(1, b.lasting())
 	for range 20 {
@@ -214,7 +214,7 @@
 	b.open("a")
 	b.s.Report(heldBy("a", jobID))
 	b.s.Submit(1, b.lasting())
-	require.Equal(t, messenger.Held{Waits: []string{jobID}}, b.s.Held())
+	require.Equal(t, messenger.HeldJobs{Yielding: []string{jobID}}, b.s.Held())
 }
 
 func TestJobThatWaitedIsNotLeftBehindWhenItsCallerSendsItAgain(t *testing.T) {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -27,7 +27,7 @@
 // Step is a set of equal tasks.
 type Step struct {
 	Count  int
-	Demand messenger.Demand
+	Demand messenger.Resources
 	// Estimate is about how long a task takes on a sound worker.
 	Estimate time.Duration
 	// After lists the steps that must be done first, by their numbers.
@@ -154,7 +154,7 @@
 	held bool
 }
 
-func (t *task) demand() messenger.Demand { return t.job.Steps[t.step].Demand }
+func (t *task) demand() messenger.Resources { return t.job.Steps[t.step].Demand }
 
 func (t *task) current() messenger.Run { return messenger.Run{Task: t.id, Number: t.run} }
 
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -156,7 +156,7 @@
 		// to lose, and counts on all of it.
 		sharers := 1
 		if w.farInTime {
-			sharers = max(a.report.Entries, 1)
+			sharers = max(a.report.ConnectedEntries, 1)
 		}
 		most := sharers * (w.before + len(todo))
 		room += a.tasksSoon(j, step, most, w.wait, now) / float64(sharers)
@@ -222,7 +222,7 @@
 	at := time.Duration(0)
 	n := float64(st.fitting(a.free(), most))
 	for i, d := range a.ahead() {
-		next := messenger.AheadSpans[i]
+		next := messenger.ForecastHorizons[i]
 		then := float64(st.fitting(a.free().Plus(d), most))
 		if after < next {
 			return n + (then-n)*float64(after-at)/float64(next-at)
@@ -234,15 +234,15 @@
 }
 
 // ahead returns the agent's forecast of room, at most one item for each of
-// messenger.AheadSpans.
-func (a *agent) ahead() []messenger.Demand {
-	return a.report.Ahead[:min(len(a.report.Ahead), len(messenger.AheadSpans))]
+// messenger.ForecastHorizons.
+func (a *agent) ahead() []messenger.Resources {
+	return a.report.Forecast[:min(len(a.report.Forecast), len(messenger.ForecastHorizons))]
 }
 
 // fitting counts the step's tasks, up to most, that room is enough for.
-func (st Step) fitting(room messenger.Demand, most int) int {
+func (st Step) fitting(room messenger.Resources, most int) int {
 	n := 0
-	for n < most && st.Demand.Fits(room) {
+	for n < most && st.Demand.FitsIn(room) {
 		room = room.Minus(st.Demand)
 		n++
 	}
--- a/scheduler/locality_test.go
+++ b/scheduler/locality_test.go
@@ -54,12 +54,12 @@
 // report returns a report of an agent's room, and of the room ahead.
 func (b *rackBench) report(name string, free int, ahead []int) messenger.Report {
 	r := report(name, b.seen[name])
-	r.Complete = !b.listed[name]
+	r.RunsComplete = !b.listed[name]
 	b.listed[name] = true
-	r.Entries = b.entries
+	r.ConnectedEntries = b.entries
 	r.Free = room(free)
 	for _, n := range ahead {
-		r.Ahead = append(r.Ahead, room(n))
+		r.Forecast = append(r.Forecast, room(n))
 	}
 	if name == "near" {
 		r.Upstream.Labels = []string{rackLabel}
@@ -67,8 +67,8 @@
 	return r
 }
 
-func room(tasks int) messenger.Demand {
-	return messenger.Demand{CPU: 3100 * tasks, Memory: 64_000}
+func room(tasks int) messenger.Resources {
+	return messenger.Resources{CPU: 3100 * tasks, Memory: 64_000}
 }
 
 func (b *rackBench) drain() {
@@ -162,7 +162,7 @@
 			b.entries = tt.entries
 			if tt.barred {
 				large := b.job("00000000000000ff", 1)
-				large.Steps[0].Demand = messenger.Demand{CPU: 31_000}
+				large.Steps[0].Demand = messenger.Resources{CPU: 31_000}
 				large.Steps[0].Estimate = 2 * tt.estimate
 				b.submit(large)
 			}
@@ -321,7 +321,7 @@
 			b.clock.Advance(work)
 			b.tell("near", 0, tt.ahead)
 			r := report("far", b.seen["far"])
-			r.Ended = []messenger.End{{Run: run, How: messenger.Done}}
+			r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
 			b.s.Report(r)
 			b.drain()
 			far := b.at("far")
@@ -357,10 +357,10 @@
 			b := newRackBench(t, tt.factor)
 			j := b.onRack(1, 1, 60*time.Millisecond)
 			j.Steps[0].Rack = tt.rack
-			require.False(t, b.s.Want().Ahead, "nothing waits")
+			require.False(t, b.s.Want().WantsForecast, "nothing waits")
 			b.submit(j)
 			require.Equal(t, 1, b.s.Want().Tasks)
-			require.Equal(t, tt.asks, b.s.Want().Ahead)
+			require.Equal(t, tt.asks, b.s.Want().WantsForecast)
 		})
 	}
 }
@@ -374,7 +374,7 @@
 		rng := rand.New(rand.NewPCG(seed, 2))
 		b := newRackBench(t, 1.2+2*rng.Float64())
 		b.entries = 1 + rng.IntN(4)
-		ahead := make([]int, len(messenger.AheadSpans))
+		ahead := make([]int, len(messenger.ForecastHorizons))
 		for i := range ahead {
 			ahead[i] = rng.IntN(4)
 			if i > 0 {
--- a/scheduler/outlook.go
+++ b/scheduler/outlook.go
@@ -10,7 +10,7 @@
 // outlook is how soon an agent is expected to have room for a task.
 type outlook struct {
 	near bool
-	// span is the index of the first of the AheadSpans within which there will be
+	// span is the index of the first of the ForecastHorizons within which there will be
 	// room. Agents that do not tell come after these, and before those that will
 	// not have it within any.
 	span int
@@ -21,9 +21,9 @@
 	order uint64
 }
 
-// Values of outlook.span beside the indexes of AheadSpans.
+// Values of outlook.span beside the indexes of ForecastHorizons.
 const (
-	spanUnknown = len(messenger.AheadSpans)
+	spanUnknown = len(messenger.ForecastHorizons)
 	spanLate    = spanUnknown + 1
 )
 
@@ -61,10 +61,10 @@
 func (s *Scheduler) mayReserveAt(a *agent, t *task, now time.Time) bool {
 	step := t.job.Steps[t.step]
 	return a.reservation == nil &&
-		a.report.Backfill.For == 0 && // It keeps room for another entry otherwise.
+		a.report.Backfill.Window == 0 && // It keeps room for another entry otherwise.
 		!now.Before(a.reserveNext) &&
 		!now.Before(t.avoid[a.name]) &&
-		t.demand().Fits(a.upstream.Capacity) &&
+		t.demand().FitsIn(a.upstream.Capacity) &&
 		!a.health.ejected &&
 		a.serves(t.job.Queue, s.config, now, s.woke) && a.sound(now) && a.suits(step) &&
 		(step.Spread == 0 || a.of(t.job, t.step) < step.Spread)
@@ -75,10 +75,10 @@
 	d := t.demand()
 	room := a.free().NonNegative()
 	o := outlook{near: a.near(t.job.Steps[t.step]), span: spanUnknown, share: coverage(room, d), order: t.job.order(a)}
-	if len(a.report.Ahead) == 0 {
+	if len(a.report.Forecast) == 0 {
 		return o
 	}
-	o.span = slices.IndexFunc(a.ahead(), func(more messenger.Demand) bool { return d.Fits(room.Plus(more)) })
+	o.span = slices.IndexFunc(a.ahead(), func(more messenger.Resources) bool { return d.FitsIn(room.Plus(more)) })
 	if o.span < 0 {
 		o.span = spanLate
 	}
@@ -87,7 +87,7 @@
 
 // coverage returns the share of a demand that room covers, in the respect in which
 // it covers least.
-func coverage(room, d messenger.Demand) float64 {
+func coverage(room, d messenger.Resources) float64 {
 	least := 1.0
 	for _, p := range [...][2]int{{room.CPU, d.CPU}, {room.Memory, d.Memory}, {room.GPU, d.GPU}} {
 		if p[1] > 0 {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -13,7 +13,7 @@
 	roomPatience = 5 * time.Millisecond
 	// askInterval is the least time between two rounds of heartbeats that are sent
 	// to ask for room before they are due.
-	askInterval = messenger.BeatInterval / 2
+	askInterval = messenger.HeartbeatInterval / 2
 )
 
 // pass places what waits, in order, and refuses what has waited too long.
@@ -22,7 +22,7 @@
 	defer s.observeDrains(now)
 	s.reviewReservations()
 	if len(s.queue) == 0 {
-		s.want = messenger.Want{}
+		s.want = messenger.Backlog{}
 		s.scarce = false
 		return
 	}
@@ -47,7 +47,7 @@
 // were found without room in the last pass, so that looking at them again at
 // each report of each agent would only cost time when there is least of it.
 func (s *Scheduler) passAt(a *agent) {
-	if len(s.queue) == 0 || !s.want.Least.Fits(a.anyRoom()) {
+	if len(s.queue) == 0 || !s.want.Min.FitsIn(a.anyRoom()) {
 		return
 	}
 	now := s.clock.Now()
@@ -59,7 +59,7 @@
 			continue
 		}
 		s.placeJob(j, only, now)
-		if !s.want.Least.Fits(a.anyRoom()) {
+		if !s.want.Min.FitsIn(a.anyRoom()) {
 			break
 		}
 	}
@@ -68,18 +68,18 @@
 }
 
 // waitingWork returns what the queue holds.
-func (s *Scheduler) waitingWork() messenger.Want {
-	var w messenger.Want
-	s.mostWanted = messenger.Demand{}
+func (s *Scheduler) waitingWork() messenger.Backlog {
+	var w messenger.Backlog
+	s.mostWanted = messenger.Resources{}
 	for _, j := range s.queue {
 		for _, t := range j.tasks {
 			if t.state == ready {
 				w = w.With(t.demand())
-				s.mostWanted = s.mostWanted.Most(t.demand())
+				s.mostWanted = s.mostWanted.Max(t.demand())
 			}
 		}
 	}
-	w.Ahead = w.Tasks > 0 && s.needsAhead()
+	w.WantsForecast = w.Tasks > 0 && s.needsAhead()
 	return w
 }
 
@@ -90,7 +90,7 @@
 }
 
 // Want returns what waits for room.
-func (s *Scheduler) Want() messenger.Want {
+func (s *Scheduler) Want() messenger.Backlog {
 	s.want = s.waitingWork()
 	return s.want
 }
@@ -170,14 +170,14 @@
 	j.hold.started = true
 	a.placements++
 	p := messenger.Place{
-		Number:   a.placements,
-		Job:      j.ID,
-		Spec:     j.Spec,
-		Service:  j.Queue.Service,
-		Patience: roomPatience,
-		Echo:     a.report.Stamp,
+		Number:  a.placements,
+		Job:     j.ID,
+		Spec:    j.Spec,
+		Service: j.Queue.Service,
+		MaxWait: roomPatience,
+		Echo:    a.report.Timestamp,
 	}
-	var sum messenger.Demand
+	var sum messenger.Resources
 	fresh := 0
 	for _, t := range tasks {
 		if t.state == ready {
@@ -201,7 +201,7 @@
 		})
 	}
 	s.want = s.want.Without(fresh, sum)
-	p.Want = s.want
+	p.Backlog = s.want
 	a.pending = append(a.pending, pending{number: p.Number, demand: sum})
 	a.health.sent(p.Tasks[0].Run)
 	if fresh > 0 {
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -53,7 +53,7 @@
 // Report takes in an agent's word.
 func (s *Scheduler) Report(r messenger.Report) {
 	a := s.agentNamed(r.Agent)
-	a.heard = r.Outcomes
+	a.heard = r.LastOutcome
 	if r.Upstream != nil {
 		if r.Upstream.ID != a.upstream.ID || r.Upstream.Born != a.upstream.Born {
 			a.health = health{}
@@ -80,11 +80,11 @@
 		s.progress(a, p)
 	}
 	s.heldElsewhere(a, r)
-	if r.Complete {
+	if r.RunsComplete {
 		s.reconcile(a, r)
 	}
 	s.checkHealth(a)
-	if r.Complete || s.requeued != waiting {
+	if r.RunsComplete || s.requeued != waiting {
 		s.pass()
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // ended takes in the end of a run.
-func (s *Scheduler) ended(a *agent, e messenger.End) {
+func (s *Scheduler) ended(a *agent, e messenger.RunEnd) {
 	if t := a.withdrawn[e.Run]; t != nil {
 		s.endedLate(a, t, e)
 		return
@@ -183,13 +183,13 @@
 		return
 	}
 	t.job.begun = true
-	switch e.How {
-	case messenger.Done:
+	switch e.Reason {
+	case messenger.RunDone:
 		s.finish(a, t)
-	case messenger.Failed:
+	case messenger.RunFailed:
 		s.fail(a, t)
 	default:
-		s.again(t, "run ended: "+string(e.How))
+		s.again(t, "run ended: "+string(e.Reason))
 	}
 }
 
@@ -236,7 +236,7 @@
 // covered reports whether a complete list must hold the task: it was placed on
 // an earlier link, or the agent had taken its placement in.
 func (t *task) covered(a *agent, r messenger.Report) bool {
-	return t.link < a.links || t.place <= r.Seen
+	return t.link < a.links || t.place <= r.AckedPlace
 }
 
 // shun keeps a task away from an agent for a while.
@@ -257,11 +257,11 @@
 	if t == nil {
 		return
 	}
-	if r.Reason == messenger.Superseded {
+	if r.Reason == messenger.RefusedSuperseded {
 		// A run of the task has been at the worker before.
 		t.job.begun = true
 	}
-	if r.Reason != messenger.NoRoom {
+	if r.Reason != messenger.RefusedNoRoom {
 		t.shun(a, s.clock.Now().Add(shunRefused))
 	}
 	since := t.job.queuedAt
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -13,7 +13,7 @@
 // full returns an agent's word that it has no room.
 func full(agent string) messenger.Report {
 	r := report(agent, 0)
-	r.Free = messenger.Demand{}
+	r.Free = messenger.Resources{}
 	return r
 }
 
@@ -27,14 +27,14 @@
 	require.Empty(t, b.drain())
 	// Room for two of the three tasks.
 	r := full("b")
-	r.Free = messenger.Demand{CPU: 6200, Memory: 64_000}
+	r.Free = messenger.Resources{CPU: 6200, Memory: 64_000}
 	b.s.Report(r)
 	b.drain()
 	p := b.placed()
 	require.Len(t, p.Tasks, 2)
-	require.Equal(t, messenger.Want{Tasks: 1, Sum: messenger.Demand{CPU: 3100}, Least: messenger.Demand{CPU: 3100}}, p.Want, "one task still waits")
+	require.Equal(t, messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 3100}, Min: messenger.Resources{CPU: 3100}}, p.Backlog, "one task still waits")
 	r = full("a")
-	r.Free = messenger.Demand{CPU: 31_000, Memory: 64_000}
+	r.Free = messenger.Resources{CPU: 31_000, Memory: 64_000}
 	b.s.Report(r)
 	b.drain()
 	require.Len(t, b.placed().Tasks, 1)
--- a/scheduler/reservation.go
+++ b/scheduler/reservation.go
@@ -40,7 +40,7 @@
 	job    *job
 	step   int
 	number uint64
-	demand messenger.Demand
+	demand messenger.Resources
 	asked  time.Time
 	until  time.Time
 	// kept is whether the agent has reported it, and missed how many reports in a
@@ -116,7 +116,7 @@
 	}
 	a.reservation = v
 	s.reservations = append(s.reservations, v)
-	s.emit(Send{Agent: a.name, Message: messenger.Reserve{Number: v.number, Demand: v.demand, For: span}})
+	s.emit(Send{Agent: a.name, Message: messenger.Reserve{Number: v.number, Demand: v.demand, TTL: span}})
 	s.noteReservation(v, "reservation requested", fmt.Sprintf("%d thousandths of a core for %s", v.demand.CPU, span))
 }
 
@@ -130,7 +130,7 @@
 	v := a.reservation
 	switch {
 	case v == nil:
-	case a.report.Reserved == v.number:
+	case a.report.ReservationNumber == v.number:
 		if !v.kept {
 			s.noteReservation(v, "reservation kept", "")
 		}
@@ -213,16 +213,16 @@
 // roomFor returns the room that tasks of a step may use at the agent: without what
 // is kept for another job of the entry, and with what is kept for a task of
 // another entry if they end before that can start.
-func (a *agent) roomFor(j *job, step int, now time.Time) messenger.Demand {
+func (a *agent) roomFor(j *job, step int, now time.Time) messenger.Resources {
 	room := a.free()
-	if v := a.reservation; v != nil && (v.job != j || v.step != step) && v.demand.Fits(room) {
+	if v := a.reservation; v != nil && (v.job != j || v.step != step) && v.demand.FitsIn(room) {
 		room = room.Minus(v.demand)
 	}
-	if fill := a.report.Backfill; fill.For > 0 && now.Sub(a.reportedAt)+j.Steps[step].Estimate+backfillMargin <= fill.For {
-		room = room.Plus(fill.Room)
+	if fill := a.report.Backfill; fill.Window > 0 && now.Sub(a.reportedAt)+j.Steps[step].Estimate+backfillMargin <= fill.Window {
+		room = room.Plus(fill.Resources)
 	}
 	return room
 }
 
 // anyRoom returns the room that any task may use at the agent.
-func (a *agent) anyRoom() messenger.Demand { return a.free().Plus(a.report.Backfill.Room) }
+func (a *agent) anyRoom() messenger.Resources { return a.free().Plus(a.report.Backfill.Resources) }
--- a/scheduler/reservation_bench_test.go
+++ b/scheduler/reservation_bench_test.go
@@ -65,16 +65,16 @@
 		name := fmt.Sprintf("agent-%03d", i)
 		s.Opened(name)
 		s.Report(messenger.Report{
-			Agent: name, Complete: true, Entries: 1, Free: messenger.Demand{CPU: 100 * (i % 20)},
-			Upstream: &messenger.Upstream{ID: name, Born: 1, Service: "quotes", Capacity: messenger.Demand{CPU: 36_000}},
-			Ahead:    []messenger.Demand{{}, {CPU: 1000}, {CPU: 4000}, {CPU: 9000}, {CPU: 20_000}},
+			Agent: name, RunsComplete: true, ConnectedEntries: 1, Free: messenger.Resources{CPU: 100 * (i % 20)},
+			Upstream: &messenger.Upstream{ID: name, Born: 1, Service: "quotes", Capacity: messenger.Resources{CPU: 36_000}},
+			Forecast: []messenger.Resources{{}, {CPU: 1000}, {CPU: 4000}, {CPU: 9000}, {CPU: 20_000}},
 		})
 	}
 	for i := range jobs {
 		j := newJob(Job{
 			ID: fmt.Sprintf("%016x", i), Queue: Queue{Name: "q", Service: "quotes", Stretch: 1.6, Slack: time.Second},
 			Deadline: clock.Now().Add(2 * time.Second),
-			Steps:    []Step{{Count: 1, Demand: messenger.Demand{CPU: 16_000}, Estimate: 300 * time.Millisecond}},
+			Steps:    []Step{{Count: 1, Demand: messenger.Resources{CPU: 16_000}, Estimate: 300 * time.Millisecond}},
 		}, uint64(i), clock.Now(), record{})
 		j.queuedAt = clock.Now().Add(-reserveAfter)
 		s.jobs[j.ID] = j
--- a/scheduler/reservation_test.go
+++ b/scheduler/reservation_test.go
@@ -25,7 +25,7 @@
 	for _, a := range agents {
 		b.s.Held()
 		r := report(a, 9)
-		r.Free = messenger.Demand{CPU: 3000, Memory: 64_000}
+		r.Free = messenger.Resources{CPU: 3000, Memory: 64_000}
 		r.Echo = b.clock.Since(b.opened[a])
 		if change != nil {
 			change(&r)
@@ -74,7 +74,7 @@
 	list := b.reserves()
 	require.Len(b.t, list, 1)
 	for _, r := range list {
-		require.NotZero(b.t, r.For)
+		require.NotZero(b.t, r.TTL)
 		return r
 	}
 	return messenger.Reserve{}
@@ -82,7 +82,7 @@
 
 // keeps makes a report name a reservation.
 func keeps(number uint64) func(r *messenger.Report) {
-	return func(r *messenger.Report) { r.Reserved = number }
+	return func(r *messenger.Report) { r.ReservationNumber = number }
 }
 
 // TestRoomIsReservedForALargeTaskThatHasWaited guards against requests for tasks
@@ -96,8 +96,8 @@
 	list := b.reserves()
 	require.Len(t, list, 1)
 	for _, r := range list {
-		require.Equal(t, messenger.Demand{CPU: 16_000}, r.Demand)
-		require.LessOrEqual(t, r.For, time.Second)
+		require.Equal(t, messenger.Resources{CPU: 16_000}, r.Demand)
+		require.LessOrEqual(t, r.TTL, time.Second)
 	}
 	b.wait(19*time.Millisecond, nil, "a", "b")
 	require.Empty(t, b.reserves())
@@ -167,8 +167,8 @@
 // TestRoomIsAskedForWhereItIsExpectedFirst guards against an agent that keeps room
 // for long while another one would have had it soon.
 func TestRoomIsAskedForWhereItIsExpectedFirst(t *testing.T) {
-	ahead := func(cpu ...int) []messenger.Demand {
-		out := make([]messenger.Demand, len(cpu))
+	ahead := func(cpu ...int) []messenger.Resources {
+		out := make([]messenger.Resources, len(cpu))
 		for i, c := range cpu {
 			out[i].CPU = c
 		}
@@ -177,16 +177,16 @@
 	// The agents have 3 of the 16 cores, if nothing else is said.
 	tests := map[string]map[string]func(r *messenger.Report){
 		"soonest": {
-			"a": func(r *messenger.Report) { r.Ahead = ahead(0, 0, 0, 13_000, 13_000) },
-			"b": func(r *messenger.Report) { r.Ahead = ahead(0, 0, 13_000, 13_000, 13_000) },
-			"c": func(r *messenger.Report) { r.Ahead = ahead(0, 0, 0, 0, 13_000) },
+			"a": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 13_000, 13_000) },
+			"b": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 13_000, 13_000, 13_000) },
+			"c": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 13_000) },
 		},
 		"known before not known": {
 			"a": func(r *messenger.Report) { r.Free.CPU = 9000 },
-			"b": func(r *messenger.Report) { r.Ahead = ahead(0, 0, 0, 0, 13_000) },
+			"b": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 13_000) },
 		},
 		"not known before late": {
-			"a": func(r *messenger.Report) { r.Ahead = ahead(0, 0, 0, 0, 12_000) },
+			"a": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 12_000) },
 			"b": func(*messenger.Report) {},
 		},
 		"most room when not known": {
@@ -196,14 +196,14 @@
 		},
 		"no room kept for another entry": {
 			"a": func(r *messenger.Report) {
-				r.Ahead = ahead(13_000)
-				r.Backfill = messenger.Backfill{Room: messenger.Demand{CPU: 1}, For: time.Second}
+				r.Forecast = ahead(13_000)
+				r.Backfill = messenger.Backfill{Resources: messenger.Resources{CPU: 1}, Window: time.Second}
 			},
 			"b": func(*messenger.Report) {},
 		},
 		"large enough": {
 			"a": func(r *messenger.Report) {
-				r.Ahead = ahead(13_000)
+				r.Forecast = ahead(13_000)
 				r.Upstream.Capacity.CPU = 15_999
 			},
 			"b": func(*messenger.Report) {},
@@ -238,7 +238,7 @@
 	b.s.Submit(2, small)
 	b.reserves()
 	b.full(func(m *messenger.Report) {
-		m.Reserved = r.Number
+		m.ReservationNumber = r.Number
 		m.Free.CPU = 16_000
 	}, "a")
 	require.Empty(t, b.reserves(), "the agent ends the reservation with the placement")
@@ -259,7 +259,7 @@
 		b.s.Submit(1, b.job(jobID, 1)) // It takes 60 ms, and 10 ms are for its way.
 		b.reserves()
 		b.full(func(m *messenger.Report) {
-			m.Backfill = messenger.Backfill{Room: messenger.Demand{CPU: 4000}, For: tt.span}
+			m.Backfill = messenger.Backfill{Resources: messenger.Resources{CPU: 4000}, Window: tt.span}
 		}, "a")
 		b.reserves()
 		require.Len(t, b.sent, tt.placed, tt.span)
@@ -306,7 +306,7 @@
 		}},
 		"worker drains": {told: true, change: func(b *bench, n uint64) {
 			b.wait(20*time.Millisecond, func(r *messenger.Report) {
-				r.Reserved = n
+				r.ReservationNumber = n
 				r.Upstream.Draining = true
 			}, "a")
 		}},
@@ -315,8 +315,8 @@
 		}},
 		"worker does not answer": {told: true, change: func(b *bench, n uint64) {
 			b.wait(20*time.Millisecond, func(r *messenger.Report) {
-				r.Reserved = n
-				r.Unanswered = 1
+				r.ReservationNumber = n
+				r.UnansweredCalls = 1
 			}, "a")
 		}},
 		"link closed": {change: func(b *bench, _ uint64) { b.s.Closed("a") }},
@@ -333,7 +333,7 @@
 			b.full(nil, "a")
 			b.s.Tick()
 			for _, again := range b.reserves() {
-				require.NotZero(t, again.For)
+				require.NotZero(t, again.TTL)
 			}
 		})
 	}
@@ -344,12 +344,12 @@
 	b.t.Helper()
 	ends := 0
 	for _, m := range b.sent {
-		if r, ok := m.(messenger.Reserve); ok && r.For == 0 && r.Number == number {
+		if r, ok := m.(messenger.Reserve); ok && r.TTL == 0 && r.Number == number {
 			ends++
 		}
 	}
 	for _, r := range b.reserves() {
-		if r.For == 0 && r.Number == number {
+		if r.TTL == 0 && r.Number == number {
 			ends++
 		}
 	}
@@ -366,7 +366,7 @@
 	require.Len(t, b.sent, 1)
 	run := b.sent[0].(messenger.Place).Tasks[0].Run
 	b.wait(10*time.Millisecond, func(r *messenger.Report) {
-		r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.NoRoom}}
+		r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.RefusedNoRoom}}
 	}, "a")
 	require.Len(t, b.reserves(), 1)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -61,7 +61,7 @@
 	requeued uint64
 	// want is what waited for room when it was last counted, less what has been
 	// placed since.
-	want messenger.Want
+	want messenger.Backlog
 	// asked is whether the agents have been told that jobs wait, and askedAt when
 	// they were last told so before a heartbeat was due.
 	asked   bool
@@ -76,9 +76,9 @@
 	throughput throughput
 	short      bool
 	// largest has the most of each resource that a worker of a service has.
-	largest map[string]messenger.Demand
+	largest map[string]messenger.Resources
 	// mostWanted has the most of each resource that a waiting task takes.
-	mostWanted messenger.Demand
+	mostWanted messenger.Resources
 	// reservations are those that agents have been asked for.
 	reservations []*reservation
 	// echoed is when the last heartbeat was sent that an agent has echoed.
@@ -115,7 +115,7 @@
 		shares:     make(map[string]*share),
 		drains:     make(map[string]*drain),
 		comebacks:  make(map[string]*comeback),
-		largest:    make(map[string]messenger.Demand),
+		largest:    make(map[string]messenger.Resources),
 	}
 }
 
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -59,9 +59,9 @@
 
 // report returns an agent's word on a worker with room for ten tasks.
 func report(agent string, seen uint64) messenger.Report {
-	room := messenger.Demand{CPU: 31_000, Memory: 64_000}
+	room := messenger.Resources{CPU: 31_000, Memory: 64_000}
 	return messenger.Report{
-		Agent: agent, DataCentre: "dc-0", Incarnation: 1, Seen: seen, Entries: 1, Free: room,
+		Agent: agent, DataCentre: "dc-0", Incarnation: 1, AckedPlace: seen, ConnectedEntries: 1, Free: room,
 		Upstream: &messenger.Upstream{ID: "w-" + agent, Born: 1, Service: "quotes", DataCentre: "dc-0", Capacity: room},
 	}
 }
@@ -71,7 +71,7 @@
 	b.s.Opened(agent)
 	b.opened[agent] = b.clock.Now()
 	r := report(agent, 0)
-	r.Complete = true
+	r.RunsComplete = true
 	b.s.Report(r)
 	b.drain()
 }
@@ -83,7 +83,7 @@
 	r := report(agent, seen)
 	r.Echo = b.clock.Since(b.opened[agent])
 	b.s.Report(r)
-	return slices.Concat(held.Jobs, held.Waits, held.Over)
+	return slices.Concat(held.Running, held.Yielding, held.Finished)
 }
 
 // turn has the entry send a heartbeat, which an agent with one placement echoes,
@@ -97,7 +97,7 @@
 func (b *bench) job(id string, tasks int) scheduler.Job {
 	return scheduler.Job{
 		ID: id, Queue: quotes(), Spec: "spec", Deadline: b.clock.Now().Add(1500 * time.Millisecond),
-		Steps: []scheduler.Step{{Count: tasks, Demand: messenger.Demand{CPU: 3100}, Estimate: 60 * time.Millisecond}},
+		Steps: []scheduler.Step{{Count: tasks, Demand: messenger.Resources{CPU: 3100}, Estimate: 60 * time.Millisecond}},
 	}
 }
 
@@ -122,7 +122,7 @@
 	b.s.Opened(agent)
 	r := report(agent, 0)
 	r.Incarnation = 2
-	r.Complete = true
+	r.RunsComplete = true
 	r.Runs = runs
 	b.s.Report(r)
 	return r
@@ -159,11 +159,11 @@
 	require.Len(t, b.placed().Tasks, 2)
 	// The agent lists its runs anew before it has taken the placement in.
 	r := report("a", 0)
-	r.Complete = true
+	r.RunsComplete = true
 	b.s.Report(r)
 	require.Empty(t, b.drain())
 	// A list that was made after it shows that the runs are not there.
-	r.Seen = 1
+	r.AckedPlace = 1
 	b.s.Report(r)
 	b.drain()
 	require.Equal(t, 2, b.placed().Tasks[0].Number)
@@ -179,7 +179,7 @@
 	require.Equal(t, run, b.placed().Tasks[0].Run)
 	r = report("a", 1)
 	r.Incarnation = 2
-	r.Ended = []messenger.End{{Run: run, How: messenger.Done}}
+	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
 	b.s.Report(r)
 	b.drain()
 	require.Equal(t, scheduler.Complete, b.replies[1].Outcome)
@@ -279,10 +279,10 @@
 	b := newBench(t)
 	b.open("a")
 	b.open("b")
-	end := func(r messenger.Run, how messenger.How, failed int, seen uint64) {
+	end := func(r messenger.Run, how messenger.EndReason, failed int, seen uint64) {
 		x := report("a", seen)
-		x.Ended = []messenger.End{{Run: r, How: how}}
-		x.FailedJobs = failed
+		x.Ended = []messenger.RunEnd{{Run: r, Reason: how}}
+		x.ConsecutiveFailedJobs = failed
 		b.s.Report(x)
 		b.drain()
 	}
@@ -294,10 +294,10 @@
 		b.s.Submit(uint64(1+i), j)
 		b.drain()
 	}
-	end(messenger.Run{Task: jobID + ".0.0.0", Number: 1}, messenger.Failed, 1, 3)
-	end(messenger.Run{Task: "0000000000000002.0.0.0", Number: 1}, messenger.Failed, 2, 3)
+	end(messenger.Run{Task: jobID + ".0.0.0", Number: 1}, messenger.RunFailed, 1, 3)
+	end(messenger.Run{Task: "0000000000000002.0.0.0", Number: 1}, messenger.RunFailed, 2, 3)
 	require.True(t, b.ejected("a"))
-	end(messenger.Run{Task: "0000000000000003.0.0.0", Number: 1}, messenger.Done, 2, 3)
+	end(messenger.Run{Task: "0000000000000003.0.0.0", Number: 1}, messenger.RunDone, 2, 3)
 	require.True(t, b.ejected("a"), "a run of before the ejection tells nothing new")
 }
 
@@ -319,7 +319,7 @@
 		}
 		agents[to] = true
 		r := report(to, uint64(run.Number))
-		r.Ended = []messenger.End{{Run: run, How: messenger.Failed}}
+		r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunFailed}}
 		b.s.Report(r)
 	}
 	b.drain()
@@ -337,7 +337,7 @@
 	b.s.Submit(2, j)
 	require.Empty(t, b.drain())
 	r := report("a", 1)
-	r.Ended = []messenger.End{{Run: run, How: messenger.Done}}
+	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
 	b.s.Report(r)
 	b.s.Submit(3, j)
 	b.drain()
@@ -355,16 +355,16 @@
 		{"draining worker", func(r *messenger.Report, _ *scheduler.Configuration) { r.Upstream.Draining = true }},
 		{"leaving agent", func(r *messenger.Report, _ *scheduler.Configuration) { r.Leaving = true }},
 		{"other service", func(r *messenger.Report, _ *scheduler.Configuration) { r.Upstream.Service = "other" }},
-		{"worker that leaves calls unanswered", func(r *messenger.Report, _ *scheduler.Configuration) { r.Unanswered = 1 }},
-		{"worker that fails every job", func(r *messenger.Report, _ *scheduler.Configuration) { r.FailedJobs = 2 }},
-		{"worker that stands still", func(r *messenger.Report, _ *scheduler.Configuration) { r.PacedJobs = 3; r.Pace = 0.05 }},
+		{"worker that leaves calls unanswered", func(r *messenger.Report, _ *scheduler.Configuration) { r.UnansweredCalls = 1 }},
+		{"worker that fails every job", func(r *messenger.Report, _ *scheduler.Configuration) { r.ConsecutiveFailedJobs = 2 }},
+		{"worker that stands still", func(r *messenger.Report, _ *scheduler.Configuration) { r.PaceJobs = 3; r.Pace = 0.05 }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBench(t)
 			c := configuration()
 			r := report("a", 0)
-			r.Complete = true
+			r.RunsComplete = true
 			tt.spoil(&r, &c)
 			b.s.Configure(c)
 			b.open("b") // A second worker, so that half of them may be ejected.
@@ -388,7 +388,7 @@
 	first := b.placed()
 	require.Equal(t, jobID+".0.0.0", first.Tasks[0].Task)
 	r := report("a", 1)
-	r.Ended = []messenger.End{{Run: first.Tasks[0].Run, How: messenger.Done}}
+	r.Ended = []messenger.RunEnd{{Run: first.Tasks[0].Run, Reason: messenger.RunDone}}
 	b.s.Report(r)
 	b.drain()
 	require.Equal(t, jobID+".0.1.0", b.placed().Tasks[0].Task)
@@ -403,8 +403,8 @@
 	b.clock.Advance(time.Second)
 	b.s.Opened("a")
 	r := report("a", 0)
-	r.Complete = true
-	r.Free = messenger.Demand{}
+	r.RunsComplete = true
+	r.Free = messenger.Resources{}
 	b.s.Report(r)
 	b.clock.Advance(time.Second)
 	b.s.Tick()
--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -141,13 +141,13 @@
 		if l == nil || !l.open {
 			continue
 		}
-		if now.Sub(l.heardAt) > messenger.SilenceLimit {
+		if now.Sub(l.heardAt) > messenger.IdleTimeout {
 			l.close()
 			continue
 		}
-		if ask || now.Sub(l.beatAt) >= messenger.BeatInterval {
+		if ask || now.Sub(l.beatAt) >= messenger.HeartbeatInterval {
 			l.beatAt = now
-			l.toAgent(messenger.Beat{Stamp: now.Sub(l.opened), Echo: l.echo, Want: e.core.Want(), Heard: e.core.Heard(a.name), Held: e.core.Held()})
+			l.toAgent(messenger.Heartbeat{Timestamp: now.Sub(l.opened), Echo: l.echo, Backlog: e.core.Want(), AckedOutcome: e.core.Heard(a.name), HeldJobs: e.core.Held()})
 		}
 	}
 }
@@ -169,7 +169,7 @@
 			switch m := msg.(type) {
 			case messenger.Hello:
 				core.Hello(m)
-			case messenger.Beat:
+			case messenger.Heartbeat:
 				core.Beat(l.entry.name, m)
 			case messenger.Place:
 				l.agent.w.placed += len(m.Tasks)
@@ -197,7 +197,7 @@
 		}
 		l.entry.do(func() {
 			l.heardAt = l.entry.w.clock.Now()
-			l.echo = r.Stamp
+			l.echo = r.Timestamp
 			l.agent.w.countNoRoom(r.Refused)
 			core.Report(r)
 		})
--- a/scheduler/simworker_test.go
+++ b/scheduler/simworker_test.go
@@ -15,7 +15,7 @@
 	// work is how long the run takes at the worker's usual speed.
 	work   time.Duration
 	fails  bool
-	demand messenger.Demand
+	demand messenger.Resources
 }
 
 // simWorker is a worker that obeys the rules of leases, tokens and run numbers.
@@ -45,7 +45,7 @@
 	leaseEnd  time.Time
 }
 
-func (v *simWorker) free() messenger.Demand {
+func (v *simWorker) free() messenger.Resources {
 	d := v.up.Capacity
 	for _, r := range v.running {
 		d = d.Minus(r.demand)
@@ -73,7 +73,7 @@
 		return executor.Late
 	}
 	t := v.w.tasks[s.Run.Task]
-	if !t.demand.Fits(v.free()) {
+	if !t.demand.FitsIn(v.free()) {
 		return executor.Full
 	}
 	v.extend(deadline)
@@ -101,9 +101,9 @@
 	if v.running[r.run.Task] != r {
 		return
 	}
-	how := messenger.Done
+	how := messenger.RunDone
 	if r.fails {
-		how = messenger.Failed
+		how = messenger.RunFailed
 	} else {
 		v.w.done[r.run.Task] = true
 	}
@@ -111,11 +111,11 @@
 }
 
 // end lists the end of a run and answers a look that waits for it.
-func (v *simWorker) end(r *simRun, how messenger.How) {
+func (v *simWorker) end(r *simRun, how messenger.EndReason) {
 	delete(v.running, r.run.Task)
 	v.highest[r.run.Task] = max(v.highest[r.run.Task], r.run.Number)
 	v.endNumber++
-	v.ends = append(v.ends, executor.Ended{Number: v.endNumber, End: messenger.End{Run: r.run, How: how}})
+	v.ends = append(v.ends, executor.Ended{Number: v.endNumber, RunEnd: messenger.RunEnd{Run: r.run, Reason: how}})
 	v.w.ended(v, r.run)
 }
 
@@ -125,7 +125,7 @@
 	}
 	v.token = s.Token
 	if r := v.running[s.Run.Task]; r != nil && r.run == s.Run {
-		v.end(r, messenger.Stopped)
+		v.end(r, messenger.RunStopped)
 	}
 }
 
@@ -141,7 +141,7 @@
 		return
 	}
 	for _, r := range v.sorted() {
-		v.end(r, messenger.Lapsed)
+		v.end(r, messenger.RunLapsed)
 	}
 }
 
--- a/scheduler/size.go
+++ b/scheduler/size.go
@@ -17,7 +17,7 @@
 )
 
 // large reports whether a task is large on a worker.
-func large(d, worker messenger.Demand) bool {
+func large(d, worker messenger.Resources) bool {
 	return takesMuch(d.CPU, worker.CPU) || takesMuch(d.Memory, worker.Memory) || takesMuch(d.GPU, worker.GPU)
 }
 
@@ -26,10 +26,10 @@
 
 // updateLargest notes the most of each resource that a worker of a service has.
 func (s *Scheduler) updateLargest(service string) {
-	var most messenger.Demand
+	var most messenger.Resources
 	for _, a := range s.byName {
 		if a.upstream.Born != 0 && a.upstream.Service == service {
-			most = most.Most(a.upstream.Capacity)
+			most = most.Max(a.upstream.Capacity)
 		}
 	}
 	if most.IsZero() {
@@ -40,7 +40,7 @@
 }
 
 // mayBeLarge reports whether a task is large on the workers of some service.
-func (s *Scheduler) mayBeLarge(d messenger.Demand) bool {
+func (s *Scheduler) mayBeLarge(d messenger.Resources) bool {
 	for _, worker := range s.largest {
 		if large(d, worker) {
 			return true
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -79,7 +79,7 @@
 	q.Slack = time.Second
 	j := scheduler.Job{
 		ID: id, Queue: q, Spec: "spec", Deadline: w.clock.Now().Add(2 * time.Second),
-		Steps: []scheduler.Step{{Count: 1, Demand: messenger.Demand{CPU: cpu, Memory: 64}, Estimate: estimate}},
+		Steps: []scheduler.Step{{Count: 1, Demand: messenger.Resources{CPU: cpu, Memory: 64}, Estimate: estimate}},
 	}
 	w.tasks[id+".0.0.0"] = simTask{work: work, demand: j.Steps[0].Demand}
 	w.results[id] = &result{job: j, sent: w.clock.Now()}
@@ -243,7 +243,7 @@
 		begin = 2 * time.Second
 		// patience covers the longest time for which an agent waits for a silent
 		// entry.
-		patience = messenger.SilenceLimit + 100*time.Millisecond
+		patience = messenger.IdleTimeout + 100*time.Millisecond
 	)
 	tests := map[string]func(w *world, a *simAgent, e *simEntry){
 		"entry killed":      func(_ *world, _ *simAgent, e *simEntry) { e.kill(time.Second) },
--- a/scheduler/speed.go
+++ b/scheduler/speed.go
@@ -245,13 +245,13 @@
 	if j.inTimeAt(step, slow, now) || !j.inTimeAt(step, a.speed.relative, now) {
 		return false
 	}
-	var sum messenger.Demand
+	var sum messenger.Resources
 	for _, t := range j.tasks[first:] {
 		if t.state == ready {
 			sum = sum.Plus(t.demand())
 		}
 	}
-	return sum.Fits(a.free())
+	return sum.FitsIn(a.free())
 }
 
 // expected returns the speed by which a run is judged that is placed now. A worker
--- a/scheduler/speed_test.go
+++ b/scheduler/speed_test.go
@@ -236,7 +236,7 @@
 func (b *bench) fill(left int, agents ...string) {
 	for _, a := range agents {
 		r := speedReport(b, a, 0)
-		r.Free = messenger.Demand{CPU: left, Memory: 64_000}
+		r.Free = messenger.Resources{CPU: left, Memory: 64_000}
 		b.s.Report(r)
 	}
 	b.drain()
@@ -308,7 +308,7 @@
 			b.s.Submit(1, b.job(jobID, 2))
 			b.drain()
 			r := speedReport(b, tt.agent, 0)
-			r.Free = messenger.Demand{CPU: 7000, Memory: 64_000}
+			r.Free = messenger.Resources{CPU: 7000, Memory: 64_000}
 			b.s.Report(r)
 			require.Equal(t, tt.first, b.drain()[0].(messenger.Place).Job)
 		})
@@ -333,7 +333,7 @@
 			require.Empty(t, b.replies)
 			b.clock.Advance(40 * time.Millisecond)
 			r := speedReport(b, agent, 0)
-			r.Free = messenger.Demand{CPU: 7000, Memory: 64_000}
+			r.Free = messenger.Resources{CPU: 7000, Memory: 64_000}
 			b.s.Report(r)
 			require.Equal(t, agent == "d", len(b.agents()) > 0)
 			b.clock.Advance(200 * time.Millisecond)
@@ -373,8 +373,8 @@
 			b.clock.Advance(500 * time.Millisecond)
 			b.fill(1000, "a", "b", "c")
 			r := speedReport(b, "d", 0)
-			r.Seen = 1
-			r.FailedJobs = 2
+			r.AckedPlace = 1
+			r.ConsecutiveFailedJobs = 2
 			r.Runs = []messenger.Progress{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Percent: tt.percent, Age: 500 * time.Millisecond}}
 			b.s.Report(r)
 			b.s.Tick()
@@ -516,7 +516,7 @@
 	b.clock.Advance(40 * time.Millisecond)
 	r := speedReport(b, "d", 0)
 	// Room for five tasks leaves less than what counts as spare.
-	r.Free = messenger.Demand{CPU: 5 * j.Steps[0].Demand.CPU, Memory: 64_000}
+	r.Free = messenger.Resources{CPU: 5 * j.Steps[0].Demand.CPU, Memory: 64_000}
 	b.s.Report(r)
 	places := b.drain()
 	require.Len(t, places, 1)
--- a/scheduler/withdrawn.go
+++ b/scheduler/withdrawn.go
@@ -30,8 +30,8 @@
 
 // endedLate takes in the end of a withdrawn run. A task that is done need not
 // run again when its job has been sent again meanwhile.
-func (s *Scheduler) endedLate(a *agent, t *task, e messenger.End) {
-	if j := s.jobs[t.job.ID]; j != nil && e.How == messenger.Done {
+func (s *Scheduler) endedLate(a *agent, t *task, e messenger.RunEnd) {
+	if j := s.jobs[t.job.ID]; j != nil && e.Reason == messenger.RunDone {
 		for _, again := range j.tasks {
 			if again.id == t.id && again.state == ready {
 				s.done(again)
--- a/scheduler/withdrawn_test.go
+++ b/scheduler/withdrawn_test.go
@@ -29,19 +29,19 @@
 	}{
 		{"stopped", func(b *bench, run messenger.Run) {
 			r := report("a", 1)
-			r.Ended = []messenger.End{{Run: run, How: messenger.Stopped}}
+			r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunStopped}}
 			b.s.Report(r)
 		}, 2},
 		{"refused", func(b *bench, run messenger.Run) {
 			r := report("a", 1)
-			r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.Overtaken}}
+			r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.RefusedWithdrawn}}
 			b.s.Report(r)
 		}, 2},
 		{"not at its agent on the next link", func(b *bench, run messenger.Run) {
 			b.s.Closed("a")
 			b.s.Opened("a")
 			r := report("a", 0)
-			r.Complete = true
+			r.RunsComplete = true
 			r.Runs = []messenger.Progress{{Run: run, Percent: 50}}
 			b.s.Report(r)
 			require.Equal(b.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, b.drain())
@@ -90,7 +90,7 @@
 	run := b.leftBehind()
 	b.s.Submit(2, b.job(jobID, 1))
 	r := report("a", 1)
-	r.Ended = []messenger.End{{Run: run, How: messenger.Done}}
+	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
 	b.s.Report(r)
 	require.Empty(t, b.drain())
 	require.Equal(t, scheduler.Complete, b.replies[2].Outcome)
@@ -112,7 +112,7 @@
 	b.s.Submit(1, b.job(jobID, 1))
 	b.drain()
 	r := report("a", 1)
-	r.Refused = []messenger.Refusal{{Run: b.placed().Tasks[0].Run, Reason: messenger.Superseded}}
+	r.Refused = []messenger.Refusal{{Run: b.placed().Tasks[0].Run, Reason: messenger.RefusedSuperseded}}
 	b.s.Report(r)
 	b.clock.Advance(1500 * time.Millisecond)
 	b.s.Tick()
@@ -130,7 +130,7 @@
 		run := b.placed().Tasks[0].Run
 		seen++
 		r := report("a", seen)
-		r.Ended = []messenger.End{{Run: run, How: messenger.Failed}}
+		r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunFailed}}
 		b.s.Report(r)
 		b.drain()
 		for len(b.replies) == 0 && len(b.sent) == 0 {
@@ -156,8 +156,8 @@
 	run := b.handIn(1, b.job(jobID, 1))
 	b.s.Closed("a")
 	r := b.relinked("a", messenger.Progress{Run: run})
-	r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.NoRoom}}
-	r.Free = messenger.Demand{}
+	r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.RefusedNoRoom}}
+	r.Free = messenger.Resources{}
 	b.s.Report(r)
 	b.clock.Advance(400 * time.Millisecond)
 	b.s.Tick()
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -59,7 +59,7 @@
 // simTask is what a task really asks for.
 type simTask struct {
 	work   time.Duration
-	demand messenger.Demand
+	demand messenger.Resources
 	fails  bool
 	// rack is where the task's data is; empty means anywhere.
 	rack string
@@ -179,7 +179,7 @@
 			name: a.name,
 			up: messenger.Upstream{
 				ID: "worker-" + a.name, Born: 1, Service: "quotes", DataCentre: a.dataCentre,
-				Capacity: messenger.Demand{CPU: capacity, Memory: 64_000},
+				Capacity: messenger.Resources{CPU: capacity, Memory: 64_000},
 			},
 			running: make(map[string]*simRun),
 			highest: make(map[string]int),
@@ -289,7 +289,7 @@
 	q.Priority = k.priority
 	j := scheduler.Job{
 		ID: id, Queue: q, Spec: "spec", Deadline: w.clock.Now().Add(max(1500*time.Millisecond, 3*work)),
-		Steps: []scheduler.Step{{Count: k.tasks, Demand: messenger.Demand{CPU: k.cpu, Memory: 64}, Estimate: estimate, Rack: k.rack}},
+		Steps: []scheduler.Step{{Count: k.tasks, Demand: messenger.Resources{CPU: k.cpu, Memory: 64}, Estimate: estimate, Rack: k.rack}},
 	}
 	for i := range k.tasks {
 		w.tasks[fmt.Sprintf("%s.0.0.%d", id, i)] = simTask{
@@ -345,7 +345,7 @@
 // countNoRoom counts the runs that were refused for lack of room.
 func (w *world) countNoRoom(list []messenger.Refusal) {
 	for _, r := range list {
-		if r.Reason == messenger.NoRoom {
+		if r.Reason == messenger.RefusedNoRoom {
 			w.noRoom++
 		}
 	}
