--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -140,8 +140,8 @@
 	g.Add(func() error { return newDirectives(a).follow(inner) }, func(error) { cancel() })
 	g.Add(func() error { return peers.follow(inner) }, func(error) { cancel() })
 	a.deps.Log.WithField("front", a.cfg.Front).Info("entry started")
-	if a.cfg.Resend < scheduler.LossAfter {
-		a.deps.Log.WithField("resend", a.cfg.Resend.String()).WithField("needed", scheduler.LossAfter.String()).
+	if a.cfg.Resend < scheduler.AgentLossTimeout {
+		a.deps.Log.WithField("resend", a.cfg.Resend.String()).WithField("needed", scheduler.AgentLossTimeout.String()).
 			Warn("callers may send jobs again while runs of a lost entry go on")
 	}
 	err := g.Run()
--- a/acceptor/budget.go
+++ b/acceptor/budget.go
@@ -43,16 +43,16 @@
 
 // adjust takes in what the entry needs, and reports whether the number has
 // changed. More links than there are agents are of no use.
-func (b *budget) adjust(need scheduler.Need, agents int, now time.Time) bool {
+func (b *budget) adjust(need scheduler.CapacityNeed, agents int, now time.Time) bool {
 	least := linksFor(need.Workers)
 	next := max(b.most, least)
 	switch {
-	case need.Short && next < agents:
+	case need.Shortage && next < agents:
 		next = min(next+int(linksGrowth*float64(next)), linksMost)
-	case !need.Short && now.Sub(b.calmSince) >= linksRest:
+	case !need.Shortage && now.Sub(b.calmSince) >= linksRest:
 		next = max(next-linksStep, least)
 	}
-	if need.Short || next != b.most {
+	if need.Shortage || next != b.most {
 		b.calmSince = now
 	}
 	changed := next != b.most
--- a/acceptor/budget_test.go
+++ b/acceptor/budget_test.go
@@ -16,7 +16,7 @@
 	play := func(short bool, span time.Duration) {
 		for range span / reselectInterval {
 			now = now.Add(reselectInterval)
-			b.adjust(scheduler.Need{Short: short, Workers: 1}, agents, now)
+			b.adjust(scheduler.CapacityNeed{Shortage: short, Workers: 1}, agents, now)
 		}
 	}
 	play(true, 2*time.Second)
@@ -29,7 +29,7 @@
 
 func TestLinksDoNotGrowBeyondTheFleet(t *testing.T) {
 	b := newBudget()
-	require.False(t, b.adjust(scheduler.Need{Short: true}, 11, time.Unix(1, 0)))
+	require.False(t, b.adjust(scheduler.CapacityNeed{Shortage: true}, 11, time.Unix(1, 0)))
 	require.Equal(t, linksBase, b.most)
 }
 
@@ -37,7 +37,7 @@
 	const busy = 15.0
 	b := newBudget()
 	for i := range 100 {
-		b.adjust(scheduler.Need{Workers: busy}, 240, time.Unix(int64(i), 0))
+		b.adjust(scheduler.CapacityNeed{Workers: busy}, 240, time.Unix(int64(i), 0))
 		require.Equal(t, int(linksPerWorker*busy), b.most)
 	}
 }
@@ -45,9 +45,9 @@
 func TestEntryWithoutCallersKeepsFewLinksUntilTheyCome(t *testing.T) {
 	b := newBudget()
 	for i := range 20 {
-		b.adjust(scheduler.Need{}, 240, time.Unix(int64(i), 0))
+		b.adjust(scheduler.CapacityNeed{}, 240, time.Unix(int64(i), 0))
 	}
 	require.Equal(t, linksIdle, b.most)
-	require.True(t, b.adjust(scheduler.Need{Workers: 1}, 240, time.Unix(20, 0)))
+	require.True(t, b.adjust(scheduler.CapacityNeed{Workers: 1}, 240, time.Unix(20, 0)))
 	require.Equal(t, linksBase, b.most)
 }
--- a/acceptor/core.go
+++ b/acceptor/core.go
@@ -50,7 +50,7 @@
 	linkClosed struct{ link *messenger.Link }
 )
 
-// pauseLeast is the least time without any message that counts as a pause.
+// minPause is the least time without any message that counts as a pause.
 const pauseLeast = 200 * time.Millisecond
 
 // core owns the scheduler.
@@ -87,7 +87,7 @@
 		c.scheduler.Submit(m.ticket, m.job)
 	case left:
 		delete(c.replies, m.ticket)
-		c.scheduler.Leave(m.ticket)
+		c.scheduler.CallerLeft(m.ticket)
 	case configured:
 		c.scheduler.Configure(m.configuration)
 	case linkOpened:
@@ -99,7 +99,7 @@
 	case dumpQuestion:
 		ctx.Respond(c.scheduler.Dump())
 	case needQuestion:
-		ctx.Respond(c.scheduler.Need())
+		ctx.Respond(c.scheduler.CapacityNeed())
 	case releaseQuestion:
 		ctx.Respond(c.release(m.agents))
 	case stateQuestion:
@@ -118,14 +118,14 @@
 func (c *core) noticePause() {
 	now := c.acceptor.deps.Clock.Now()
 	if !c.at.IsZero() && now.Sub(c.at) > pauseLeast {
-		c.scheduler.Woke()
+		c.scheduler.Resumed()
 	}
 	c.at = now
 }
 
-// carryOut does what the scheduler decided.
+// applyEffects does what the scheduler decided.
 func (c *core) carryOut() {
-	for _, e := range c.scheduler.Drain() {
+	for _, e := range c.scheduler.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Send:
 			c.acceptor.meters.sent.Inc()
@@ -169,5 +169,5 @@
 		return
 	}
 	c.links[name].heard(r.Timestamp)
-	c.scheduler.Report(*r)
+	c.scheduler.HandleReport(*r)
 }
--- a/acceptor/jobs.go
+++ b/acceptor/jobs.go
@@ -46,7 +46,7 @@
 		a.Turned(j.ID, "entry stops before the job can end")
 		return scheduler.Answer{Outcome: scheduler.Unavailable, RetryAfter: time.Second, Why: "entry stops"}
 	}
-	j.Sent = began.Add(-a.lag.unread())
+	j.EarliestSent = began.Add(-a.lag.unread())
 	ticket := a.tickets.Add(1)
 	reply := make(chan scheduler.Answer, 1)
 	a.post(submit{ticket: ticket, job: j, reply: reply})
@@ -81,8 +81,8 @@
 		line = line.WithFields(logrus.Fields{
 			"refused":          r.Point,
 			"expected_wait_ms": r.Wait.Milliseconds(),
-			"jobs_before":      r.Before,
-			"started_a_second": r.Rate,
+			"jobs_before":      r.JobsBefore,
+			"started_a_second": r.StartRate,
 			"retry_after_ms":   answer.RetryAfter.Milliseconds(),
 		})
 	}
@@ -92,7 +92,7 @@
 // endsTooLate reports whether a planned stop would cut a job off.
 func (a *Acceptor) endsTooLate(j scheduler.Job) bool {
 	by := a.stopBy.Load()
-	return by != 0 && a.deps.Clock.Now().Add(j.Most()).UnixNano() > by
+	return by != 0 && a.deps.Clock.Now().Add(j.MaxDuration()).UnixNano() > by
 }
 
 // State implements platform.Jobs.
--- a/acceptor/link.go
+++ b/acceptor/link.go
@@ -38,8 +38,8 @@
 	}
 	directives, _ := c.acceptor.Configuration()
 	evacuated := slices.Sorted(maps.Keys(directives.Evacuated))
-	want := c.scheduler.Want()
-	held := c.scheduler.Held()
+	want := c.scheduler.Backlog()
+	held := c.scheduler.HeldJobs()
 	// What has been named counts from before the stamp on.
 	now := c.acceptor.deps.Clock.Now()
 	for _, l := range due {
@@ -50,7 +50,7 @@
 			Revision:     directives.Revision,
 			Evacuated:    evacuated,
 			Backlog:      want,
-			AckedOutcome: c.scheduler.Heard(c.names[l.Link]),
+			AckedOutcome: c.scheduler.LastOutcome(c.names[l.Link]),
 			HeldJobs:     held,
 		})
 	}
@@ -60,7 +60,7 @@
 // With one that is due go those that will be soon, so that the agents answer
 // together and the entry wakes for all of them at once.
 func (c *core) due(now time.Time) []*link {
-	if c.scheduler.Asks() {
+	if c.scheduler.EarlyHeartbeatDue() {
 		return c.quietFor(0, now)
 	}
 	if len(c.quietFor(messenger.HeartbeatInterval, now)) == 0 {
@@ -89,7 +89,7 @@
 		return
 	}
 	// The scheduler must not date the entry's stamps later than they are.
-	c.scheduler.Opened(m.agent)
+	c.scheduler.LinkOpened(m.agent)
 	now := c.acceptor.deps.Clock.Now()
 	c.links[m.agent] = &link{Link: m.link, openedAt: now, beatAt: now}
 	c.names[m.link] = m.agent
@@ -110,7 +110,7 @@
 	delete(c.names, l)
 	delete(c.links, name)
 	c.acceptor.connected.Store(len(c.links) > 0)
-	c.scheduler.Closed(name)
+	c.scheduler.LinkClosed(name)
 }
 
 // release ends the links to agents at which the entry has no runs, and returns
--- a/acceptor/link_test.go
+++ b/acceptor/link_test.go
@@ -46,7 +46,7 @@
 	up := messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: messenger.Resources{CPU: 1000}}
 	for _, name := range []string{"busy", "idle"} {
 		c.opened(linkOpened{agent: name, link: newTestLink(t)})
-		c.scheduler.Report(messenger.Report{Agent: name, Incarnation: 1, RunsComplete: true})
+		c.scheduler.HandleReport(messenger.Report{Agent: name, Incarnation: 1, RunsComplete: true})
 	}
 	queue := scheduler.Queue{Name: "q", Service: "quotes", MaxAttempts: 1}
 	c.scheduler.Configure(scheduler.Configuration{Version: 1, Queues: []scheduler.Queue{queue}})
@@ -54,7 +54,7 @@
 		ID: "j", Queue: queue, Deadline: a.deps.Clock.Now().Add(time.Minute),
 		Steps: []scheduler.Step{{Count: 1, Demand: messenger.Resources{CPU: 1000}}},
 	})
-	c.scheduler.Report(messenger.Report{Agent: "busy", Incarnation: 1, Upstream: &up, Free: up.Capacity})
+	c.scheduler.HandleReport(messenger.Report{Agent: "busy", Incarnation: 1, Upstream: &up, Free: up.Capacity})
 	require.Equal(t, []string{"idle"}, c.release([]string{"busy", "idle"}))
 	require.Contains(t, c.links, "busy")
 	require.NotContains(t, c.links, "idle")
--- a/acceptor/linkset.go
+++ b/acceptor/linkset.go
@@ -201,10 +201,10 @@
 func (s *linkSet) reselect(ctx context.Context) {
 	// Tick ends with ctx and has no other error.
 	_ = announcer.Tick(ctx, s.acceptor.deps.Clock, reselectInterval, func() {
-		need := ask[scheduler.Need](s.acceptor, needQuestion{})
+		need := ask[scheduler.CapacityNeed](s.acceptor, needQuestion{})
 		if s.acceptor.lag.behind() > lagMost/2 {
 			// What this entry lacks is processor time, which more links cost.
-			need = scheduler.Need{}
+			need = scheduler.CapacityNeed{}
 		}
 		s.release(s.adjust(ctx, need))
 	})
@@ -212,12 +212,12 @@
 
 // adjust chooses the agents by the present need and returns the linked ones that
 // are not needed any more.
-func (s *linkSet) adjust(ctx context.Context, need scheduler.Need) []string {
+func (s *linkSet) adjust(ctx context.Context, need scheduler.CapacityNeed) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.budget.adjust(need, len(s.targets), s.acceptor.deps.Clock.Now()) {
 		s.dirty = true
-		s.acceptor.deps.Log.WithField("links", s.budget.most).WithField("short", need.Short).WithField("workers", need.Workers).Info("number of links changed")
+		s.acceptor.deps.Log.WithField("links", s.budget.most).WithField("short", need.Shortage).WithField("workers", need.Workers).Info("number of links changed")
 	}
 	s.link(ctx)
 	return slices.Clone(s.surplus)
--- a/attendant/core.go
+++ b/attendant/core.go
@@ -186,7 +186,7 @@
 	c.executor.Closed(name)
 }
 
-// carryOut does what the executor decided.
+// applyEffects does what the executor decided.
 func (c *core) carryOut() {
 	a := c.attendant
 	for _, e := range c.executor.Drain() {
--- a/checker/machine.go
+++ b/checker/machine.go
@@ -31,9 +31,9 @@
 		out = append(out, d.finding(Contradiction, platform.DrainWithinKey,
 			fmt.Sprintf("tasks may start for %s, longer than %s: the process is killed after %s", s.DrainWithin, platform.GraceKey, s.Grace)))
 	}
-	if s.Resend < scheduler.LossAfter {
+	if s.Resend < scheduler.AgentLossTimeout {
 		out = append(out, d.finding(Contradiction, platform.ResendKey,
-			fmt.Sprintf("callers send a job again after %s; the runs of a lost entry are over after %s", s.Resend, scheduler.LossAfter)))
+			fmt.Sprintf("callers send a job again after %s; the runs of a lost entry are over after %s", s.Resend, scheduler.AgentLossTimeout)))
 	}
 	if s.LastPort < s.InternalPort {
 		out = append(out, d.finding(Contradiction, platform.InternalPortsKey,
--- a/dispatcher/claim.go
+++ b/dispatcher/claim.go
@@ -196,7 +196,7 @@
 	return out
 }
 
-// releaseHeld looks again at what waits for agents, after one has answered or
+// clearDeferred looks again at what waits for agents, after one has answered or
 // has been given up.
 func (o *Owner) releaseHeld() {
 	for i := range o.partitions {
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// ejectAfter is the number of failures in a row that ejects an agent.
+	// ejectFailedJobs is the number of failures in a row that ejects an agent.
 	ejectAfter = 5
-	// ejectFirst and ejectMost bound how long an agent is ejected; the span
+	// minEjectTime and maxEjectTime bound how long an agent is ejected; the span
 	// doubles with each failed probe.
 	ejectFirst = time.Second
 	ejectMost  = 30 * time.Second
--- a/executor/entry.go
+++ b/executor/entry.go
@@ -49,7 +49,7 @@
 	// has been answered, and reaction the mean time that it takes to answer.
 	offered  time.Duration
 	reaction time.Duration
-	// beatAt is when the progress of runs was last told.
+	// lastHeartbeatAt is when the progress of runs was last told.
 	beatAt   time.Time
 	outcomes outcomes
 	held     held
--- a/executor/pace.go
+++ b/executor/pace.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// paceJobs is the number of jobs whose paces are kept.
+	// minPaceJobs is the number of jobs whose paces are kept.
 	paceJobs = 7
 	// paceLife is how long the pace of a job tells of the worker.
 	paceLife = 1500 * time.Millisecond
--- a/executor/reservation.go
+++ b/executor/reservation.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// reserveMost bounds how long room is kept for one reservation.
+	// maxReserveTTL bounds how long room is kept for one reservation.
 	reserveMost = time.Second
 	// smallPatience is how long smaller tasks may wait at an entry while room is
 	// kept. When they wait for longer, room is short altogether, and each worker
@@ -223,7 +223,7 @@
 	return v.held() && v.holder == e && v.demand.FitsIn(x.free()) && !v.demand.FitsIn(e.told)
 }
 
-// reservedFor returns the number of the reservation that is kept for an entry.
+// hasReservation returns the number of the reservation that is kept for an entry.
 func (x *Executor) reservedFor(e *entry) uint64 {
 	if x.reservation.holder != e {
 		return 0
--- a/executor/speed.go
+++ b/executor/speed.go
@@ -19,7 +19,7 @@
 	// that are off by 40% move a median of five by less than that nearly always.
 	speedNews   = 5
 	speedChange = 1.6
-	// speedStep is the share by which a speed must have changed to be told between
+	// speedStepRatio is the share by which a speed must have changed to be told between
 	// heartbeats.
 	speedStep = 0.1
 )
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -55,7 +55,7 @@
 	clock   clockwork.Clock
 	self    courier.EntryInfo
 	started time.Time
-	// lastRun is when the registrar last ran; a longer gap than PauseLimit
+	// lastRunNumber is when the registrar last ran; a longer gap than PauseLimit
 	// means that it could hear nobody meanwhile.
 	lastRun time.Time
 	leaving bool
@@ -190,7 +190,7 @@
 	return out
 }
 
-// mayRun reports whether m may be running out of reach of this entry: it has
+// ownsExclusively reports whether m may be running out of reach of this entry: it has
 // been heard here, has not said that it leaves, and is still being named.
 func (g *Registrar) mayRun(m *member) bool {
 	return !m.heard.IsZero() && !m.leaving && g.clock.Since(m.named) < MayRunFor
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -11,19 +11,19 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// pick draws a kind of job and the number of its tasks.
-func pick(t *rapid.T) kind {
-	k := rapid.SampledFrom(kinds).Draw(t, "kind")
+// drawKind draws a kind of job and the number of its tasks.
+func drawKind(t *rapid.T) jobKind {
+	k := rapid.SampledFrom(jobKinds).Draw(t, "kind")
 	k.tasks = rapid.IntRange(1, k.tasks).Draw(t, "tasks")
 	k.cpu = rapid.SampledFrom([]int{3100, 9300}).Draw(t, "cpu")
 	return k
 }
 
-// TestNoJobWaitsInVainAndNoneIsRefusedWhileThereIsRoom guards against jobs that are held
+// TestNoJobWaitsTooLateAndNoneIsRefusedWhileCapacityIsFree guards against jobs that are held
 // after it is known that they cannot be in time, and against refusals on arrival while
 // an agent in touch has room for a task, whether nothing waits or only jobs too large
 // for that room.
-func TestNoJobWaitsInVainAndNoneIsRefusedWhileThereIsRoom(t *testing.T) {
+func TestNoJobWaitsTooLateAndNoneIsRefusedWhileCapacityIsFree(t *testing.T) {
 	const (
 		tick  = 10 * time.Millisecond
 		steps = 150
@@ -31,25 +31,25 @@
 		inTouch = 200 * time.Millisecond
 	)
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newBench(t)
-		b.open("a")
+		b := newFixture(t)
+		b.connect("a")
 		arrived := make(map[string]scheduler.Job)
 		at := make(map[string]time.Time)
-		room := report("a", 0).Free
+		room := newReport("a", 0).Free
 		seen, told := uint64(0), b.clock.Now()
 		for n := range steps {
 			b.clock.Advance(tick)
 			if rapid.Bool().Draw(rt, "room") {
-				r := report("a", seen)
+				r := newReport("a", seen)
 				room = messenger.Resources{CPU: 3100 * rapid.IntRange(0, 4).Draw(rt, "slots"), Memory: 64_000}
 				r.Free = room
-				b.s.Report(r)
+				b.s.HandleReport(r)
 				told = b.clock.Now()
 			}
 			b.s.Tick()
-			room, seen = b.taken(room, seen)
+			room, seen = b.applyPlacements(room, seen)
 			for i := range rapid.IntRange(0, 4).Draw(rt, "arrivals") {
-				k := pick(rt)
+				k := drawKind(rt)
 				id := fmt.Sprintf("%016x", 1+10*n+i)
 				q := quotes()
 				q.Name = fmt.Sprintf("queue-%d", k.priority)
@@ -63,19 +63,19 @@
 				fits := j.Steps[0].Demand.FitsIn(room) && b.clock.Since(told) <= inTouch
 				ticket := uint64(1 + 10*n + i)
 				b.s.Submit(ticket, j)
-				room, seen = b.taken(room, seen)
+				room, seen = b.applyPlacements(room, seen)
 				if a := b.replies[ticket]; fits && a.Refusal.Point == scheduler.AtOnce {
 					rt.Fatalf("refused while there is room: %+v", a)
 				}
 			}
-			b.requireNoneInVain(rt, arrived, at)
+			b.requireNoneTooLate(rt, arrived, at)
 		}
 	})
 }
 
-// taken takes the effects in and returns the room that is left after what was placed,
+// applyPlacements takes the effects in and returns the room that is left after what was placed,
 // and the number of the last placement.
-func (b *bench) taken(room messenger.Resources, seen uint64) (messenger.Resources, uint64) {
+func (b *fixture) applyPlacements(room messenger.Resources, seen uint64) (messenger.Resources, uint64) {
 	for _, m := range b.drain() {
 		p, ok := m.(messenger.Place)
 		if !ok {
@@ -89,9 +89,9 @@
 	return room, seen
 }
 
-// requireNoneInVain checks, after a tick, that every job that waits could still be in
+// requireNoneTooLate checks, after a tick, that every job that waits could still be in
 // time for its objective and its caller.
-func (b *bench) requireNoneInVain(t *rapid.T, jobs map[string]scheduler.Job, at map[string]time.Time) {
+func (b *fixture) requireNoneTooLate(t *rapid.T, jobs map[string]scheduler.Job, at map[string]time.Time) {
 	const estimateError = 0.4
 	now := b.clock.Now()
 	for _, w := range b.s.Dump().Waiting {
--- a/scheduler/outlook.go
+++ b/scheduler/availability.go
@@ -7,15 +7,15 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// outlook is how soon an agent is expected to have room for a task.
-type outlook struct {
+// availability is how soon an agent is expected to have room for a task.
+type availability struct {
 	near bool
-	// span is the index of the first of the ForecastHorizons within which there will be
+	// horizon is the index of the first of the ForecastHorizons within which there will be
 	// room. Agents that do not tell come after these, and before those that will
 	// not have it within any.
-	span int
-	// share is the room that is free now over the room wanted.
-	share float64
+	horizon int
+	// freeShare is the room that is free now over the room wanted.
+	freeShare float64
 	// order is the agent's place in the job's own order of agents, so that entries
 	// ask different ones of those that are alike.
 	order uint64
@@ -23,18 +23,18 @@
 
 // Values of outlook.span beside the indexes of ForecastHorizons.
 const (
-	spanUnknown = len(messenger.ForecastHorizons)
-	spanLate    = spanUnknown + 1
+	horizonUnknown = len(messenger.ForecastHorizons)
+	horizonBeyond  = horizonUnknown + 1
 )
 
-func (o outlook) better(p outlook) bool {
+func (o availability) better(p availability) bool {
 	switch {
 	case o.near != p.near:
 		return o.near
-	case o.span != p.span:
-		return o.span < p.span
-	case o.share != p.share:
-		return o.share > p.share
+	case o.horizon != p.horizon:
+		return o.horizon < p.horizon
+	case o.freeShare != p.freeShare:
+		return o.freeShare > p.freeShare
 	}
 	return o.order < p.order
 }
@@ -43,12 +43,12 @@
 // when none can be asked.
 func (s *Scheduler) soonestAgent(t *task, now time.Time) *agent {
 	var best *agent
-	var bestOutlook outlook
-	for _, a := range s.byName {
+	var bestOutlook availability
+	for _, a := range s.agentsByName {
 		if !s.mayReserveAt(a, t, now) {
 			continue
 		}
-		o := a.outlook(t)
+		o := a.availability(t)
 		if best == nil || o.better(bestOutlook) {
 			best = a
 			bestOutlook = o
@@ -62,25 +62,25 @@
 	step := t.job.Steps[t.step]
 	return a.reservation == nil &&
 		a.report.Backfill.Window == 0 && // It keeps room for another entry otherwise.
-		!now.Before(a.reserveNext) &&
-		!now.Before(t.avoid[a.name]) &&
+		!now.Before(a.nextReserveAt) &&
+		!now.Before(t.avoidUntil[a.name]) &&
 		t.demand().FitsIn(a.upstream.Capacity) &&
 		!a.health.ejected &&
-		a.serves(t.job.Queue, s.config, now, s.woke) && a.sound(now) && a.suits(step) &&
-		(step.Spread == 0 || a.of(t.job, t.step) < step.Spread)
+		a.acceptsQueue(t.job.Queue, s.config, now, s.resumedAt) && a.healthy(now) && a.matchesLabel(step) &&
+		(step.MaxPerWorker == 0 || a.countPlaced(t.job, t.step) < step.MaxPerWorker)
 }
 
-// outlook returns how soon the agent is expected to have room for a task.
-func (a *agent) outlook(t *task) outlook {
+// availability returns how soon the agent is expected to have room for a task.
+func (a *agent) availability(t *task) availability {
 	d := t.demand()
 	room := a.free().NonNegative()
-	o := outlook{near: a.near(t.job.Steps[t.step]), span: spanUnknown, share: coverage(room, d), order: t.job.order(a)}
+	o := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(room, d), order: t.job.agentOrder(a)}
 	if len(a.report.Forecast) == 0 {
 		return o
 	}
-	o.span = slices.IndexFunc(a.ahead(), func(more messenger.Resources) bool { return d.FitsIn(room.Plus(more)) })
-	if o.span < 0 {
-		o.span = spanLate
+	o.horizon = slices.IndexFunc(a.capacityForecast(), func(more messenger.Resources) bool { return d.FitsIn(room.Plus(more)) })
+	if o.horizon < 0 {
+		o.horizon = horizonBeyond
 	}
 	return o
 }
--- a/scheduler/choose_test.go
+++ b/scheduler/choose_bench_test.go
@@ -10,19 +10,19 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// BenchmarkChoose guards against a choice of a worker that costs an entry, which
+// BenchmarkChooseAgent guards against a choice of a worker that costs an entry, which
 // has a fraction of a core, much more where workers differ in speed.
-func BenchmarkChoose(b *testing.B) {
+func BenchmarkChooseAgent(b *testing.B) {
 	for _, agents := range []int{24, 96} {
 		for _, uneven := range []bool{false, true} {
 			b.Run(fmt.Sprintf("agents %d, uneven %t", agents, uneven), func(b *testing.B) {
-				benchmarkChoose(b, agents, uneven)
+				benchmarkChooseAgent(b, agents, uneven)
 			})
 		}
 	}
 }
 
-func benchmarkChoose(b *testing.B, agents int, uneven bool) {
+func benchmarkChooseAgent(b *testing.B, agents int, uneven bool) {
 	clock := clockwork.NewFakeClock()
 	s := NewScheduler(clock, "dc-0")
 	q := Queue{Name: "quotes", Service: "quotes", Stretch: 1.6, Slack: 60 * time.Millisecond}
@@ -30,7 +30,7 @@
 	clock.Advance(time.Second)
 	for i := range agents {
 		name := fmt.Sprintf("agent-%02d", i)
-		s.Opened(name)
+		s.LinkOpened(name)
 		r := messenger.Report{
 			Agent: name, DataCentre: fmt.Sprintf("dc-%d", i%3), RunsComplete: true, Incarnation: 1,
 			Free:     messenger.Resources{CPU: 6000 + 1000*(i%26), Memory: 64_000},
@@ -42,10 +42,10 @@
 				r.Speed = 1.8
 			}
 		}
-		s.Report(r)
+		s.HandleReport(r)
 	}
 	s.Tick()
-	s.Drain()
+	s.TakeEffects()
 	now := clock.Now()
 	j := newJob(Job{
 		ID: "0000000000000001", Queue: q, Deadline: now.Add(time.Second),
@@ -53,7 +53,7 @@
 	}, 1, now, record{})
 	b.ResetTimer()
 	for b.Loop() {
-		if a, _ := s.choose(s.byName, j, 0, j.tasks, now); a == nil {
+		if a, _ := s.chooseAgent(s.agentsByName, j, 0, j.tasks, now); a == nil {
 			b.Fatal("no worker")
 		}
 	}
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -41,20 +41,20 @@
 func (s *Scheduler) Dump() Dump {
 	d := Dump{Version: s.config.Version, Evacuated: s.config.Evacuated, Jobs: len(s.jobs), Yielding: len(s.yielding)}
 	for _, j := range s.queue {
-		if n := len(j.in(ready)); n > 0 {
+		if n := len(j.tasksIn(ready)); n > 0 {
 			d.Waiting = append(d.Waiting, JobDump{
 				ID:     j.ID,
 				Queue:  j.Queue.Name,
 				Ready:  n,
-				Placed: len(j.in(placed)),
+				Placed: len(j.tasksIn(placed)),
 				AgeMS:  s.clock.Since(j.arrived).Milliseconds(),
 			})
 		}
 	}
-	for _, a := range s.byName {
+	for _, a := range s.agentsByName {
 		d.Agents = append(d.Agents, AgentDump{
 			Name:     a.name,
-			Open:     a.open,
+			Open:     a.synced,
 			ReportMS: s.clock.Since(a.reportedAt).Milliseconds(),
 			Upstream: a.upstream,
 			Free:     a.free(),
--- a/scheduler/twice_test.go
+++ b/scheduler/duplicate_test.go
@@ -10,41 +10,41 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heartbeatAfter is the longest time between two heartbeats of a worker.
-const heartbeatAfter = 1500 * time.Millisecond
+// maxAnnounceDelay is the longest time between two heartbeats of a worker.
+const maxAnnounceDelay = 1500 * time.Millisecond
 
-// heartbeat has the worker announce itself within the time of a heartbeat.
-func (a *simAgent) heartbeat() {
-	a.w.after(time.Duration(a.w.rng.Int64N(int64(heartbeatAfter))), func() {
+// announceWorker has the worker announce itself within the time of a heartbeat.
+func (a *simAgent) announceWorker() {
+	a.w.schedule(time.Duration(a.w.rng.Int64N(int64(maxAnnounceDelay))), func() {
 		a.do(func() { a.core.SetUpstream(a.worker.up) })
 	})
 }
 
-// words are what an agent or an entry may hear that proves nothing.
-var words = []struct {
+// misleadingSignals are what an agent or an entry may hear that proves nothing.
+var misleadingSignals = []struct {
 	name string
-	say  func(w *world)
+	say  func(w *simulation)
 }{
-	{"a worker is said to have left", func(w *world) {
+	{"a worker is said to have left", func(w *simulation) {
 		a := w.anyAgent()
 		a.do(func() { a.core.ClearUpstream(a.worker.up.ID) })
-		a.heartbeat()
+		a.announceWorker()
 	}},
-	{"a worker that is not there announces itself", func(w *world) {
+	{"a worker that is not there announces itself", func(w *simulation) {
 		a := w.anyAgent()
 		u := a.worker.up
 		u.ID = "stranger"
 		u.Born++
 		a.do(func() { a.core.SetUpstream(u) })
-		a.heartbeat()
+		a.announceWorker()
 	}},
-	{"a worker restarts under another id", func(w *world) {
+	{"a worker restarts under another id", func(w *simulation) {
 		a := w.anyAgent()
 		a.worker.restart()
 		a.worker.up.ID = fmt.Sprintf("worker-%d", w.rng.IntN(1<<30))
-		a.heartbeat()
+		a.announceWorker()
 	}},
-	{"links break", func(w *world) {
+	{"links break", func(w *simulation) {
 		for _, a := range w.agents {
 			for _, e := range w.entries {
 				if l := a.links[e.name]; l != nil && w.rng.IntN(2) == 0 {
@@ -53,7 +53,7 @@
 			}
 		}
 	}},
-	{"callers leave and send their jobs again at once", func(w *world) {
+	{"callers leave and send their jobs again at once", func(w *simulation) {
 		e := w.entries[w.rng.IntN(len(w.entries))]
 		var tickets []uint64
 		for ticket := range e.tickets {
@@ -62,41 +62,41 @@
 		slices.Sort(tickets)
 		for _, ticket := range tickets {
 			id, waits := e.tickets[ticket]
-			if !waits || e.unheard[ticket] {
+			if !waits || e.disconnected[ticket] {
 				continue // The last one's leave has had this one answered, or nobody waits.
 			}
 			job := w.results[id].job
 			// A paused entry hears of it later, and the caller is gone all the same.
-			e.unheard[ticket] = true
+			e.disconnected[ticket] = true
 			e.do(func() {
 				delete(e.tickets, ticket)
-				e.core.Leave(ticket)
-				e.ticket++
-				e.tickets[e.ticket] = job.ID
-				e.core.Submit(e.ticket, job)
+				e.core.CallerLeft(ticket)
+				e.lastTicket++
+				e.tickets[e.lastTicket] = job.ID
+				e.core.Submit(e.lastTicket, job)
 			})
 		}
 	}},
-	{"callers' connections break and their entry does not hear of it", func(w *world) {
+	{"callers' connections break and their entry does not hear of it", func(w *simulation) {
 		e := w.entries[w.rng.IntN(len(w.entries))]
 		for _, ticket := range slices.Sorted(maps.Keys(e.tickets)) {
-			e.breakUnheard(ticket)
+			e.disconnectUnnoticed(ticket)
 		}
 	}},
-	{"an agent restarts beside a worker that does not answer", func(w *world) {
+	{"an agent restarts beside a worker that does not answer", func(w *simulation) {
 		a := w.anyAgent()
-		a.worker.muteUntil = w.clock.Now().Add(400 * time.Millisecond)
+		a.worker.unresponsiveUntil = w.clock.Now().Add(400 * time.Millisecond)
 		if !a.down {
 			a.kill(5 * time.Millisecond)
 		}
 	}},
 }
 
-func (w *world) anyAgent() *simAgent { return w.agents[w.rng.IntN(len(w.agents))] }
+func (w *simulation) anyAgent() *simAgent { return w.agents[w.rng.IntN(len(w.agents))] }
 
 func TestNoTaskThatIsDoneRunsAgainWhenLinksBreak(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newWorld(t, 340+seed, 3, 7, cores)
+		w := newSimulation(t, 340+seed, 3, 7, cores)
 		w.load(6*time.Second, 0.6)
 		w.every(50*time.Millisecond, func() {
 			a := w.anyAgent()
@@ -106,41 +106,41 @@
 		})
 		w.run(12 * time.Second)
 		w.check()
-		require.Empty(t, w.repeated, "tasks that were done and began again")
+		require.Empty(t, w.rerunAfterDone, "tasks that were done and began again")
 		t.Logf("%+v", w.summary())
 	}
 }
 
-func TestNoTaskRunsTwiceAtOnceWhateverIsSaid(t *testing.T) {
-	for _, word := range words {
+func TestNoTaskRunsTwiceAtOnceDespiteMisleadingSignals(t *testing.T) {
+	for _, word := range misleadingSignals {
 		t.Run(word.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				w := newWorld(t, 300+seed, 3, 7, cores)
+				w := newSimulation(t, 300+seed, 3, 7, cores)
 				w.load(6*time.Second, 0.6)
 				for range 30 {
-					w.after(time.Duration(w.rng.Int64N(int64(6*time.Second))), func() { word.say(w) })
+					w.schedule(time.Duration(w.rng.Int64N(int64(6*time.Second))), func() { word.say(w) })
 				}
 				w.run(12 * time.Second)
 				w.check()
 				s := w.summary()
 				t.Logf("%+v", s)
-				require.Greater(t, s.inAim, s.all/2)
+				require.Greater(t, s.inTime, s.all/2)
 			}
 		})
 	}
 	t.Run("all of them, and faults", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(8) {
-			w := newWorld(t, 320+seed, 3, 7, cores)
+			w := newSimulation(t, 320+seed, 3, 7, cores)
 			w.load(8*time.Second, 0.6)
 			for range 30 {
 				at := time.Duration(w.rng.Int64N(int64(8 * time.Second)))
-				w.after(at, func() { words[w.rng.IntN(len(words))].say(w) })
+				w.schedule(at, func() { misleadingSignals[w.rng.IntN(len(misleadingSignals))].say(w) })
 			}
 			for range 8 {
 				at := time.Duration(w.rng.Int64N(int64(8 * time.Second)))
-				w.after(at, fault(w, 200*time.Millisecond+time.Duration(w.rng.Int64N(int64(2*time.Second)))))
+				w.schedule(at, fault(w, 200*time.Millisecond+time.Duration(w.rng.Int64N(int64(2*time.Second)))))
 			}
 			w.run(16 * time.Second)
 			w.check()
--- a/scheduler/effect.go
+++ b/scheduler/effect.go
@@ -60,11 +60,11 @@
 	Point RefusalPoint
 	// Wait is how long the job was expected to wait, from then on.
 	Wait time.Duration
-	// Before counts the jobs of its queue that waited before it.
-	Before int
-	// Rate is how many jobs of its queue were started a second; zero when that
+	// JobsBefore counts the jobs of its queue that waited before it.
+	JobsBefore int
+	// StartRate is how many jobs of its queue were started a second; zero when that
 	// was not known.
-	Rate float64
+	StartRate float64
 }
 
 // Effect is something that the entry process has to do.
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// ejectAfter is the number of jobs in a row with a failure that ejects a
+	// ejectFailedJobs is the number of jobs in a row with a failure that ejects a
 	// worker.
-	ejectAfter = 2
-	// ejectFirst and ejectMost bound how long a worker is ejected before it is
+	ejectFailedJobs = 2
+	// minEjectTime and maxEjectTime bound how long a worker is ejected before it is
 	// probed with one task; the span doubles with each failed probe.
-	ejectFirst = 400 * time.Millisecond
-	ejectMost  = 3 * time.Second
-	// ejectShare is the largest share of the workers that is ejected at once.
-	ejectShare = 0.5
-	// slowShare is the pace, against the usual one, under which a worker is
+	minEjectTime = 400 * time.Millisecond
+	maxEjectTime = 3 * time.Second
+	// maxEjectedShare is the largest share of the workers that is ejected at once.
+	maxEjectedShare = 0.5
+	// slowPace is the pace, against the usual one, under which a worker is
 	// ejected as slow.
-	slowShare = 0.4
-	// paceJobs is the number of jobs that a pace must come from to count.
-	paceJobs = 3
+	slowPace = 0.4
+	// minPaceJobs is the number of jobs that a pace must come from to count.
+	minPaceJobs = 3
 )
 
 // health tells whether a worker is trusted with tasks. A worker that fails
@@ -31,52 +31,52 @@
 	ejected bool
 	// probe is the run whose outcome decides; empty when none is out. The ends
 	// of runs that were placed before the ejection tell nothing new.
-	probe messenger.Run
-	until time.Time
-	span  time.Duration
+	probe        messenger.Run
+	ejectedUntil time.Time
+	ejectTime    time.Duration
 }
 
 // usable reports whether tasks may be placed.
 func (h *health) usable(now time.Time) bool {
-	return !h.ejected || (!h.probing() && now.After(h.until)) || now.After(h.until.Add(ejectMost))
+	return !h.ejected || (!h.probing() && now.After(h.ejectedUntil)) || now.After(h.ejectedUntil.Add(maxEjectTime))
 }
 
 // probing reports whether a probe is out.
 func (h *health) probing() bool { return h.probe != messenger.Run{} }
 
-// sent notes a placement. The first one after the span is the probe.
-func (h *health) sent(r messenger.Run) {
+// recordPlacement notes a placement. The first one after the span is the probe.
+func (h *health) recordPlacement(r messenger.Run) {
 	if h.ejected {
 		h.probe = r
 	}
 }
 
-// probed reports whether a run is the probe.
-func (h *health) probed(r messenger.Run) bool { return h.ejected && h.probe == r }
+// isProbe reports whether a run is the probe.
+func (h *health) isProbe(r messenger.Run) bool { return h.ejected && h.probe == r }
 
-// succeeded notes a run that was done at a pace.
-func (h *health) succeeded(r messenger.Run, pace float64) {
-	if !h.probed(r) {
+// recordSuccess notes a run that was done at a pace.
+func (h *health) recordSuccess(r messenger.Run, pace float64) {
+	if !h.isProbe(r) {
 		return
 	}
-	if pace >= slowShare {
+	if pace >= slowPace {
 		*h = health{}
 		return
 	}
-	h.unproven(r)
+	h.clearProbe(r)
 }
 
-// unproven notes that a run has ended without telling anything of the worker.
-func (h *health) unproven(r messenger.Run) {
-	if h.probed(r) {
+// clearProbe notes that a run has ended without telling anything of the worker.
+func (h *health) clearProbe(r messenger.Run) {
+	if h.isProbe(r) {
 		h.probe = messenger.Run{}
 	}
 }
 
 // eject sets the worker aside.
 func (h *health) eject(now time.Time) {
-	h.span = min(max(2*h.span, ejectFirst), ejectMost)
-	h.until = now.Add(h.span)
+	h.ejectTime = min(max(2*h.ejectTime, minEjectTime), maxEjectTime)
+	h.ejectedUntil = now.Add(h.ejectTime)
 	h.ejected = true
 	h.probe = messenger.Run{}
 }
@@ -88,23 +88,23 @@
 		return
 	}
 	switch {
-	case a.report.ConsecutiveFailedJobs >= ejectAfter:
+	case a.report.ConsecutiveFailedJobs >= ejectFailedJobs:
 		s.eject(a, "fails what it starts")
-	case a.report.PaceJobs >= paceJobs && a.report.Pace < slowShare && a.report.Pace < slowShare*s.usualPace():
+	case a.report.PaceJobs >= minPaceJobs && a.report.Pace < slowPace && a.report.Pace < slowPace*s.medianPace():
 		// The usual pace is 1 at most, and costs a look at all workers.
 		s.eject(a, "slow")
 	}
 }
 
-// usualPace returns the median pace of the workers; 1 when it is not known.
-func (s *Scheduler) usualPace() float64 {
+// medianPace returns the median pace of the workers; 1 when it is not known.
+func (s *Scheduler) medianPace() float64 {
 	var list []float64
-	for _, a := range s.byName {
-		if a.open && a.report.PaceJobs >= paceJobs {
+	for _, a := range s.agentsByName {
+		if a.synced && a.report.PaceJobs >= minPaceJobs {
 			list = append(list, a.report.Pace)
 		}
 	}
-	if len(list) < paceJobs {
+	if len(list) < minPaceJobs {
 		return 1
 	}
 	slices.Sort(list)
@@ -124,10 +124,10 @@
 // mayEject reports whether one more worker may be set aside.
 func (s *Scheduler) mayEject() bool {
 	ejected := 0
-	for _, a := range s.byName {
+	for _, a := range s.agentsByName {
 		if a.health.ejected {
 			ejected++
 		}
 	}
-	return float64(ejected+1) <= ejectShare*float64(len(s.byName))
+	return float64(ejected+1) <= maxEjectedShare*float64(len(s.agentsByName))
 }
--- a/scheduler/held_test.go
+++ b/scheduler/heldjobs_test.go
@@ -12,16 +12,16 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// heldBy returns an agent's word that other entries hold jobs.
-func heldBy(agent string, jobs ...string) messenger.Report {
-	r := report(agent, 0)
+// reportHeldRunning returns an agent's word that other entries hold jobs.
+func reportHeldRunning(agent string, jobs ...string) messenger.Report {
+	r := newReport(agent, 0)
 	r.HeldJobs = &messenger.HeldJobs{Running: jobs}
 	return r
 }
 
-// waitingBy returns an agent's word that jobs wait at other entries.
-func waitingBy(agent string, jobs ...string) messenger.Report {
-	r := report(agent, 0)
+// reportHeldYielding returns an agent's word that jobs wait at other entries.
+func reportHeldYielding(agent string, jobs ...string) messenger.Report {
+	r := newReport(agent, 0)
 	r.HeldJobs = &messenger.HeldJobs{Yielding: jobs}
 	return r
 }
@@ -29,40 +29,40 @@
 func TestJobThatAnotherEntryHoldsIsNotPlaced(t *testing.T) {
 	tests := []struct {
 		name string
-		over func(b *bench)
+		over func(b *fixture)
 	}{
-		{"until it holds it no longer", func(b *bench) { b.s.Report(heldBy("a")) }},
-		{"until the agent that said so has been silent for long", func(b *bench) {
-			b.s.Closed("a")
+		{"until it holds it no longer", func(b *fixture) { b.s.HandleReport(reportHeldRunning("a")) }},
+		{"until the agent that said so has been silent for long", func(b *fixture) {
+			b.s.LinkClosed("a")
 			b.clock.Advance(messenger.HeldJobsTTL)
-			b.s.Report(report("b", 0))
+			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
 			require.Empty(b.t, b.drain())
 			b.clock.Advance(time.Millisecond)
-			b.s.Report(report("b", 0))
+			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
 		}},
-		{"until the agent that said so has been back for long", func(b *bench) {
+		{"until the agent that said so has been back for long", func(b *fixture) {
 			for i := range int64(2) {
-				r := heldBy("a")
+				r := reportHeldRunning("a")
 				r.Incarnation = 2 + i
-				b.s.Report(r)
+				b.s.HandleReport(r)
 			}
 			require.Empty(b.t, b.drain(), "it has not heard of the job yet")
 			b.clock.Advance(messenger.HeldJobsTTL)
-			b.s.Report(report("b", 0))
+			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			b.open("a")
-			b.open("b")
-			b.s.Report(heldBy("a", jobID))
-			b.s.Submit(1, b.lasting())
-			b.s.Report(report("a", 0))
-			b.s.Report(report("b", 0))
+			b := newFixture(t)
+			b.connect("a")
+			b.connect("b")
+			b.s.HandleReport(reportHeldRunning("a", jobID))
+			b.s.Submit(1, b.longJob())
+			b.s.HandleReport(newReport("a", 0))
+			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
 			require.Empty(t, b.drain())
 			require.Empty(t, b.replies, "it is not known that it has not run")
@@ -73,24 +73,24 @@
 	}
 }
 
-func TestEntryThatWasPausedPlacesNothingByWhatWasSaidBefore(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
+func TestPausedEntryIgnoresReportsFromBeforeThePause(t *testing.T) {
+	b := newFixture(t)
+	b.connect("a")
 	b.clock.Advance(500 * time.Millisecond)
-	b.s.Woke()
-	b.s.Report(report("a", 0))
-	b.s.Submit(1, b.lasting())
+	b.s.Resumed()
+	b.s.HandleReport(newReport("a", 0))
+	b.s.Submit(1, b.longJob())
 	require.Empty(t, b.drain(), "the report may have been made before the pause")
 	b.clock.Advance(time.Millisecond)
-	b.beat("a", 0)
+	b.heartbeat("a", 0)
 	b.drain()
 	require.Len(t, b.placed().Tasks, 1)
 }
 
 func TestJobThatAnotherEntryHoldsIsNotSaidToHaveNotRun(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.s.Report(heldBy("a", jobID))
+	b := newFixture(t)
+	b.connect("a")
+	b.s.HandleReport(reportHeldRunning("a", jobID))
 	b.s.Submit(1, b.job(jobID, 1))
 	b.clock.Advance(1500 * time.Millisecond)
 	b.s.Tick()
@@ -99,62 +99,62 @@
 }
 
 func TestJobsThatGoOnForLongAreNamedInHeartbeats(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.s.Submit(1, b.lasting())
+	b := newFixture(t)
+	b.connect("a")
+	b.s.Submit(1, b.longJob())
 	b.s.Submit(2, b.job("0000000000000005", 1))
 	b.drain()
-	require.Empty(t, b.beat("a", 2))
+	require.Empty(t, b.heartbeat("a", 2))
 	b.clock.Advance(500 * time.Millisecond)
-	require.Equal(t, []string{jobID, "0000000000000005"}, b.beat("a", 2))
-	b.s.Leave(1)
-	require.Contains(t, b.beat("a", 2), jobID, "its run may go on")
-	r := report("a", 2)
+	require.Equal(t, []string{jobID, "0000000000000005"}, b.heartbeat("a", 2))
+	b.s.CallerLeft(1)
+	require.Contains(t, b.heartbeat("a", 2), jobID, "its run may go on")
+	r := newReport("a", 2)
 	r.Ended = []messenger.RunEnd{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Reason: messenger.RunStopped}}
-	b.s.Report(r)
-	require.NotContains(t, b.beat("a", 2), jobID)
+	b.s.HandleReport(r)
+	require.NotContains(t, b.heartbeat("a", 2), jobID)
 }
 
 func TestJobThatWaitsAtAnotherEntryIsGivenUp(t *testing.T) {
 	tests := []struct {
 		name  string
-		begin func(b *bench)
+		begin func(b *fixture)
 	}{
-		{"while it runs", func(b *bench) { b.s.Submit(1, b.lasting()) }},
-		{"while it waits as well", func(b *bench) {
-			b.s.Report(heldBy("a", jobID))
-			b.s.Submit(1, b.lasting())
+		{"while it runs", func(b *fixture) { b.s.Submit(1, b.longJob()) }},
+		{"while it waits as well", func(b *fixture) {
+			b.s.HandleReport(reportHeldRunning("a", jobID))
+			b.s.Submit(1, b.longJob())
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			b.open("a")
+			b := newFixture(t)
+			b.connect("a")
 			tt.begin(b)
 			b.clock.Advance(600 * time.Millisecond)
-			b.beat("a", 1)
-			b.s.Report(waitingBy("a", jobID))
+			b.heartbeat("a", 1)
+			b.s.HandleReport(reportHeldYielding("a", jobID))
 			b.s.Tick()
 			b.drain()
 			require.Empty(t, b.replies, "its caller may still be here")
 			b.clock.Advance(600 * time.Millisecond)
-			b.turn("a")
+			b.heartbeatAndTick("a")
 			require.Equal(t, scheduler.Unsettled, b.replies[1].Outcome)
 		})
 	}
 }
 
 func TestJobThatEndsAsItsCallerSendsItElsewhereIsComplete(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.s.Submit(1, b.lasting())
+	b := newFixture(t)
+	b.connect("a")
+	b.s.Submit(1, b.longJob())
 	for range 2 {
 		b.clock.Advance(650 * time.Millisecond)
-		b.beat("a", 1)
+		b.heartbeat("a", 1)
 	}
-	r := waitingBy("a", jobID)
+	r := reportHeldYielding("a", jobID)
 	r.Ended = []messenger.RunEnd{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Reason: messenger.RunDone}}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.drain()
 	require.Equal(t, scheduler.Complete, b.replies[1].Outcome)
 }
@@ -165,24 +165,24 @@
 		over bool
 		want map[uint64]scheduler.Answer
 	}{
-		{"it goes on there", false, map[uint64]scheduler.Answer{1: {Outcome: scheduler.Unsettled, RetryAfter: scheduler.LossAfter, Why: "another entry has begun it"}}},
+		{"it goes on there", false, map[uint64]scheduler.Answer{1: {Outcome: scheduler.Unsettled, RetryAfter: scheduler.AgentLossTimeout, Why: "another entry has begun it"}}},
 		{"its runs there are being stopped", true, map[uint64]scheduler.Answer{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			b.open("a")
-			b.s.Submit(1, b.lasting())
-			r := heldBy("a", jobID)
+			b := newFixture(t)
+			b.connect("a")
+			b.s.Submit(1, b.longJob())
+			r := reportHeldRunning("a", jobID)
 			if tt.over {
 				r.HeldJobs = &messenger.HeldJobs{Finished: []string{jobID}}
 			}
-			b.s.Report(r)
+			b.s.HandleReport(r)
 			for range 13 {
 				b.drain()
 				require.Empty(t, b.replies, "its caller may still be here")
 				b.clock.Advance(100 * time.Millisecond)
-				b.beat("a", 1)
+				b.heartbeat("a", 1)
 				b.s.Tick()
 			}
 			b.drain()
@@ -191,18 +191,18 @@
 	}
 }
 
-func TestJobIsNotGivenUpForWhatALostAgentSaidLongAgo(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.open("b")
-	b.s.Report(waitingBy("b", jobID))
-	b.s.Closed("b")
+func TestExpiredHeldJobsOfALostAgentDoNotEndAJob(t *testing.T) {
+	b := newFixture(t)
+	b.connect("a")
+	b.connect("b")
+	b.s.HandleReport(reportHeldYielding("b", jobID))
+	b.s.LinkClosed("b")
 	b.clock.Advance(messenger.HeldJobsTTL + time.Millisecond)
-	b.s.Report(report("a", 0))
-	b.s.Submit(1, b.lasting())
+	b.s.HandleReport(newReport("a", 0))
+	b.s.Submit(1, b.longJob())
 	for range 20 {
 		b.clock.Advance(100 * time.Millisecond)
-		b.beat("a", 1)
+		b.heartbeat("a", 1)
 		b.s.Tick()
 	}
 	b.drain()
@@ -210,22 +210,22 @@
 }
 
 func TestJobThatWaitsIsNamedAsWaiting(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.s.Report(heldBy("a", jobID))
-	b.s.Submit(1, b.lasting())
-	require.Equal(t, messenger.HeldJobs{Yielding: []string{jobID}}, b.s.Held())
+	b := newFixture(t)
+	b.connect("a")
+	b.s.HandleReport(reportHeldRunning("a", jobID))
+	b.s.Submit(1, b.longJob())
+	require.Equal(t, messenger.HeldJobs{Yielding: []string{jobID}}, b.s.HeldJobs())
 }
 
 func TestJobThatWaitedIsNotLeftBehindWhenItsCallerSendsItAgain(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.s.Report(heldBy("a", jobID))
-	b.s.Submit(1, b.lasting())
-	b.s.Leave(1)
-	b.s.Submit(2, b.lasting())
+	b := newFixture(t)
+	b.connect("a")
+	b.s.HandleReport(reportHeldRunning("a", jobID))
+	b.s.Submit(1, b.longJob())
+	b.s.CallerLeft(1)
+	b.s.Submit(2, b.longJob())
 	b.drain()
-	b.s.Report(heldBy("a"))
+	b.s.HandleReport(reportHeldRunning("a"))
 	b.drain()
 	b.placed()
 }
@@ -233,35 +233,35 @@
 func TestJobThatOtherEntriesMayNotKnowOfIsGivenUpBeforeItIsSentAgain(t *testing.T) {
 	tests := []struct {
 		name string
-		play func(b *bench)
+		play func(b *fixture)
 		want scheduler.Outcome
 	}{
-		{"no agent has heard of it", func(b *bench) {
-			b.s.Submit(1, b.lasting())
+		{"no agent has heard of it", func(b *fixture) {
+			b.s.Submit(1, b.longJob())
 			for range 12 {
 				b.clock.Advance(100 * time.Millisecond)
-				b.s.Held()
-				b.s.Report(report("a", 1))
+				b.s.HeldJobs()
+				b.s.HandleReport(newReport("a", 1))
 			}
 		}, scheduler.Unsettled},
-		{"no agent has heard anything for long", func(b *bench) {
-			b.s.Submit(1, b.lasting())
+		{"no agent has heard anything for long", func(b *fixture) {
+			b.s.Submit(1, b.longJob())
 			b.clock.Advance(600 * time.Millisecond)
-			b.beat("a", 1)
+			b.heartbeat("a", 1)
 			b.clock.Advance(time.Second)
-			b.s.Report(report("a", 1))
+			b.s.HandleReport(newReport("a", 1))
 		}, scheduler.Unsettled},
-		{"the entry was paused before it read it", func(b *bench) {
-			j := b.lasting()
-			j.Sent = b.clock.Now().Add(-1300 * time.Millisecond)
+		{"the entry was paused before it read it", func(b *fixture) {
+			j := b.longJob()
+			j.EarliestSent = b.clock.Now().Add(-1300 * time.Millisecond)
 			b.s.Submit(1, j)
 			require.Empty(b.t, b.sent)
 		}, scheduler.Overloaded},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			b.open("a")
+			b := newFixture(t)
+			b.connect("a")
 			tt.play(b)
 			b.s.Tick()
 			b.drain()
@@ -271,20 +271,20 @@
 }
 
 func TestJobThatOtherEntriesKnowOfGoesOn(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.s.Submit(1, b.lasting())
+	b := newFixture(t)
+	b.connect("a")
+	b.s.Submit(1, b.longJob())
 	for range 30 {
 		b.clock.Advance(100 * time.Millisecond)
-		b.turn("a")
+		b.heartbeatAndTick("a")
 		require.Empty(t, b.replies)
 	}
 }
 
 func TestJobsWhoseCallersLeftUnnoticedRunOnceAtATime(t *testing.T) {
-	long := kind{tasks: 2, work: 2 * time.Second, cpu: 3100}
+	long := jobKind{tasks: 2, work: 2 * time.Second, cpu: 3100}
 	for seed := range uint64(10) {
-		w := newWorld(t, 9100+seed, 3, 6, 31_000)
+		w := newSimulation(t, 9100+seed, 3, 6, 31_000)
 		w.load(6*time.Second, 0.3)
 		for range 60 {
 			w.run(100 * time.Millisecond)
@@ -293,14 +293,14 @@
 				e.kill(time.Duration(w.rng.Int64N(int64(600 * time.Millisecond))))
 			}
 			w.submit(e, long)
-			w.after(time.Duration(w.rng.Int64N(int64(2*time.Second))), func() {
+			w.schedule(time.Duration(w.rng.Int64N(int64(2*time.Second))), func() {
 				if tickets := slices.Sorted(maps.Keys(e.tickets)); len(tickets) > 0 {
-					e.breakUnheard(tickets[w.rng.IntN(len(tickets))])
+					e.disconnectUnnoticed(tickets[w.rng.IntN(len(tickets))])
 				}
 			})
 		}
 		w.run(8 * time.Second)
 		w.check()
-		require.NotZero(t, w.summary().inAim, "seed %d", seed)
+		require.NotZero(t, w.summary().inTime, "seed %d", seed)
 	}
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -19,9 +19,9 @@
 	Steps []Step
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Sent is when the caller may have sent the job at the earliest; zero means
+	// EarliestSent is when the caller may have sent the job at the earliest; zero means
 	// when it is handed in.
-	Sent time.Time
+	EarliestSent time.Time
 }
 
 // Step is a set of equal tasks.
@@ -36,12 +36,12 @@
 	Label string
 	// Rack is the label of the rack where the data is; empty means anywhere.
 	Rack string
-	// Spread is how many tasks of the step one worker may run; 0 means any.
-	Spread int
+	// MaxPerWorker is how many tasks of the step one worker may run; 0 means any.
+	MaxPerWorker int
 }
 
-// Valid reports what is wrong with a job, or nothing.
-func (j Job) Valid() error {
+// Validate reports what is wrong with a job, or nothing.
+func (j Job) Validate() error {
 	if len(j.Steps) == 0 {
 		return &Error{Op: "job", Kind: Invalid, Text: "no steps"}
 	}
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// chain returns the longest chain of estimated work.
-func (j Job) chain() time.Duration {
+// criticalPath returns the longest chain of estimated work.
+func (j Job) criticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i, s := range j.Steps {
@@ -72,9 +72,9 @@
 	return longest
 }
 
-// chainsFrom returns, for each step, the longest chain of estimated work that begins
+// criticalPathsFrom returns, for each step, the longest chain of estimated work that begins
 // with it.
-func (j Job) chainsFrom() []time.Duration {
+func (j Job) criticalPathsFrom() []time.Duration {
 	chains := make([]time.Duration, len(j.Steps))
 	for i := len(j.Steps) - 1; i >= 0; i-- {
 		chains[i] += j.Steps[i].Estimate
@@ -88,21 +88,21 @@
 // estimateError is how far estimates usually are off, either way.
 const estimateError = 0.4
 
-// least returns the time that the job takes if the estimates are as far too
+// minDuration returns the time that the job takes if the estimates are as far too
 // high as they usually get.
-func (j Job) least() time.Duration {
-	return time.Duration((1 - estimateError) * float64(j.chain()))
+func (j Job) minDuration() time.Duration {
+	return time.Duration((1 - estimateError) * float64(j.criticalPath()))
 }
 
-// Most returns the time that the job takes if the estimates are as far too low
+// MaxDuration returns the time that the job takes if the estimates are as far too low
 // as they usually get.
-func (j Job) Most() time.Duration {
-	return time.Duration((1 + estimateError) * float64(j.chain()))
+func (j Job) MaxDuration() time.Duration {
+	return time.Duration((1 + estimateError) * float64(j.criticalPath()))
 }
 
 // objective returns the time in which the job is to be complete.
 func (j Job) objective() time.Duration {
-	return time.Duration(j.Queue.Stretch*float64(j.chain())) + j.Queue.Slack
+	return time.Duration(j.Queue.Stretch*float64(j.criticalPath())) + j.Queue.Slack
 }
 
 // taskState is where a task stands.
@@ -126,37 +126,37 @@
 	state taskState
 	// readyAt is when the steps before it were done.
 	readyAt time.Time
-	// run is the number of the last run.
-	run   int
-	agent *agent
+	// runNumber is the number of the last run.
+	runNumber int
+	agent     *agent
 	// placedAt is when the last run was sent; link and place are the numbers of
 	// the agent's link and of the Place on it.
-	placedAt time.Time
-	link     int
-	place    uint64
-	// speed is the relative speed of the worker as it was known at placedAt; 1 for
+	placedAt    time.Time
+	linkNumber  int
+	placeNumber uint64
+	// placedSpeed is the relative speed of the worker as it was known at placedAt; 1 for
 	// a probe.
-	speed float64
+	placedSpeed float64
 	// failures counts the runs that ended as failed.
 	failures int
-	// avoid lists agents that the task is kept away from, and until when.
-	avoid map[string]time.Time
-	// percent is how far the last run had come at age.
-	percent int
-	age     time.Duration
+	// avoidUntil lists agents that the task is kept away from, and until when.
+	avoidUntil map[string]time.Time
+	// progressPercent is how far the last run had come at age.
+	progressPercent int
+	progressAge     time.Duration
 	// moving means that the last run is being stopped to run it elsewhere.
 	moving bool
 	// farFactor is how many times as long the last run takes for being away from
 	// its data; 0 counts as 1.
 	farFactor float64
-	// held means that the task waits for a near worker although a far one had room
+	// deferred means that the task waits for a near worker although a far one had room
 	// when the agents were last looked at.
-	held bool
+	deferred bool
 }
 
 func (t *task) demand() messenger.Resources { return t.job.Steps[t.step].Demand }
 
-func (t *task) current() messenger.Run { return messenger.Run{Task: t.id, Number: t.run} }
+func (t *task) current() messenger.Run { return messenger.Run{Task: t.id, Number: t.runNumber} }
 
 // work returns the task's estimated work in core-milliseconds.
 func (t *task) work() float64 {
@@ -174,55 +174,55 @@
 	arrived time.Time
 	tickets []uint64
 	tasks   []*task
-	// left counts the tasks of each step that are not finished.
-	left []int
-	// queuedUp means that the scheduler's queue holds the job.
-	queuedUp bool
+	// unfinished counts the tasks of each step that are not finished.
+	unfinished []int
+	// inQueue means that the scheduler's queue holds the job.
+	inQueue bool
 	// queuedAt is when it was last put there, apart from placements that were
 	// refused since.
 	queuedAt time.Time
-	// begun means that a task may have started.
-	begun bool
-	hold  hold
+	// mayHaveStarted means that a task may have started.
+	mayHaveStarted bool
+	hold           hold
 	// overdue means that latest had passed, and rank is the place of its kind,
 	// both as of when the queue was last sorted.
 	overdue bool
 	rank    int
-	// waited means that a pass has found no room for the job, and counted that its
+	// waitedForCapacity means that a pass has found no room for the job, and counted that its
 	// first placement after that is among its queue's starts.
-	waited  bool
-	counted bool
+	waitedForCapacity bool
+	startCounted      bool
 	// fastOnly means that the job has waited for too long for any worker but a fast
 	// one.
 	fastOnly bool
-	// latest is when the first task must start for the job to be in time, and objectiveAt
+	// latestStart is when the first task must start for the job to be in time, and objectiveAt
 	// when the last one must have ended.
-	latest, objectiveAt time.Time
-	// chains are the longest chains of estimated work from each step on.
-	chains []time.Duration
+	latestStart, objectiveAt time.Time
+	// criticalPaths are the longest chains of estimated work from each step on.
+	criticalPaths []time.Duration
 }
 
 // newJob returns a job of which last is the record of the last try.
 func newJob(j Job, number uint64, now time.Time, last record) *job {
 	n := &job{
-		Job:         j,
-		number:      number,
-		hash:        xxhash.Sum64String(j.ID),
-		arrived:     now,
-		left:        make([]int, len(j.Steps)),
-		latest:      now.Add(j.objective() - j.chain()),
-		objectiveAt: now.Add(j.objective()),
-		chains:      j.chainsFrom(),
-		begun:       last.begun,
-		hold:        hold{since: j.Sent},
+		Job:            j,
+		number:         number,
+		hash:           xxhash.Sum64String(j.ID),
+		arrived:        now,
+		unfinished:     make([]int, len(j.Steps)),
+		latestStart:    now.Add(j.objective() - j.criticalPath()),
+		objectiveAt:    now.Add(j.objective()),
+		criticalPaths:  j.criticalPathsFrom(),
+		mayHaveStarted: last.mayHaveStarted,
+		hold:           hold{sentAt: j.EarliestSent},
 	}
-	if j.Sent.IsZero() {
-		n.hold.since = now
+	if j.EarliestSent.IsZero() {
+		n.hold.sentAt = now
 	}
 	for i, s := range j.Steps {
-		n.left[i] = s.Count
+		n.unfinished[i] = s.Count
 		for k := range s.Count {
-			t := &task{job: n, step: i, id: fmt.Sprintf("%s.0.%d.%d", j.ID, i, k), run: last.lastRun}
+			t := &task{job: n, step: i, id: fmt.Sprintf("%s.0.%d.%d", j.ID, i, k), runNumber: last.lastRunNumber}
 			if len(s.After) == 0 {
 				t.state = ready
 				t.readyAt = now
@@ -233,45 +233,45 @@
 	return n
 }
 
-// truthful returns an answer that does not claim that a job which may have
+// unsettledIfStarted returns an answer that does not claim that a job which may have
 // begun has not run.
-func (j *job) truthful(a Answer) Answer {
-	if j.begun && a.Outcome != Complete {
-		return Answer{Outcome: Unsettled, RetryAfter: LossAfter, Why: a.Why + "; an earlier try may have run"}
+func (j *job) unsettledIfStarted(a Answer) Answer {
+	if j.mayHaveStarted && a.Outcome != Complete {
+		return Answer{Outcome: Unsettled, RetryAfter: AgentLossTimeout, Why: a.Why + "; an earlier try may have run"}
 	}
 	return a
 }
 
-// fresh reports whether nothing has been done for a job.
-func (j *job) fresh() bool { return !j.begun && !j.has(placed) }
+// unstarted reports whether nothing has been done for a job.
+func (j *job) unstarted() bool { return !j.mayHaveStarted && !j.hasTask(placed) }
 
 // unblock makes the tasks ready whose steps may begin.
 func (j *job) unblock(now time.Time) {
 	for _, t := range j.tasks {
-		if t.state == blocked && j.open(t.step) {
+		if t.state == blocked && j.stepReady(t.step) {
 			t.state = ready
 			t.readyAt = now
 		}
 	}
 }
 
-// open reports whether all steps before step are done.
-func (j *job) open(step int) bool {
+// stepReady reports whether all steps before step are done.
+func (j *job) stepReady(step int) bool {
 	for _, a := range j.Steps[step].After {
-		if j.left[a] > 0 {
+		if j.unfinished[a] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// onRack reports whether the data of a step is on a rack.
-func (j Job) onRack() bool {
+// hasRackData reports whether the data of a step is on a rack.
+func (j Job) hasRackData() bool {
 	return slices.ContainsFunc(j.Steps, func(s Step) bool { return s.Rack != "" })
 }
 
 func (j *job) done() bool {
-	for _, n := range j.left {
+	for _, n := range j.unfinished {
 		if n > 0 {
 			return false
 		}
@@ -279,13 +279,13 @@
 	return true
 }
 
-// has reports whether a task is in a state.
-func (j *job) has(state taskState) bool {
+// hasTask reports whether a task is in a state.
+func (j *job) hasTask(state taskState) bool {
 	return slices.ContainsFunc(j.tasks, func(t *task) bool { return t.state == state })
 }
 
-// in returns the tasks in a state.
-func (j *job) in(state taskState) []*task {
+// tasksIn returns the tasks in a state.
+func (j *job) tasksIn(state taskState) []*task {
 	var out []*task
 	for _, t := range j.tasks {
 		if t.state == state {
@@ -295,21 +295,21 @@
 	return out
 }
 
-// lastRun returns the highest run number of any task.
-func (j *job) lastRun() int {
+// lastRunNumber returns the highest run number of any task.
+func (j *job) lastRunNumber() int {
 	n := 0
 	for _, t := range j.tasks {
-		n = max(n, t.run)
+		n = max(n, t.runNumber)
 	}
 	return n
 }
 
-// queued returns the estimated work of the tasks that wait, in core-milliseconds.
+// queuedWork returns the estimated work of the tasks that wait, in core-milliseconds.
 // Tasks held for a near worker are left out: other jobs can have the far room.
-func (j *job) queued() float64 {
+func (j *job) queuedWork() float64 {
 	var sum float64
 	for _, t := range j.tasks {
-		if t.state == ready && !t.held {
+		if t.state == ready && !t.deferred {
 			sum += t.work()
 		}
 	}
--- a/scheduler/locality_test.go
+++ b/scheduler/locality_test.go
@@ -15,7 +15,7 @@
 // rackBench is a bench with an agent "near" on the rack and an agent "far" beside
 // it. Rooms are counted in tasks.
 type rackBench struct {
-	*bench
+	*fixture
 	// places are the placements of the last effects, by agent, and notes the
 	// decisions in them.
 	places map[string][]messenger.Place
@@ -29,31 +29,31 @@
 }
 
 func newRackBench(t *testing.T, far float64) *rackBench {
-	b := &rackBench{bench: newBench(t), entries: 1, seen: make(map[string]uint64), listed: make(map[string]bool)}
+	b := &rackBench{fixture: newFixture(t), entries: 1, seen: make(map[string]uint64), listed: make(map[string]bool)}
 	b.s.Configure(configuration().WithFarFactor(far))
 	for _, name := range []string{"far", "near"} {
-		b.s.Opened(name)
-		b.tell(name, 0, nil)
+		b.s.LinkOpened(name)
+		b.reportCapacity(name, 0, nil)
 	}
 	b.drain()
 	return b
 }
 
-// tell has an agent report its room, and the room ahead after each span.
-func (b *rackBench) tell(name string, free int, ahead []int) {
-	b.s.Report(b.report(name, free, ahead))
+// reportCapacity has an agent report its room, and the room ahead after each span.
+func (b *rackBench) reportCapacity(name string, free int, ahead []int) {
+	b.s.HandleReport(b.report(name, free, ahead))
 }
 
-// change has an agent without room report something else besides.
-func (b *rackBench) change(name string, ahead []int, with func(*messenger.Report)) {
+// reportWith has an agent without room report something else besides.
+func (b *rackBench) reportWith(name string, ahead []int, with func(*messenger.Report)) {
 	r := b.report(name, 0, ahead)
 	with(&r)
-	b.s.Report(r)
+	b.s.HandleReport(r)
 }
 
 // report returns a report of an agent's room, and of the room ahead.
 func (b *rackBench) report(name string, free int, ahead []int) messenger.Report {
-	r := report(name, b.seen[name])
+	r := newReport(name, b.seen[name])
 	r.RunsComplete = !b.listed[name]
 	b.listed[name] = true
 	r.ConnectedEntries = b.entries
@@ -74,7 +74,7 @@
 func (b *rackBench) drain() {
 	b.places = make(map[string][]messenger.Place)
 	b.notes = nil
-	for _, e := range b.s.Drain() {
+	for _, e := range b.s.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Reply:
 			b.replies[e.Ticket] = e.Answer
@@ -89,8 +89,8 @@
 	}
 }
 
-// at counts the tasks that the last effects place at an agent.
-func (b *rackBench) at(name string) int {
+// placedAt counts the tasks that the last effects place at an agent.
+func (b *rackBench) placedAt(name string) int {
 	n := 0
 	for _, p := range b.places[name] {
 		n += len(p.Tasks)
@@ -109,7 +109,7 @@
 	return n
 }
 
-// onRack returns a job of tasks whose data is on the rack.
+// hasRackData returns a job of tasks whose data is on the rack.
 func (b *rackBench) onRack(number, tasks int, estimate time.Duration) scheduler.Job {
 	j := b.job(fmt.Sprintf("%016x", number), tasks)
 	j.Steps[0].Rack = rackLabel
@@ -123,10 +123,10 @@
 	b.drain()
 }
 
-// TestNearNowNearSoonOrFar guards against far work that costs the caller its
+// TestChoiceBetweenNearAndFar guards against far work that costs the caller its
 // objective or others their room when a near worker is about to have room, and
 // against waiting near when that makes a job late.
-func TestNearNowNearSoonOrFar(t *testing.T) {
+func TestChoiceBetweenNearAndFar(t *testing.T) {
 	const short = 60 * time.Millisecond
 	tests := []struct {
 		name     string
@@ -166,12 +166,12 @@
 				large.Steps[0].Estimate = 2 * tt.estimate
 				b.submit(large)
 			}
-			b.tell("near", tt.near, tt.ahead)
-			b.tell("far", 5, nil)
+			b.reportCapacity("near", tt.near, tt.ahead)
+			b.reportCapacity("far", 5, nil)
 			b.drain()
 			b.submit(b.onRack(1, tt.tasks, tt.estimate))
-			require.Equal(t, tt.atNear, b.at("near"), "near")
-			require.Equal(t, tt.atFar, b.at("far"), "far")
+			require.Equal(t, tt.atNear, b.placedAt("near"), "near")
+			require.Equal(t, tt.atFar, b.placedAt("far"), "far")
 			if tt.factor <= 1 {
 				require.Zero(t, b.noted("near now")+b.noted("near soon")+b.noted("far"))
 				return
@@ -197,8 +197,8 @@
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.factor), func(t *testing.T) {
 			b := newRackBench(t, tt.factor)
-			b.tell("near", 1, nil)
-			b.tell("far", 1, nil)
+			b.reportCapacity("near", 1, nil)
+			b.reportCapacity("far", 1, nil)
 			b.drain()
 			b.submit(b.onRack(1, 2, 60*time.Millisecond))
 			require.Equal(t, tt.near, b.places["near"][0].Tasks[0].Estimate)
@@ -211,20 +211,20 @@
 // the same room, of which most would be late.
 func TestJobsDoNotPileUpForASaturatedRack(t *testing.T) {
 	b := newRackBench(t, 2)
-	b.tell("near", 0, []int{6, 6, 6, 6, 6})
-	b.tell("far", 10, nil)
+	b.reportCapacity("near", 0, []int{6, 6, 6, 6, 6})
+	b.reportCapacity("far", 10, nil)
 	b.drain()
 	far := 0
 	for i := range 4 {
 		b.submit(b.onRack(i+1, 3, 60*time.Millisecond))
-		far += b.at("far")
+		far += b.placedAt("far")
 	}
 	require.Equal(t, 6, far, "6 of 12 tasks are held, as many as the rack will have room for")
 }
 
-// TestHeldJobGoesFarInTheEnd guards against a job that is refused although a far
+// TestDeferredJobFallsBackToFarWorker guards against a job that is refused although a far
 // worker has room, since the room that it waits for near does not fall free.
-func TestHeldJobGoesFarInTheEnd(t *testing.T) {
+func TestDeferredJobFallsBackToFarWorker(t *testing.T) {
 	const tick = 10 * time.Millisecond
 	// patience is 0.6 times the slack of 96 ms.
 	const patience = 58 * time.Millisecond
@@ -235,37 +235,37 @@
 		// most is how long the job may wait.
 		most time.Duration
 	}{
-		{"forecast is never kept", func(b *rackBench) { b.tell("near", 0, []int{9, 9, 9, 9, 9}) }, patience + tick},
+		{"forecast is never kept", func(b *rackBench) { b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9}) }, patience + tick},
 		{"near agent says nothing more", func(*rackBench) {}, patience + tick},
-		{"near agent is gone", func(b *rackBench) { b.s.Closed("near") }, tick},
+		{"near agent is gone", func(b *rackBench) { b.s.LinkClosed("near") }, tick},
 		{"near agent leaves", func(b *rackBench) {
-			b.change("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Leaving = true })
+			b.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Leaving = true })
 		}, tick},
 		{"near worker drains", func(b *rackBench) {
-			b.change("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Upstream.Draining = true })
+			b.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Upstream.Draining = true })
 		}, tick},
 		{"near data centre is evacuated", func(b *rackBench) {
-			b.change("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.DataCentre = "b"; r.Upstream.DataCentre = "b" })
+			b.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.DataCentre = "b"; r.Upstream.DataCentre = "b" })
 			b.s.Configure(configuration().WithFarFactor(3).WithEvacuated(map[string]bool{"b": true}, 1))
 		}, tick},
-		{"forecast is taken back", func(b *rackBench) { b.tell("near", 0, nil) }, tick},
+		{"forecast is taken back", func(b *rackBench) { b.reportCapacity("near", 0, nil) }, tick},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newRackBench(t, 3)
-			b.tell("near", 0, []int{9, 9, 9, 9, 9})
-			b.tell("far", 10, nil)
+			b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
+			b.reportCapacity("far", 10, nil)
 			b.drain()
 			b.submit(b.onRack(1, 4, 60*time.Millisecond))
-			require.Zero(t, b.at("far"))
+			require.Zero(t, b.placedAt("far"))
 			for at := tick; at <= tt.most; at += tick {
 				b.clock.Advance(tick)
 				tt.each(b)
-				b.tell("far", 10, nil)
+				b.reportCapacity("far", 10, nil)
 				b.s.Tick()
 				b.drain()
-				if b.at("far") > 0 {
-					require.Equal(t, 4, b.at("far"))
+				if b.placedAt("far") > 0 {
+					require.Equal(t, 4, b.placedAt("far"))
 					return
 				}
 			}
@@ -274,22 +274,22 @@
 	}
 }
 
-// TestForecastThatIsTooOldHoldsNothing guards against jobs that wait for an agent
+// TestStaleForecastDefersNothing guards against jobs that wait for an agent
 // which nothing has been heard of for longer than placements allow.
-func TestForecastThatIsTooOldHoldsNothing(t *testing.T) {
+func TestStaleForecastDefersNothing(t *testing.T) {
 	b := newRackBench(t, 2)
-	b.tell("near", 0, []int{9, 9, 9, 9, 9})
+	b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
 	b.clock.Advance(251 * time.Millisecond)
-	b.tell("far", 10, nil)
+	b.reportCapacity("far", 10, nil)
 	b.drain()
 	b.submit(b.onRack(1, 4, 60*time.Millisecond))
-	require.Equal(t, 4, b.at("far"))
+	require.Equal(t, 4, b.placedAt("far"))
 }
 
-// TestLaterStepWaitsOutOfItsSlack guards against later steps that never wait near,
+// TestLaterStepWaitsOnlyWithinItsSlack guards against later steps that never wait near,
 // since the patience of their job is for its first task, and against ones that wait
 // until no slack is left for a room that does not fall free.
-func TestLaterStepWaitsOutOfItsSlack(t *testing.T) {
+func TestLaterStepWaitsOnlyWithinItsSlack(t *testing.T) {
 	const (
 		work = 60 * time.Millisecond
 		tick = 10 * time.Millisecond
@@ -307,7 +307,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newRackBench(t, 2)
-			b.tell("far", 5, nil)
+			b.reportCapacity("far", 5, nil)
 			b.drain()
 			j := b.onRack(1, 1, work)
 			first := j.Steps[0]
@@ -316,24 +316,24 @@
 			second.After = []int{0}
 			j.Steps = []scheduler.Step{first, second}
 			b.submit(j)
-			require.Equal(t, 1, b.at("far"))
+			require.Equal(t, 1, b.placedAt("far"))
 			run := b.places["far"][0].Tasks[0].Run
 			b.clock.Advance(work)
-			b.tell("near", 0, tt.ahead)
-			r := report("far", b.seen["far"])
+			b.reportCapacity("near", 0, tt.ahead)
+			r := newReport("far", b.seen["far"])
 			r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
-			b.s.Report(r)
+			b.s.HandleReport(r)
 			b.drain()
-			far := b.at("far")
+			far := b.placedAt("far")
 			require.Equal(t, tt.far, far)
 			for waited := time.Duration(0); far == 0; waited += tick {
 				require.LessOrEqual(t, waited, 6*slack/10)
 				b.clock.Advance(tick)
-				b.tell("near", 0, tt.ahead)
-				b.tell("far", 5, nil)
+				b.reportCapacity("near", 0, tt.ahead)
+				b.reportCapacity("far", 5, nil)
 				b.s.Tick()
 				b.drain()
-				far += b.at("far")
+				far += b.placedAt("far")
 			}
 		})
 	}
@@ -357,18 +357,18 @@
 			b := newRackBench(t, tt.factor)
 			j := b.onRack(1, 1, 60*time.Millisecond)
 			j.Steps[0].Rack = tt.rack
-			require.False(t, b.s.Want().WantsForecast, "nothing waits")
+			require.False(t, b.s.Backlog().WantsForecast, "nothing waits")
 			b.submit(j)
-			require.Equal(t, 1, b.s.Want().Tasks)
-			require.Equal(t, tt.asks, b.s.Want().WantsForecast)
+			require.Equal(t, 1, b.s.Backlog().Tasks)
+			require.Equal(t, tt.asks, b.s.Backlog().WantsForecast)
 		})
 	}
 }
 
-// TestNoMoreTasksAreHeldThanTheRackWillHaveRoomFor checks, for random rooms and
+// TestNoMoreTasksAreDeferredThanTheRackWillHaveCapacityFor checks, for random rooms and
 // jobs, that the room ahead is counted on once, and that no job is refused or left
 // waiting past its patience while a far worker has room.
-func TestNoMoreTasksAreHeldThanTheRackWillHaveRoomFor(t *testing.T) {
+func TestNoMoreTasksAreDeferredThanTheRackWillHaveCapacityFor(t *testing.T) {
 	const most = 10
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -381,57 +381,57 @@
 				ahead[i] += ahead[i-1]
 			}
 		}
-		b.tell("near", 0, ahead)
+		b.reportCapacity("near", 0, ahead)
 		tasks, far := 0, 0
 		for i := range 1 + rng.IntN(4) {
-			b.tell("far", most, nil)
+			b.reportCapacity("far", most, nil)
 			b.drain()
 			n := 1 + rng.IntN(4)
 			b.submit(b.onRack(i+1, n, time.Duration(20+rng.IntN(300))*time.Millisecond))
 			tasks += n
-			far += b.at("far")
+			far += b.placedAt("far")
 		}
 		require.LessOrEqual(t, tasks-far, ahead[len(ahead)-1], "seed %d", seed)
 		for waited := time.Duration(0); waited < 360*time.Millisecond; waited += 10 * time.Millisecond {
 			b.clock.Advance(10 * time.Millisecond)
-			b.tell("near", 0, ahead)
-			b.tell("far", most, nil)
+			b.reportCapacity("near", 0, ahead)
+			b.reportCapacity("far", most, nil)
 			b.s.Tick()
 			b.drain()
-			far += b.at("far")
+			far += b.placedAt("far")
 		}
 		require.Equal(t, tasks, far, "seed %d %+v", seed, b.replies)
 		require.Empty(t, b.replies, "seed %d", seed)
 	}
 }
 
-// TestHeldTasksKeepNoJobOut guards against jobs that are refused for the wait behind
+// TestDeferredTasksCauseNoRefusals guards against jobs that are refused for the wait behind
 // tasks that are held for a near worker, while other workers have room.
-func TestHeldTasksKeepNoJobOut(t *testing.T) {
+func TestDeferredTasksCauseNoRefusals(t *testing.T) {
 	b := newRackBench(t, 3)
-	b.tell("near", 0, []int{9, 9, 9, 9, 9})
-	b.tell("far", 10, nil)
+	b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
+	b.reportCapacity("far", 10, nil)
 	b.drain()
 	b.submit(b.onRack(1, 9, 800*time.Millisecond))
 	require.Equal(t, 1, b.noted("near soon"))
 	later := b.onRack(2, 4, 800*time.Millisecond)
 	later.Steps[0].Rack = ""
 	b.submit(later)
-	require.Equal(t, 4, b.at("far"))
+	require.Equal(t, 4, b.placedAt("far"))
 	require.Empty(t, b.replies)
 }
 
-// TestTasksHeldWithoutRoomElsewhereCountInTheWait guards against jobs that are taken
+// TestDeferredTasksCountAsBacklogOnceFarWorkersAreFull guards against jobs that are taken
 // on behind tasks which are held no more, since the far workers have filled up.
-func TestTasksHeldWithoutRoomElsewhereCountInTheWait(t *testing.T) {
+func TestDeferredTasksCountAsBacklogOnceFarWorkersAreFull(t *testing.T) {
 	b := newRackBench(t, 3)
 	b.clock.Advance(200 * time.Millisecond)
-	b.tell("near", 0, []int{9, 9, 9, 9, 9})
-	b.tell("far", 10, nil)
+	b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
+	b.reportCapacity("far", 10, nil)
 	b.drain()
 	b.submit(b.onRack(1, 9, 800*time.Millisecond))
 	require.Equal(t, 1, b.noted("near soon"))
-	b.tell("far", 0, nil)
+	b.reportCapacity("far", 0, nil)
 	b.s.Tick()
 	b.drain()
 	later := b.onRack(2, 4, 800*time.Millisecond)
--- a/scheduler/long_test.go
+++ b/scheduler/longtask_test.go
@@ -10,18 +10,18 @@
 func TestNoLongTaskRunsTwiceAtOnce(t *testing.T) {
 	tests := []struct {
 		name string
-		harm func(w *world, a *simAgent)
+		harm func(w *simulation, a *simAgent)
 	}{
-		{"link cut, stops late", func(w *world, a *simAgent) {
+		{"link cut, stops late", func(w *simulation, a *simAgent) {
 			a.worker.lateStopsUntil = w.clock.Now().Add(2 * time.Second)
 			l := a.links[w.entries[0].name]
 			if l == nil {
 				return
 			}
 			l.cut = true
-			w.after(2*time.Second, func() { l.cut = false })
+			w.schedule(2*time.Second, func() { l.cut = false })
 		}},
-		{"agent restarts, looks carried out without an answer", func(w *world, a *simAgent) {
+		{"agent restarts, looks carried out without an answer", func(w *simulation, a *simAgent) {
 			a.worker.lostAnswersUntil = w.clock.Now().Add(time.Second)
 			if !a.down {
 				a.kill(50 * time.Millisecond)
@@ -30,15 +30,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, 400, 2, 5, cores)
+			w := newSimulation(t, 400, 2, 5, cores)
 			for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
-				w.after(at, func() { w.submit(w.entries[w.rng.IntN(2)], kind{tasks: 2, work: 3 * time.Second, cpu: 3100}) })
+				w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(2)], jobKind{tasks: 2, work: 3 * time.Second, cpu: 3100}) })
 			}
 			for at := time.Second; at < 8*time.Second; at += time.Second {
-				w.after(at, func() { tt.harm(w, w.anyAgent()) })
+				w.schedule(at, func() { tt.harm(w, w.anyAgent()) })
 			}
 			w.run(16 * time.Second)
-			t.Logf("%d twice, %+v", len(w.twice), w.summary())
+			t.Logf("%d twice, %+v", len(w.duplicates), w.summary())
 			w.check()
 		})
 	}
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -10,28 +10,28 @@
 func TestRunsAreNotLostWithALinkThatAnotherOneReplaces(t *testing.T) {
 	tests := []struct {
 		name   string
-		reopen func(b *bench)
+		reopen func(b *fixture)
 	}{
-		{"before its end is known", func(b *bench) {
+		{"before its end is known", func(b *fixture) {
 			b.clock.Advance(2 * time.Second)
-			b.s.Report(report("a", 1))
-			b.s.Report(report("b", 0))
-			b.s.Opened("a")
+			b.s.HandleReport(newReport("a", 1))
+			b.s.HandleReport(newReport("b", 0))
+			b.s.LinkOpened("a")
 		}},
-		{"late, and its list has not come yet", func(b *bench) {
-			b.s.Closed("a")
+		{"late, and its list has not come yet", func(b *fixture) {
+			b.s.LinkClosed("a")
 			b.clock.Advance(1195 * time.Millisecond)
-			b.s.Opened("a")
+			b.s.LinkOpened("a")
 			b.clock.Advance(10 * time.Millisecond)
-			b.s.Report(report("b", 0))
+			b.s.HandleReport(newReport("b", 0))
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			b.open("a")
-			b.open("b")
-			b.s.Submit(1, b.lasting())
+			b := newFixture(t)
+			b.connect("a")
+			b.connect("b")
+			b.s.Submit(1, b.longJob())
 			b.drain()
 			b.placed()
 			tt.reopen(b)
@@ -41,19 +41,19 @@
 	}
 }
 
-func TestAgentThatTakesLinksAndSaysNothingIsLostInTheEnd(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.open("b")
-	b.s.Submit(1, b.lasting())
+func TestAgentThatAcceptsLinksAndSendsNothingIsLost(t *testing.T) {
+	b := newFixture(t)
+	b.connect("a")
+	b.connect("b")
+	b.s.Submit(1, b.longJob())
 	b.drain()
 	// The process is stopped; its machine goes on taking connections.
 	for range 12 {
-		b.s.Closed("a")
+		b.s.LinkClosed("a")
 		b.clock.Advance(20 * time.Millisecond)
-		b.s.Opened("a")
+		b.s.LinkOpened("a")
 		b.clock.Advance(400 * time.Millisecond)
-		b.beat("b", 0)
+		b.heartbeat("b", 0)
 		b.s.Tick()
 		if len(b.drain()) > 0 {
 			return
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -9,9 +9,9 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// atOnce is the time within which a refusal reaches a caller that was not kept
+// immediateLimit is the time within which a refusal reaches a caller that was not kept
 // waiting.
-const atOnce = 10 * time.Millisecond
+const immediateLimit = 10 * time.Millisecond
 
 // TestOverloadIsRefusedBeforeItHasWaited guards against callers who wait for nothing:
 // under overload, jobs were taken on that more urgent ones overtook, and refused
@@ -43,9 +43,9 @@
 			t.Parallel()
 			all, early, jobs, inAim := 0, 0, 0, 0
 			for seed := range uint64(seeds) {
-				w := newWorld(t, 60+seed, entries, agents, cores)
+				w := newSimulation(t, 60+seed, entries, agents, cores)
 				w.load(span, tt.base)
-				w.after(span/4, func() { w.burst(span/2, tt.base, tt.extra) })
+				w.schedule(span/4, func() { w.burst(span/2, tt.base, tt.extra) })
 				w.run(span + 3*time.Second)
 				w.check()
 				s := w.summary()
@@ -55,7 +55,7 @@
 				all += n
 				early += soon
 				jobs += s.all
-				inAim += s.inAim
+				inAim += s.inTime
 				t.Logf("%+v, %d refused at once, served %.3f", s, soon, w.served())
 			}
 			t.Logf("%d of %d refused at once, %d of %d in time", early, all, inAim, jobs)
@@ -67,13 +67,13 @@
 
 // refusals counts the callers that were refused, and those of them that were told
 // at once.
-func (w *world) refusals() (all, early int) {
+func (w *simulation) refusals() (all, early int) {
 	for _, r := range w.results {
 		if !r.got || r.answer.Outcome != scheduler.Overloaded {
 			continue
 		}
 		all++
-		if r.took <= atOnce {
+		if r.took <= immediateLimit {
 			early++
 		}
 	}
@@ -81,15 +81,15 @@
 }
 
 // burst submits jobs of each kind, extra times a load.
-func (w *world) burst(span time.Duration, factor float64, extra []float64) {
+func (w *simulation) burst(span time.Duration, factor float64, extra []float64) {
 	perSecond := []float64{34.4, 6.25, 100}
-	for i, k := range kinds {
+	for i, k := range jobKinds {
 		if extra[i] == 0 {
 			continue
 		}
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor * extra[i]))
 		for at := time.Duration(0); at < span; at += time.Duration(float64(gap) * (0.5 + w.rng.Float64())) {
-			w.after(at, func() { w.submit(w.entries[w.rng.IntN(len(w.entries))], k) })
+			w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(len(w.entries))], k) })
 		}
 	}
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -8,126 +8,126 @@
 )
 
 const (
-	// roomPatience is how long a run waits at an agent whose room another
+	// placementWaitLimit is how long a run waits at an agent whose room another
 	// entry has just taken.
-	roomPatience = 5 * time.Millisecond
-	// askInterval is the least time between two rounds of heartbeats that are sent
+	placementWaitLimit = 5 * time.Millisecond
+	// minEarlyHeartbeatInterval is the least time between two rounds of heartbeats that are sent
 	// to ask for room before they are due.
-	askInterval = messenger.HeartbeatInterval / 2
+	minEarlyHeartbeatInterval = messenger.HeartbeatInterval / 2
 )
 
-// pass places what waits, in order, and refuses what has waited too long.
-func (s *Scheduler) pass() {
+// schedulingPass places what waits, in order, and refuses what has waited too long.
+func (s *Scheduler) schedulingPass() {
 	now := s.clock.Now()
-	defer s.observeDrains(now)
-	s.reviewReservations()
+	defer s.observeStartRates(now)
+	s.cancelObsoleteReservations()
 	if len(s.queue) == 0 {
-		s.want = messenger.Backlog{}
-		s.scarce = false
+		s.backlog = messenger.Backlog{}
+		s.capacityScarce = false
 		return
 	}
-	s.dropPlaced()
-	s.want = s.waitingWork()
+	s.pruneQueue()
+	s.backlog = s.computeBacklog()
 	s.sortQueue(now)
-	s.locality = locality{}
+	s.passBacklog = passBacklog{}
 	for _, j := range slices.Clone(s.queue) {
-		s.placeJob(j, s.byName, now)
+		s.placeJob(j, s.agentsByName, now)
 	}
-	s.scarce = s.locality.unplaced > 0
+	s.capacityScarce = s.passBacklog.noCapacity > 0
 	for _, j := range slices.Clone(s.queue) {
-		if s.hopeless(j, now) && !s.leftToFast(j, now) {
+		if s.tooLate(j, now) && !s.deferToFastWorker(j, now) {
 			s.giveUp(j, "no room in time")
 		}
 	}
-	s.dropPlaced()
-	s.reserve(now)
+	s.pruneQueue()
+	s.requestReservations(now)
 }
 
-// passAt places what waits at one agent, whose room has changed. The others
+// schedulingPassAt places what waits at one agent, whose room has changed. The others
 // were found without room in the last pass, so that looking at them again at
 // each report of each agent would only cost time when there is least of it.
-func (s *Scheduler) passAt(a *agent) {
-	if len(s.queue) == 0 || !s.want.Min.FitsIn(a.anyRoom()) {
+func (s *Scheduler) schedulingPassAt(a *agent) {
+	if len(s.queue) == 0 || !s.backlog.Min.FitsIn(a.capacityWithBackfill()) {
 		return
 	}
 	now := s.clock.Now()
 	only := []*agent{a}
-	s.want = s.waitingWork()
-	s.locality = locality{}
-	for _, j := range s.fastFirst(a, now) {
-		if s.hopeless(j, now) && !j.fastOnly {
+	s.backlog = s.computeBacklog()
+	s.passBacklog = passBacklog{}
+	for _, j := range s.queueOrderAt(a, now) {
+		if s.tooLate(j, now) && !j.fastOnly {
 			continue
 		}
 		s.placeJob(j, only, now)
-		if !s.want.Min.FitsIn(a.anyRoom()) {
+		if !s.backlog.Min.FitsIn(a.capacityWithBackfill()) {
 			break
 		}
 	}
-	s.dropPlaced()
-	s.observeDrains(now)
+	s.pruneQueue()
+	s.observeStartRates(now)
 }
 
-// waitingWork returns what the queue holds.
-func (s *Scheduler) waitingWork() messenger.Backlog {
+// computeBacklog returns what the queue holds.
+func (s *Scheduler) computeBacklog() messenger.Backlog {
 	var w messenger.Backlog
-	s.mostWanted = messenger.Resources{}
+	s.maxBacklogDemand = messenger.Resources{}
 	for _, j := range s.queue {
 		for _, t := range j.tasks {
 			if t.state == ready {
 				w = w.With(t.demand())
-				s.mostWanted = s.mostWanted.Max(t.demand())
+				s.maxBacklogDemand = s.maxBacklogDemand.Max(t.demand())
 			}
 		}
 	}
-	w.WantsForecast = w.Tasks > 0 && s.needsAhead()
+	w.WantsForecast = w.Tasks > 0 && s.needsCapacityForecast()
 	return w
 }
 
-// needsAhead reports whether what will fall free decides on what waits: tasks whose
+// needsCapacityForecast reports whether what will fall free decides on what waits: tasks whose
 // data is on a rack, or large ones.
-func (s *Scheduler) needsAhead() bool {
-	return s.racks && s.config.FarFactor > 1 || s.mayBeLarge(s.mostWanted)
+func (s *Scheduler) needsCapacityForecast() bool {
+	return s.rackJobSeen && s.config.FarFactor > 1 || s.largeForAnyService(s.maxBacklogDemand)
 }
 
-// Want returns what waits for room.
-func (s *Scheduler) Want() messenger.Backlog {
-	s.want = s.waitingWork()
-	return s.want
+// Backlog returns what waits for room.
+func (s *Scheduler) Backlog() messenger.Backlog {
+	s.backlog = s.computeBacklog()
+	return s.backlog
 }
 
-// Asks reports whether all agents are to hear now that jobs wait: one has begun
+// EarlyHeartbeatDue reports whether all agents are to hear now that jobs wait: one has begun
 // to. Without that they tell of room that falls free only now and then.
-func (s *Scheduler) Asks() bool {
+func (s *Scheduler) EarlyHeartbeatDue() bool {
 	if len(s.queue) == 0 {
-		s.asked = false
+		s.backlogAnnounced = false
 		return false
 	}
 	now := s.clock.Now()
-	if s.asked || now.Sub(s.askedAt) < askInterval {
+	if s.backlogAnnounced || now.Sub(s.earlyHeartbeatAt) < minEarlyHeartbeatInterval {
 		return false
 	}
-	s.asked = true
-	s.askedAt = now
+	s.backlogAnnounced = true
+	s.earlyHeartbeatAt = now
 	return true
 }
 
-// dropPlaced drops the jobs from the queue that have no task to place.
-func (s *Scheduler) dropPlaced() {
+// pruneQueue drops the jobs from the queue that have no task to place.
+func (s *Scheduler) pruneQueue() {
 	s.queue = slices.DeleteFunc(s.queue, func(j *job) bool {
-		j.queuedUp = s.jobs[j.ID] == j && s.yielding[j.ID] != j && j.has(ready)
-		return !j.queuedUp
+		j.inQueue = s.jobs[j.ID] == j && s.yielding[j.ID] != j && j.hasTask(ready)
+		return !j.inQueue
 	})
 }
 
 // enqueue makes pass look at a job that has tasks to place, once no run of its
 // last try can go on and no other entry holds it.
 func (s *Scheduler) enqueue(j *job) {
-	if s.remains[j.ID] > 0 || s.yield(j) {
+	if s.withdrawnRuns[j.ID] > 0 || s.yieldIfHeld(j) {
 		return
 	}
-	s.requeued++
-	if !j.queuedUp {
-		j.queuedUp = true
+	s.enqueueCount++
+	if !j.inQueue {
+		j.inQueue = true
 		j.queuedAt = s.clock.Now()
 		s.queue = append(s.queue, j)
 	}
@@ -136,7 +136,7 @@
 // placeJob sends as many of a job's waiting tasks as there is room for. Tasks
 // go to as few workers as possible, so that one bad worker harms few jobs.
 func (s *Scheduler) placeJob(j *job, agents []*agent, now time.Time) {
-	if s.yield(j) || !s.mayRun(j, now) {
+	if s.yieldIfHeld(j) || !s.ownsExclusively(j, now) {
 		return
 	}
 	for step := range j.Steps {
@@ -147,34 +147,34 @@
 			}
 		}
 		for len(todo) > 0 {
-			a, n := s.choose(agents, j, step, todo, now)
-			if a == nil && len(agents) == len(s.byName) {
-				releaseHeld(todo)
+			a, n := s.chooseAgent(agents, j, step, todo, now)
+			if a == nil && len(agents) == len(s.agentsByName) {
+				clearDeferred(todo)
 			}
 			if n == 0 {
 				break
 			}
-			s.send(a, j, todo[:n])
+			s.placeTasks(a, j, todo[:n])
 			todo = todo[n:]
 		}
 		if s.config.FarFactor > 1 {
-			s.locality.note(j.Steps[step], todo)
+			s.passBacklog.add(j.Steps[step], todo)
 		}
 	}
 }
 
-// send places tasks of one step at an agent.
-func (s *Scheduler) send(a *agent, j *job, tasks []*task) {
+// placeTasks places tasks of one step at an agent.
+func (s *Scheduler) placeTasks(a *agent, j *job, tasks []*task) {
 	now := s.clock.Now()
 	s.countStart(j, now)
-	j.hold.started = true
-	a.placements++
+	j.hold.placedHere = true
+	a.placeNumber++
 	p := messenger.Place{
-		Number:  a.placements,
+		Number:  a.placeNumber,
 		Job:     j.ID,
 		Spec:    j.Spec,
 		Service: j.Queue.Service,
-		MaxWait: roomPatience,
+		MaxWait: placementWaitLimit,
 		Echo:    a.report.Timestamp,
 	}
 	var sum messenger.Resources
@@ -182,28 +182,28 @@
 	for _, t := range tasks {
 		if t.state == ready {
 			fresh++
-			t.run++
+			t.runNumber++
 			t.state = placed
 			t.placedAt = now
 			t.agent = a
-			t.held = false
+			t.deferred = false
 			t.farFactor = s.config.farFactor(a, j.Steps[t.step])
-			t.speed = a.expected()
+			t.placedSpeed = a.expectedSpeed()
 			a.tasks[t.current()] = t
 			sum = sum.Plus(t.demand())
 		}
-		t.place = p.Number
-		t.link = a.links
+		t.placeNumber = p.Number
+		t.linkNumber = a.linkNumber
 		p.Tasks = append(p.Tasks, messenger.Task{
 			Run:      t.current(),
 			Demand:   t.demand(),
 			Estimate: t.estimate(),
 		})
 	}
-	s.want = s.want.Without(fresh, sum)
-	p.Backlog = s.want
-	a.pending = append(a.pending, pending{number: p.Number, demand: sum})
-	a.health.sent(p.Tasks[0].Run)
+	s.backlog = s.backlog.Without(fresh, sum)
+	p.Backlog = s.backlog
+	a.pending = append(a.pending, pendingPlacement{number: p.Number, demand: sum})
+	a.health.recordPlacement(p.Tasks[0].Run)
 	if fresh > 0 {
 		s.useReservation(a, j, tasks[0].step)
 	}
--- a/scheduler/rackload_test.go
+++ b/scheduler/rackload_test.go
@@ -17,15 +17,15 @@
 	// rackShare is the share of the short wide jobs whose data is on the rack.
 	rackShare = 0.6
 	rackLabel = "rack-1"
-	// lossMost is the share of jobs by which the choice may be worse than far at once.
-	lossMost = 0.01
+	// maxLoss is the share of jobs by which the choice may be worse than far at once.
+	maxLoss = 0.01
 )
 
 // newRackWorld returns a world of which the first workers stand on the rack.
-func newRackWorld(t testing.TB, seed uint64, entries int, far float64, aware bool) *world {
-	w := newWorld(t, seed, entries, fleetWorkers, cores)
-	w.far = far
-	w.aware = aware
+func newRackWorld(t testing.TB, seed uint64, entries int, far float64, aware bool) *simulation {
+	w := newSimulation(t, seed, entries, fleetWorkers, cores)
+	w.farFactor = far
+	w.farFactorKnown = aware
 	for _, a := range w.agents[:rackWorkers] {
 		a.worker.up.Labels = []string{rackLabel}
 		a.core.SetUpstream(a.worker.up)
@@ -39,21 +39,21 @@
 
 // rackLoad submits jobs that take a share of the whole fleet's room for a span.
 // The data of most of the short wide ones is on the rack.
-func (w *world) rackLoad(span time.Duration, room float64) {
+func (w *simulation) rackLoad(span time.Duration, room float64) {
 	perSecond := []float64{34.4, 6.25, 100}
 	var work float64
-	for i, k := range kinds {
+	for i, k := range jobKinds {
 		work += perSecond[i] * float64(k.tasks) * k.work.Seconds() * float64(k.cpu)
 	}
 	factor := room * fleetWorkers * cores / work
-	for i, k := range kinds {
+	for i, k := range jobKinds {
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor))
 		for at := time.Duration(w.rng.Int64N(int64(gap))); at < span; at += time.Duration(float64(gap) * (0.5 + w.rng.Float64())) {
 			asked := k
 			if i == 0 && w.rng.Float64() < rackShare {
 				asked.rack = rackLabel
 			}
-			w.after(at, func() { w.submit(w.entries[w.rng.IntN(len(w.entries))], asked) })
+			w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(len(w.entries))], asked) })
 		}
 	}
 }
@@ -91,14 +91,14 @@
 					w.run(6 * time.Second)
 					w.check()
 					require.Zero(t, w.summary().unanswered)
-					sum = sum.plus(w.rackShares(), 1/float64(seeds))
+					sum = sum.addWeighted(w.rackShares(), 1/float64(seeds))
 				}
 				return sum
 			}
 			before, now := play(false), play(true)
 			t.Logf("far at once %v, with the choice %v", before, now)
-			for k := range kinds {
-				require.GreaterOrEqual(t, now.kinds[k], before.kinds[k]-lossMost, "kind %d", k)
+			for k := range jobKinds {
+				require.GreaterOrEqual(t, now.kinds[k], before.kinds[k]-maxLoss, "kind %d", k)
 			}
 			require.GreaterOrEqual(t, now.rack, before.rack+tt.saved*(1-before.rack))
 		})
@@ -111,14 +111,14 @@
 	const (
 		lostAt = 2 * time.Second
 		// settled is when the runs lost with the rack are over.
-		settled = lostAt + scheduler.LossAfter + time.Second
+		settled = lostAt + scheduler.AgentLossTimeout + time.Second
 		seeds   = 4
 	)
 	play := func(seed uint64, aware bool) (good, all int) {
 		w := newRackWorld(t, seed, 3, 2, aware)
 		began := w.clock.Now()
 		w.rackLoad(6*time.Second, 0.4)
-		w.after(lostAt, func() {
+		w.schedule(lostAt, func() {
 			for _, a := range w.agents[:rackWorkers] {
 				a.kill(time.Minute)
 			}
@@ -147,7 +147,7 @@
 	}
 	t.Logf("in time of %d jobs for the lost rack: %d far at once, %d with the choice", all, before, now)
 	require.Greater(t, before, all/2)
-	require.GreaterOrEqual(t, float64(now), float64(before)-lossMost*float64(all))
+	require.GreaterOrEqual(t, float64(now), float64(before)-maxLoss*float64(all))
 }
 
 // TestFarWorkDoesNotMakeAWorkerCountAsSlow guards against sound workers that are
@@ -158,8 +158,8 @@
 		a.kill(time.Minute)
 	}
 	for at := time.Duration(0); at < 3*time.Second; at += 20 * time.Millisecond {
-		w.after(at, func() {
-			w.submit(w.entries[w.rng.IntN(3)], kind{tasks: 8, work: 60 * time.Millisecond, cpu: 3100, rack: rackLabel})
+		w.schedule(at, func() {
+			w.submit(w.entries[w.rng.IntN(3)], jobKind{tasks: 8, work: 60 * time.Millisecond, cpu: 3100, rack: rackLabel})
 		})
 	}
 	for range 40 {
@@ -180,7 +180,7 @@
 	rack float64
 }
 
-func (r rackShares) plus(o rackShares, weight float64) rackShares {
+func (r rackShares) addWeighted(o rackShares, weight float64) rackShares {
 	for k := range r.kinds {
 		r.kinds[k] += weight * o.kinds[k]
 	}
@@ -193,14 +193,14 @@
 	return fmt.Sprintf("short wide %.3f, long %.3f, short %.3f, for the rack %.3f", r.kinds[0], r.kinds[1], r.kinds[2], r.rack)
 }
 
-func (w *world) rackShares() rackShares {
+func (w *simulation) rackShares() rackShares {
 	r := rackShares{rack: w.servedNear()}
 	copy(r.kinds[:], w.served())
 	return r
 }
 
 // servedNear returns the share of the jobs with data on the rack in time.
-func (w *world) servedNear() float64 {
+func (w *simulation) servedNear() float64 {
 	var all, good float64
 	for _, r := range w.results {
 		if r.job.Steps[0].Rack == "" {
@@ -215,6 +215,6 @@
 }
 
 // inTime reports whether a job was complete within its objective.
-func (w *world) inTime(r *result) bool {
+func (w *simulation) inTime(r *result) bool {
 	return r.got && r.answer.Outcome == scheduler.Complete && r.took <= w.objective(r.job)
 }
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -10,32 +10,32 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// full returns an agent's word that it has no room.
-func full(agent string) messenger.Report {
-	r := report(agent, 0)
+// newFullReport returns an agent's word that it has no room.
+func newFullReport(agent string) messenger.Report {
+	r := newReport(agent, 0)
 	r.Free = messenger.Resources{}
 	return r
 }
 
 func TestReportPlacesWhatWaitsAtItsOwnAgent(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.open("b")
-	b.s.Report(full("a"))
-	b.s.Report(full("b"))
+	b := newFixture(t)
+	b.connect("a")
+	b.connect("b")
+	b.s.HandleReport(newFullReport("a"))
+	b.s.HandleReport(newFullReport("b"))
 	b.s.Submit(1, b.job(jobID, 3))
 	require.Empty(t, b.drain())
 	// Room for two of the three tasks.
-	r := full("b")
+	r := newFullReport("b")
 	r.Free = messenger.Resources{CPU: 6200, Memory: 64_000}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.drain()
 	p := b.placed()
 	require.Len(t, p.Tasks, 2)
 	require.Equal(t, messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 3100}, Min: messenger.Resources{CPU: 3100}}, p.Backlog, "one task still waits")
-	r = full("a")
+	r = newFullReport("a")
 	r.Free = messenger.Resources{CPU: 31_000, Memory: 64_000}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.drain()
 	require.Len(t, b.placed().Tasks, 1)
 }
@@ -46,10 +46,10 @@
 	for _, agents := range []int{11, 53, 110} {
 		for _, jobs := range []int{10, 100} {
 			bm.Run(fmt.Sprintf("%d agents, %d jobs", agents, jobs), func(bm *testing.B) {
-				b := newBench(nil)
+				b := newFixture(nil)
 				for i := range agents {
-					b.open(fmt.Sprintf("agent-%03d", i))
-					b.s.Report(full(fmt.Sprintf("agent-%03d", i)))
+					b.connect(fmt.Sprintf("agent-%03d", i))
+					b.s.HandleReport(newFullReport(fmt.Sprintf("agent-%03d", i)))
 				}
 				for i := range jobs {
 					j := b.job(fmt.Sprintf("%016x", i), 8)
@@ -58,9 +58,9 @@
 					b.s.Submit(uint64(1+i), j)
 				}
 				b.drain()
-				r := full("agent-000")
+				r := newFullReport("agent-000")
 				for bm.Loop() {
-					b.s.Report(r)
+					b.s.HandleReport(r)
 				}
 			})
 		}
--- a/scheduler/reservation.go
+++ b/scheduler/reservation.go
@@ -13,63 +13,63 @@
 	// a small one has waited as long, room is short altogether, and kept room makes more
 	// small tasks late than it serves large ones.
 	reserveAfter = 30 * time.Millisecond
-	// reserveMost and reserveLeast bound how long room is asked for. Room that
+	// maxReserveTTL and minReserveTTL bound how long room is asked for. Room that
 	// is kept for less than the way to the agent and back cannot be used.
-	reserveMost  = time.Second
-	reserveLeast = 10 * time.Millisecond
-	// reservationsMost bounds the reservations of an entry.
-	reservationsMost = 4
-	// reserveGrace is the time after the request in which reports may have been
+	maxReserveTTL = time.Second
+	minReserveTTL = 10 * time.Millisecond
+	// maxReservations bounds the reservations of an entry.
+	maxReservations = 4
+	// reserveConfirmGrace is the time after the request in which reports may have been
 	// sent before it arrived.
-	reserveGrace = 20 * time.Millisecond
-	// missedMost is the number of reports without the reservation that end it.
-	missedMost = 2
-	// reserveShun is how long an agent is not asked again after a reservation
+	reserveConfirmGrace = 20 * time.Millisecond
+	// maxMissedReports is the number of reports without the reservation that end it.
+	maxMissedReports = 2
+	// reserveBackoff is how long an agent is not asked again after a reservation
 	// there has ended unused.
-	reserveShun = 200 * time.Millisecond
-	// refusalWait is how long a reservation goes on after its task has been placed
+	reserveBackoff = 200 * time.Millisecond
+	// placedElsewhereGrace is how long a reservation goes on after its task has been placed
 	// elsewhere, where another entry may have taken the room.
-	refusalWait = 3 * roomPatience
+	placedElsewhereGrace = 3 * placementWaitLimit
 	// backfillMargin covers the way of a task to the worker.
 	backfillMargin = 10 * time.Millisecond
 )
 
 // reservation is room that an agent has been asked to keep for a large task.
 type reservation struct {
-	agent  *agent
-	job    *job
-	step   int
-	number uint64
-	demand messenger.Resources
-	asked  time.Time
-	until  time.Time
-	// kept is whether the agent has reported it, and missed how many reports in a
+	agent       *agent
+	job         *job
+	step        int
+	number      uint64
+	demand      messenger.Resources
+	requestedAt time.Time
+	expiresAt   time.Time
+	// confirmed is whether the agent has reported it, and missed how many reports in a
 	// row did not.
-	kept   bool
-	missed int
+	confirmed     bool
+	missedReports int
 }
 
-// reserve asks agents to keep room for the large tasks that have waited and fit
+// requestReservations asks agents to keep room for the large tasks that have waited and fit
 // nowhere, in the order of the queue.
-func (s *Scheduler) reserve(now time.Time) {
-	if len(s.reservations) >= reservationsMost || !s.mayBeLarge(s.mostWanted) {
+func (s *Scheduler) requestReservations(now time.Time) {
+	if len(s.reservations) >= maxReservations || !s.largeForAnyService(s.maxBacklogDemand) {
 		return
 	}
-	short := s.shortServices(now)
+	short := s.saturatedServices(now)
 	misses := 0
 	for _, j := range s.queue {
-		if len(s.reservations) >= reservationsMost || misses >= reservationsMost {
+		if len(s.reservations) >= maxReservations || misses >= maxReservations {
 			return
 		}
-		if short[j.Queue.Service] || now.Sub(j.queuedAt) < reserveAfter || !s.mayRun(j, now) || s.reservedFor(j) {
+		if short[j.Queue.Service] || now.Sub(j.queuedAt) < reserveAfter || !s.ownsExclusively(j, now) || s.hasReservation(j) {
 			continue
 		}
-		t := s.largeTask(j)
+		t := s.waitingLargeTask(j)
 		if t == nil {
 			continue
 		}
-		span := s.reserveSpan(j, now)
-		if span < reserveLeast {
+		span := s.reservationTTL(j, now)
+		if span < minReserveTTL {
 			continue
 		}
 		a := s.soonestAgent(t, now)
@@ -81,38 +81,38 @@
 	}
 }
 
-// shortServices returns the services of which jobs with only small tasks to place have
+// saturatedServices returns the services of which jobs with only small tasks to place have
 // waited for reserveAfter.
-func (s *Scheduler) shortServices(now time.Time) map[string]bool {
+func (s *Scheduler) saturatedServices(now time.Time) map[string]bool {
 	short := make(map[string]bool)
 	for _, j := range s.queue {
-		if now.Sub(j.queuedAt) >= reserveAfter && s.mayRun(j, now) && s.largeTask(j) == nil {
+		if now.Sub(j.queuedAt) >= reserveAfter && s.ownsExclusively(j, now) && s.waitingLargeTask(j) == nil {
 			short[j.Queue.Service] = true
 		}
 	}
 	return short
 }
 
-// reservedFor reports whether room is reserved for a task of a job.
-func (s *Scheduler) reservedFor(j *job) bool {
+// hasReservation reports whether room is reserved for a task of a job.
+func (s *Scheduler) hasReservation(j *job) bool {
 	return slices.ContainsFunc(s.reservations, func(v *reservation) bool { return v.job == j })
 }
 
-// reserveSpan returns for how long room is of use to a job.
-func (s *Scheduler) reserveSpan(j *job, now time.Time) time.Duration {
-	until := j.arrived.Add(s.patience(j))
-	if j.begun || j.has(placed) {
-		until = j.Deadline.Add(-j.least())
+// reservationTTL returns for how long room is of use to a job.
+func (s *Scheduler) reservationTTL(j *job, now time.Time) time.Duration {
+	until := j.arrived.Add(s.waitLimit(j))
+	if j.mayHaveStarted || j.hasTask(placed) {
+		until = j.Deadline.Add(-j.minDuration())
 	}
-	return min(until.Sub(now), reserveMost)
+	return min(until.Sub(now), maxReserveTTL)
 }
 
 // requestReservation asks an agent to keep room for a task.
 func (s *Scheduler) requestReservation(a *agent, t *task, now time.Time, span time.Duration) {
-	a.reserves++
+	a.reserveNumber++
 	v := &reservation{
-		agent: a, job: t.job, step: t.step, number: a.reserves, demand: t.demand(),
-		asked: now, until: now.Add(span),
+		agent: a, job: t.job, step: t.step, number: a.reserveNumber, demand: t.demand(),
+		requestedAt: now, expiresAt: now.Add(span),
 	}
 	a.reservation = v
 	s.reservations = append(s.reservations, v)
@@ -125,50 +125,50 @@
 	s.emit(Note{Job: v.job.ID, Queue: v.job.Queue.Name, Agent: v.agent.name, What: what, Why: why, Age: s.clock.Since(v.job.arrived)})
 }
 
-// confirm notes whether an agent's last report names the reservation there.
-func (s *Scheduler) confirm(a *agent) {
+// confirmReservation notes whether an agent's last report names the reservation there.
+func (s *Scheduler) confirmReservation(a *agent) {
 	v := a.reservation
 	switch {
 	case v == nil:
 	case a.report.ReservationNumber == v.number:
-		if !v.kept {
+		if !v.confirmed {
 			s.noteReservation(v, "reservation kept", "")
 		}
-		v.kept = true
-		v.missed = 0
-	case s.clock.Since(v.asked) >= reserveGrace:
-		if v.missed++; v.missed >= missedMost {
+		v.confirmed = true
+		v.missedReports = 0
+	case s.clock.Since(v.requestedAt) >= reserveConfirmGrace:
+		if v.missedReports++; v.missedReports >= maxMissedReports {
 			s.cancelReservation(v, "not kept by the agent")
 		}
 	}
 }
 
-// reviewReservations gives back what is of no use any more.
-func (s *Scheduler) reviewReservations() {
+// cancelObsoleteReservations gives back what is of no use any more.
+func (s *Scheduler) cancelObsoleteReservations() {
 	if len(s.reservations) == 0 {
 		return
 	}
 	now := s.clock.Now()
 	for _, v := range slices.Clone(s.reservations) {
-		if why := s.obsolete(v, now); why != "" {
+		if why := s.obsoleteReason(v, now); why != "" {
 			s.cancelReservation(v, why)
 		}
 	}
 }
 
-// obsolete tells why a reservation is of no use any more, or returns nothing.
-func (s *Scheduler) obsolete(v *reservation, now time.Time) string {
+// obsoleteReason tells why a reservation is of no use any more, or returns nothing.
+func (s *Scheduler) obsoleteReason(v *reservation, now time.Time) string {
 	waits := func(t *task) bool {
-		return t.step == v.step && (t.state == ready || (t.state == placed && now.Sub(t.placedAt) < refusalWait))
+		return t.step == v.step && (t.state == ready || (t.state == placed && now.Sub(t.placedAt) < placedElsewhereGrace))
 	}
 	switch {
 	case s.jobs[v.job.ID] != v.job:
 		return "job is over"
 	case !slices.ContainsFunc(v.job.tasks, waits):
 		return "placed elsewhere"
-	case !now.Before(v.until):
+	case !now.Before(v.expiresAt):
 		return "time passed"
-	case !v.agent.serves(v.job.Queue, s.config, now, s.woke) || !v.agent.sound(now):
+	case !v.agent.acceptsQueue(v.job.Queue, s.config, now, s.resumedAt) || !v.agent.healthy(now):
 		return "agent is of no use now"
 	}
 	return ""
@@ -181,39 +181,39 @@
 	if v == nil || v.job != j || v.step != step {
 		return
 	}
-	s.dropReservation(v)
-	s.noteReservation(v, "reservation used", fmt.Sprintf("after %s", s.clock.Since(v.asked)))
+	s.removeReservation(v)
+	s.noteReservation(v, "reservation used", fmt.Sprintf("after %s", s.clock.Since(v.requestedAt)))
 }
 
 // cancelReservation ends a reservation and tells its agent.
 func (s *Scheduler) cancelReservation(v *reservation, why string) {
-	s.dropReservation(v)
-	v.agent.reserveNext = s.clock.Now().Add(reserveShun)
-	if v.agent.open {
+	s.removeReservation(v)
+	v.agent.nextReserveAt = s.clock.Now().Add(reserveBackoff)
+	if v.agent.synced {
 		s.emit(Send{Agent: v.agent.name, Message: messenger.Reserve{Number: v.number}})
 	}
 	s.noteReservation(v, "reservation given up", why)
 }
 
-// loseReservation forgets the reservation at an agent whose link has ended. The
+// reservationLinkEnded forgets the reservation at an agent whose link has ended. The
 // agent has dropped it.
-func (s *Scheduler) loseReservation(a *agent) {
+func (s *Scheduler) reservationLinkEnded(a *agent) {
 	if v := a.reservation; v != nil {
-		s.dropReservation(v)
+		s.removeReservation(v)
 		s.noteReservation(v, "reservation given up", "link ended")
 	}
 }
 
-// dropReservation forgets a reservation. It tells the agent nothing.
-func (s *Scheduler) dropReservation(v *reservation) {
+// removeReservation forgets a reservation. It tells the agent nothing.
+func (s *Scheduler) removeReservation(v *reservation) {
 	v.agent.reservation = nil
 	s.reservations = slices.DeleteFunc(s.reservations, func(o *reservation) bool { return o == v })
 }
 
-// roomFor returns the room that tasks of a step may use at the agent: without what
+// capacityFor returns the room that tasks of a step may use at the agent: without what
 // is kept for another job of the entry, and with what is kept for a task of
 // another entry if they end before that can start.
-func (a *agent) roomFor(j *job, step int, now time.Time) messenger.Resources {
+func (a *agent) capacityFor(j *job, step int, now time.Time) messenger.Resources {
 	room := a.free()
 	if v := a.reservation; v != nil && (v.job != j || v.step != step) && v.demand.FitsIn(room) {
 		room = room.Minus(v.demand)
@@ -224,5 +224,7 @@
 	return room
 }
 
-// anyRoom returns the room that any task may use at the agent.
-func (a *agent) anyRoom() messenger.Resources { return a.free().Plus(a.report.Backfill.Resources) }
+// capacityWithBackfill returns the room that any task may use at the agent.
+func (a *agent) capacityWithBackfill() messenger.Resources {
+	return a.free().Plus(a.report.Backfill.Resources)
+}
--- a/scheduler/reservation_bench_test.go
+++ b/scheduler/reservation_bench_test.go
@@ -16,10 +16,10 @@
 	for _, agents := range []int{10, 60, 200} {
 		for _, jobs := range []int{1, 100, 1000} {
 			b.Run(fmt.Sprintf("%d agents, %d jobs", agents, jobs), func(b *testing.B) {
-				s := crowdedScheduler(agents, jobs)
+				s := newFullScheduler(agents, jobs)
 				now := s.clock.Now()
 				for b.Loop() {
-					s.reserve(now)
+					s.requestReservations(now)
 					for _, v := range s.reservations {
 						v.agent.reservation = nil
 					}
@@ -33,38 +33,38 @@
 
 // BenchmarkReserveNowhere measures it when no agent can be asked.
 func BenchmarkReserveNowhere(b *testing.B) {
-	s := crowdedScheduler(200, 1000)
+	s := newFullScheduler(200, 1000)
 	now := s.clock.Now()
-	for _, a := range s.byName {
-		a.reserveNext = now.Add(time.Second)
+	for _, a := range s.agentsByName {
+		a.nextReserveAt = now.Add(time.Second)
 	}
 	for b.Loop() {
-		s.reserve(now)
+		s.requestReservations(now)
 	}
 }
 
 // BenchmarkReserveSmall measures what the same costs when all tasks are small.
 func BenchmarkReserveSmall(b *testing.B) {
-	s := crowdedScheduler(60, 1000)
+	s := newFullScheduler(60, 1000)
 	for _, j := range s.queue {
 		j.Steps[0].Demand.CPU = 1000
 	}
-	s.waitingWork()
+	s.computeBacklog()
 	now := s.clock.Now()
 	for b.Loop() {
-		s.reviewReservations()
-		s.reserve(now)
+		s.cancelObsoleteReservations()
+		s.requestReservations(now)
 	}
 }
 
-// crowdedScheduler returns one with full agents and large jobs that wait.
-func crowdedScheduler(agents, jobs int) *Scheduler {
+// newFullScheduler returns one with full agents and large jobs that wait.
+func newFullScheduler(agents, jobs int) *Scheduler {
 	clock := clockwork.NewFakeClock()
 	s := NewScheduler(clock, "dc-0")
 	for i := range agents {
 		name := fmt.Sprintf("agent-%03d", i)
-		s.Opened(name)
-		s.Report(messenger.Report{
+		s.LinkOpened(name)
+		s.HandleReport(messenger.Report{
 			Agent: name, RunsComplete: true, ConnectedEntries: 1, Free: messenger.Resources{CPU: 100 * (i % 20)},
 			Upstream: &messenger.Upstream{ID: name, Born: 1, Service: "quotes", Capacity: messenger.Resources{CPU: 36_000}},
 			Forecast: []messenger.Resources{{}, {CPU: 1000}, {CPU: 4000}, {CPU: 9000}, {CPU: 20_000}},
@@ -80,6 +80,6 @@
 		s.jobs[j.ID] = j
 		s.queue = append(s.queue, j)
 	}
-	s.waitingWork()
+	s.computeBacklog()
 	return s
 }
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -9,7 +9,7 @@
 
 func TestJobsThatArriveAsAllProcessesReturnAreServed(t *testing.T) {
 	const away = 1300 * time.Millisecond
-	w := newWorld(t, 7, 3, 11, cores)
+	w := newSimulation(t, 7, 3, 11, cores)
 	w.run(time.Second)
 	for _, a := range w.agents {
 		a.kill(away)
@@ -23,5 +23,5 @@
 	w.check()
 	s := w.summary()
 	t.Logf("%+v", s)
-	require.GreaterOrEqual(t, float64(s.inAim), 0.95*float64(s.all))
+	require.GreaterOrEqual(t, float64(s.inTime), 0.95*float64(s.all))
 }
--- a/scheduler/comeback_test.go
+++ b/scheduler/retry_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRefusedBurstDoesNotReturnAsABurst guards against callers who are refused at the
+// TestRetryAfterSpreadsARefusedBurst guards against callers who are refused at the
 // same time and all come back in the same second.
-func TestRefusedBurstDoesNotReturnAsABurst(t *testing.T) {
+func TestRetryAfterSpreadsARefusedBurst(t *testing.T) {
 	const (
 		callers = 200
 		gap     = 20 * time.Millisecond
 	)
-	var c comeback
+	var c retrySchedule
 	perSecond := make(map[int]int)
 	last := time.Duration(0)
 	for range callers {
-		after := c.after(began, 0, gap)
+		after := c.retryAfter(startTime, 0, gap)
 		require.Greater(t, after, last, "in the order of the refusals")
 		last = after
 		perSecond[int(math.Ceil(after.Seconds()))]++
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestComebackStaysWithinItsBounds(t *testing.T) {
+func TestRetryAfterStaysWithinItsBounds(t *testing.T) {
 	tests := []struct {
 		name         string
 		drained, gap time.Duration
@@ -41,23 +41,23 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var c comeback
+			var c retrySchedule
 			for i := range 100 {
-				now := began.Add(time.Duration(i) * time.Millisecond)
-				after := c.after(now, tt.drained, tt.gap)
-				require.GreaterOrEqual(t, after, backLeast)
-				require.LessOrEqual(t, after, backMost)
+				now := startTime.Add(time.Duration(i) * time.Millisecond)
+				after := c.retryAfter(now, tt.drained, tt.gap)
+				require.GreaterOrEqual(t, after, minRetryAfter)
+				require.LessOrEqual(t, after, maxRetryAfter)
 			}
 		})
 	}
 }
 
-// TestComebackBeginsAnewAfterAQuietTime guards against promises of a past overload
+// TestRetryScheduleRestartsAfterAQuietTime guards against promises of a past overload
 // that hold new callers off.
-func TestComebackBeginsAnewAfterAQuietTime(t *testing.T) {
-	var c comeback
+func TestRetryScheduleRestartsAfterAQuietTime(t *testing.T) {
+	var c retrySchedule
 	for range 100 {
-		c.after(began, 0, 20*time.Millisecond)
+		c.retryAfter(startTime, 0, 20*time.Millisecond)
 	}
-	require.Equal(t, backLeast, c.after(began.Add(10*time.Second), 0, 20*time.Millisecond))
+	require.Equal(t, minRetryAfter, c.retryAfter(startTime.Add(10*time.Second), 0, 20*time.Millisecond))
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	// recordAge is how long the outcome of a job is kept for callers that send
+	// recordTTL is how long the outcome of a job is kept for callers that send
 	// it again.
-	recordAge = 15 * time.Second
-	// recordsMost bounds the outcomes that are kept.
-	recordsMost = 20_000
+	recordTTL = 15 * time.Second
+	// maxRecords bounds the outcomes that are kept.
+	maxRecords = 20_000
 )
 
 // Scheduler owns the jobs of one entry.
@@ -34,93 +34,93 @@
 	dataCentre string
 	config     Configuration
 	agents     map[string]*agent
-	// byName lists the agents in the order of their names.
-	byName  []*agent
-	jobs    map[string]*job
-	tickets map[uint64]*job
+	// agentsByName lists the agents in the order of their names.
+	agentsByName []*agent
+	jobs         map[string]*job
+	tickets      map[uint64]*job
 	// queue lists the jobs with tasks that wait, in the order of pass.
 	queue   []*job
 	records map[string]record
-	// remains counts, for jobs that are over, the runs that may still go on.
-	remains map[string]int
+	// withdrawnRuns counts, for jobs that are over, the runs that may still go on.
+	withdrawnRuns map[string]int
 	// yielding are the jobs that wait since another entry holds them.
 	yielding map[string]*job
-	// shares counts refusals by the name of the queue.
-	shares map[string]*share
-	// drains and comebacks are kept by the name of the queue as well.
-	drains    map[string]*drain
-	comebacks map[string]*comeback
-	// fleets are the workers by service, as compared at comparedAt.
-	fleets     map[string]fleet
-	comparedAt time.Time
-	// forget lists the records in the order of their making.
-	forget  []string
-	number  uint64
-	effects []Effect
-	// requeued counts the times that a job was put into the queue.
-	requeued uint64
-	// want is what waited for room when it was last counted, less what has been
+	// refusals counts refusals by the name of the queue.
+	refusals map[string]*refusalStats
+	// startRates and comebacks are kept by the name of the queue as well.
+	startRates     map[string]*startRate
+	retrySchedules map[string]*retrySchedule
+	// speedProfiles are the workers by service, as compared at speedsComparedAt.
+	speedProfiles    map[string]speedProfile
+	speedsComparedAt time.Time
+	// recordOrder lists the records in the order of their making.
+	recordOrder   []string
+	lastJobNumber uint64
+	effects       []Effect
+	// enqueueCount counts the times that a job was put into the queue.
+	enqueueCount uint64
+	// backlog is what waited for room when it was last counted, less what has been
 	// placed since.
-	want messenger.Backlog
-	// asked is whether the agents have been told that jobs wait, and askedAt when
+	backlog messenger.Backlog
+	// backlogAnnounced is whether the agents have been told that jobs wait, and earlyHeartbeatAt when
 	// they were last told so before a heartbeat was due.
-	asked   bool
-	askedAt time.Time
-	// locality is what the last pass has found to wait, and scarce whether tasks
+	backlogAnnounced bool
+	earlyHeartbeatAt time.Time
+	// passBacklog is what the last pass has found to wait, and scarce whether tasks
 	// that would run anywhere had found no room when all agents were last looked at.
-	locality locality
-	scarce   bool
-	// racks means that a job has come whose data is on a rack.
-	racks bool
+	passBacklog    passBacklog
+	capacityScarce bool
+	// rackJobSeen means that a job has come whose data is on a rack.
+	rackJobSeen bool
 	// throughput is the work done lately; short is for Need.
-	throughput throughput
-	short      bool
-	// largest has the most of each resource that a worker of a service has.
-	largest map[string]messenger.Resources
-	// mostWanted has the most of each resource that a waiting task takes.
-	mostWanted messenger.Resources
+	throughput         throughput
+	refusedForCapacity bool
+	// maxCapacity has the most of each resource that a worker of a service has.
+	maxCapacity map[string]messenger.Resources
+	// maxBacklogDemand has the most of each resource that a waiting task takes.
+	maxBacklogDemand messenger.Resources
 	// reservations are those that agents have been asked for.
 	reservations []*reservation
-	// echoed is when the last heartbeat was sent that an agent has echoed.
-	echoed time.Time
-	// woke is when the entry last went on after a pause; zero before one.
-	woke time.Time
-	// settled is when the entry can be taken to know the room; zero before the
+	// echoedHeartbeatAt is when the last heartbeat was sent that an agent has echoed.
+	echoedHeartbeatAt time.Time
+	// resumedAt is when the entry last went on after a pause; zero before one.
+	resumedAt time.Time
+	// warmUpEnd is when the entry can be taken to know the room; zero before the
 	// first configuration.
-	settled time.Time
+	warmUpEnd time.Time
 }
 
 // record is the outcome of a job that is over.
 type record struct {
-	answer  Answer
-	made    time.Time
-	lastRun int
-	// begun means that a task may have started.
-	begun bool
-	// named means that other entries have been told of the job.
-	named bool
+	answer        Answer
+	endedAt       time.Time
+	lastRunNumber int
+	// mayHaveStarted means that a task may have started.
+	mayHaveStarted bool
+	// announced means that other entries have been told of the job.
+	announced bool
 }
 
 // NewScheduler returns a scheduler without configuration, which takes no jobs.
 func NewScheduler(clock clockwork.Clock, dataCentre string) *Scheduler {
 	return &Scheduler{
-		clock:      clock,
-		dataCentre: dataCentre,
-		agents:     make(map[string]*agent),
-		jobs:       make(map[string]*job),
-		tickets:    make(map[uint64]*job),
-		records:    make(map[string]record),
-		remains:    make(map[string]int),
-		yielding:   make(map[string]*job),
-		shares:     make(map[string]*share),
-		drains:     make(map[string]*drain),
-		comebacks:  make(map[string]*comeback),
-		largest:    make(map[string]messenger.Resources),
+		clock:          clock,
+		dataCentre:     dataCentre,
+		agents:         make(map[string]*agent),
+		jobs:           make(map[string]*job),
+		tickets:        make(map[uint64]*job),
+		records:        make(map[string]record),
+		withdrawnRuns:  make(map[string]int),
+		yielding:       make(map[string]*job),
+		refusals:       make(map[string]*refusalStats),
+		startRates:     make(map[string]*startRate),
+		retrySchedules: make(map[string]*retrySchedule),
+		maxCapacity:    make(map[string]messenger.Resources),
 	}
 }
 
-// Drain returns the effects since the last call.
-func (s *Scheduler) Drain() []Effect {
+// TakeEffects returns the effects since the last call.
+func (s *Scheduler) TakeEffects() []Effect {
 	out := s.effects
 	s.effects = nil
 	return out
@@ -131,10 +131,10 @@
 // Configure puts a configuration into force.
 func (s *Scheduler) Configure(c Configuration) {
 	s.config = c
-	if s.settled.IsZero() {
-		s.settled = s.clock.Now().Add(settleTime)
+	if s.warmUpEnd.IsZero() {
+		s.warmUpEnd = s.clock.Now().Add(warmUpTime)
 	}
-	s.pass()
+	s.schedulingPass()
 }
 
 // Submit takes a job of the request with a ticket. The ticket gets one Reply.
@@ -151,31 +151,31 @@
 		s.emit(Reply{Ticket: ticket, Answer: r.answer})
 		return
 	}
-	s.number++
-	j := newJob(in, s.number, now, r)
-	h := s.shareOf(in.Queue)
-	h.aged(now)
-	h.offered++
+	s.lastJobNumber++
+	j := newJob(in, s.lastJobNumber, now, r)
+	h := s.refusalsOf(in.Queue)
+	h.decay(now)
+	h.submitted++
 	if a, ok := s.admit(j, now); !ok {
 		h.refused++
-		s.emit(Reply{Ticket: ticket, Answer: j.truthful(a)})
+		s.emit(Reply{Ticket: ticket, Answer: j.unsettledIfStarted(a)})
 		return
 	}
 	j.tickets = []uint64{ticket}
 	s.tickets[ticket] = j
 	s.jobs[j.ID] = j
-	s.racks = s.racks || j.onRack()
-	if n := s.remains[j.ID]; n > 0 {
-		j.hold.since = now.Add(-max(holdAfter, now.Sub(j.hold.since)))
+	s.rackJobSeen = s.rackJobSeen || j.hasRackData()
+	if n := s.withdrawnRuns[j.ID]; n > 0 {
+		j.hold.sentAt = now.Add(-max(announceAfter, now.Sub(j.hold.sentAt)))
 		s.emit(Note{Job: j.ID, Queue: j.Queue.Name, What: "job waits", Why: fmt.Sprintf("%d runs of its last try may go on", n)})
 	}
 	s.enqueue(j)
-	s.pass()
+	s.schedulingPass()
 }
 
-// Leave notes that the caller of a ticket has gone. A job that nobody waits
+// CallerLeft notes that the caller of a ticket has gone. A job that nobody waits
 // for is given up.
-func (s *Scheduler) Leave(ticket uint64) {
+func (s *Scheduler) CallerLeft(ticket uint64) {
 	j := s.tickets[ticket]
 	if j == nil {
 		return
@@ -183,8 +183,8 @@
 	delete(s.tickets, ticket)
 	j.tickets = slices.DeleteFunc(j.tickets, func(t uint64) bool { return t == ticket })
 	if len(j.tickets) == 0 {
-		s.end(j, Answer{Outcome: Cancelled, Why: "caller left"})
-		s.pass()
+		s.endJob(j, Answer{Outcome: Cancelled, Why: "caller left"})
+		s.schedulingPass()
 	}
 }
 
@@ -194,8 +194,8 @@
 	if j == nil {
 		return false
 	}
-	s.end(j, Answer{Outcome: Cancelled, Why: "cancelled"})
-	s.pass()
+	s.endJob(j, Answer{Outcome: Cancelled, Why: "cancelled"})
+	s.schedulingPass()
 	return true
 }
 
@@ -214,7 +214,7 @@
 func (s *Scheduler) Waiting(queue string) int {
 	n := 0
 	for _, j := range s.queue {
-		if j.Queue.Name == queue && j.fresh() {
+		if j.Queue.Name == queue && j.unstarted() {
 			n++
 		}
 	}
@@ -224,42 +224,42 @@
 // Tick looks at what has come due.
 func (s *Scheduler) Tick() {
 	now := s.clock.Now()
-	for _, a := range s.byName {
-		if !a.open && !a.idle() && now.Sub(a.reportedAt) > LossAfter {
-			s.lose(a)
+	for _, a := range s.agentsByName {
+		if !a.synced && !a.idle() && now.Sub(a.reportedAt) > AgentLossTimeout {
+			s.requeueLost(a)
 		}
 	}
-	for _, j := range s.sorted() {
+	for _, j := range s.jobsByArrival() {
 		switch {
 		case !now.Before(j.Deadline):
 			s.giveUp(j, "deadline passed")
-		case s.gaveWay(j, now):
-		case !s.mayRun(j, now) && now.Sub(s.woke) >= readUpTime:
+		case s.giveUpIfHeld(j, now):
+		case !s.ownsExclusively(j, now) && now.Sub(s.resumedAt) >= pauseCatchUpTime:
 			s.giveUp(j, "other entries may not know of it")
 		}
 	}
-	s.resume()
-	s.moveSlow(now)
+	s.releaseYielding()
+	s.moveSlowRuns(now)
 	s.compareSpeeds(now)
-	s.forgetOld(now)
-	s.pass()
+	s.expireRecords(now)
+	s.schedulingPass()
 }
 
 // giveUp ends a job that cannot be completed.
 func (s *Scheduler) giveUp(j *job, why string) {
-	if j.begun || j.has(placed) {
-		s.end(j, Answer{Outcome: Unsettled, RetryAfter: LossAfter, Why: why})
+	if j.mayHaveStarted || j.hasTask(placed) {
+		s.endJob(j, Answer{Outcome: Unsettled, RetryAfter: AgentLossTimeout, Why: why})
 		return
 	}
-	s.shareOf(j.Queue).refused++
-	s.short = true
-	f := s.forecast(j, s.clock.Now())
-	s.end(j, Answer{Outcome: Overloaded, RetryAfter: s.backIn(j), Why: why + "; " + f.String(), Refusal: f.refusal(AfterWaiting)})
+	s.refusalsOf(j.Queue).refused++
+	s.refusedForCapacity = true
+	f := s.forecastWait(j, s.clock.Now())
+	s.endJob(j, Answer{Outcome: Overloaded, RetryAfter: s.retryAfter(j), Why: why + "; " + f.String(), Refusal: f.refusal(AfterWaiting)})
 }
 
-// end answers all callers of a job, withdraws what is placed and keeps a
+// endJob answers all callers of a job, withdraws what is placed and keeps a
 // record.
-func (s *Scheduler) end(j *job, a Answer) {
+func (s *Scheduler) endJob(j *job, a Answer) {
 	now := s.clock.Now()
 	for _, t := range j.tickets {
 		delete(s.tickets, t)
@@ -270,17 +270,17 @@
 	if s.yielding[j.ID] == j {
 		delete(s.yielding, j.ID)
 	}
-	left := j.in(placed)
+	left := j.tasksIn(placed)
 	s.withdraw(left)
-	s.leave(left)
+	s.trackWithdrawn(left)
 	for _, t := range j.tasks {
 		if t.agent != nil {
 			t.unplace()
 		}
 		t.state = finished
 	}
-	s.records[j.ID] = record{answer: a, made: now, lastRun: j.lastRun(), begun: j.begun || len(left) > 0, named: !j.hold.toldAt.IsZero()}
-	s.forget = append(s.forget, j.ID)
+	s.records[j.ID] = record{answer: a, endedAt: now, lastRunNumber: j.lastRunNumber(), mayHaveStarted: j.mayHaveStarted || len(left) > 0, announced: !j.hold.announcedAt.IsZero()}
+	s.recordOrder = append(s.recordOrder, j.ID)
 }
 
 // withdraw asks the agents to drop runs.
@@ -294,27 +294,27 @@
 		byAgent[t.agent] = append(byAgent[t.agent], t.current())
 	}
 	for _, a := range order {
-		s.emit(Note{Job: jobOf(byAgent[a][0].Task), Run: byAgent[a][0], Agent: a.name, What: "runs withdrawn", Why: fmt.Sprintf("%d runs, agent in touch: %t", len(byAgent[a]), a.open)})
-		if a.open {
+		s.emit(Note{Job: jobIDOf(byAgent[a][0].Task), Run: byAgent[a][0], Agent: a.name, What: "runs withdrawn", Why: fmt.Sprintf("%d runs, agent in touch: %t", len(byAgent[a]), a.synced)})
+		if a.synced {
 			s.emit(Send{Agent: a.name, Message: messenger.Withdraw{Runs: byAgent[a]}})
 		}
 	}
 }
 
-func (s *Scheduler) forgetOld(now time.Time) {
-	for len(s.forget) > 0 {
-		id := s.forget[0]
+func (s *Scheduler) expireRecords(now time.Time) {
+	for len(s.recordOrder) > 0 {
+		id := s.recordOrder[0]
 		r, ok := s.records[id]
-		if ok && now.Sub(r.made) < recordAge && len(s.forget) <= recordsMost {
+		if ok && now.Sub(r.endedAt) < recordTTL && len(s.recordOrder) <= maxRecords {
 			return
 		}
 		delete(s.records, id)
-		s.forget = s.forget[1:]
+		s.recordOrder = s.recordOrder[1:]
 	}
 }
 
-// sorted returns the unfinished jobs in the order of their arrival.
-func (s *Scheduler) sorted() []*job {
+// jobsByArrival returns the unfinished jobs in the order of their arrival.
+func (s *Scheduler) jobsByArrival() []*job {
 	out := make([]*job, 0, len(s.jobs))
 	for _, j := range s.jobs {
 		out = append(out, j)
@@ -323,16 +323,16 @@
 	return out
 }
 
-// agentNamed returns the agent with a name, a new one if need be.
-func (s *Scheduler) agentNamed(name string) *agent {
+// findOrAddAgent returns the agent with a name, a new one if need be.
+func (s *Scheduler) findOrAddAgent(name string) *agent {
 	a := s.agents[name]
 	if a == nil {
-		a = &agent{name: name, hash: xxhash.Sum64String(name), tasks: make(map[messenger.Run]*task), withdrawn: make(map[messenger.Run]*task), speed: usualSpeed}
+		a = &agent{name: name, hash: xxhash.Sum64String(name), tasks: make(map[messenger.Run]*task), withdrawn: make(map[messenger.Run]*task), speed: defaultSpeed}
 		s.agents[name] = a
-		at, _ := slices.BinarySearchFunc(s.byName, name, func(a *agent, name string) int {
+		at, _ := slices.BinarySearchFunc(s.agentsByName, name, func(a *agent, name string) int {
 			return strings.Compare(a.name, name)
 		})
-		s.byName = slices.Insert(s.byName, at, a)
+		s.agentsByName = slices.Insert(s.agentsByName, at, a)
 	}
 	return a
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -16,37 +16,37 @@
 // jobID is the job that most tests hand in.
 const jobID = "0000000000000003"
 
-// bench is a scheduler with one agent, whose messages the test writes itself.
-type bench struct {
+// fixture is a scheduler with one agent, whose messages the test writes itself.
+type fixture struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
 	s     *scheduler.Scheduler
 	// replies are the answers so far, by ticket.
 	replies map[uint64]scheduler.Answer
 	sent    []any
-	// opened is when the link to an agent was opened.
-	opened map[string]time.Time
+	// linkOpenedAt is when the link to an agent was opened.
+	linkOpenedAt map[string]time.Time
 }
 
-func newBench(t *testing.T) *bench {
-	b := newYoungBench(t)
+func newFixture(t *testing.T) *fixture {
+	b := newStartingFixture(t)
 	// The entry has been up for long enough to know its agents.
 	b.clock.Advance(time.Second)
 	return b
 }
 
-// newYoungBench returns the same of an entry that has just started.
-func newYoungBench(t *testing.T) *bench {
+// newStartingFixture returns the same of an entry that has just started.
+func newStartingFixture(t *testing.T) *fixture {
 	clock := clockwork.NewFakeClock()
-	b := &bench{t: t, clock: clock, s: scheduler.NewScheduler(clock, "dc-0"), replies: make(map[uint64]scheduler.Answer), opened: make(map[string]time.Time)}
+	b := &fixture{t: t, clock: clock, s: scheduler.NewScheduler(clock, "dc-0"), replies: make(map[uint64]scheduler.Answer), linkOpenedAt: make(map[string]time.Time)}
 	b.s.Configure(configuration())
 	return b
 }
 
 // drain sorts the effects and returns the messages to agents.
-func (b *bench) drain() []any {
+func (b *fixture) drain() []any {
 	b.sent = nil
-	for _, e := range b.s.Drain() {
+	for _, e := range b.s.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Reply:
 			b.replies[e.Ticket] = e.Answer
@@ -57,8 +57,8 @@
 	return b.sent
 }
 
-// report returns an agent's word on a worker with room for ten tasks.
-func report(agent string, seen uint64) messenger.Report {
+// newReport returns an agent's word on a worker with room for ten tasks.
+func newReport(agent string, seen uint64) messenger.Report {
 	room := messenger.Resources{CPU: 31_000, Memory: 64_000}
 	return messenger.Report{
 		Agent: agent, DataCentre: "dc-0", Incarnation: 1, AckedPlace: seen, ConnectedEntries: 1, Free: room,
@@ -66,70 +66,70 @@
 	}
 }
 
-// open brings an agent into touch.
-func (b *bench) open(agent string) {
-	b.s.Opened(agent)
-	b.opened[agent] = b.clock.Now()
-	r := report(agent, 0)
+// connect brings an agent into touch.
+func (b *fixture) connect(agent string) {
+	b.s.LinkOpened(agent)
+	b.linkOpenedAt[agent] = b.clock.Now()
+	r := newReport(agent, 0)
 	r.RunsComplete = true
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.drain()
 }
 
-// beat has the entry send a heartbeat, which an agent echoes in its report, and
+// heartbeat has the entry send a heartbeat, which an agent echoes in its report, and
 // returns the jobs that the heartbeat names.
-func (b *bench) beat(agent string, seen uint64) []string {
-	held := b.s.Held()
-	r := report(agent, seen)
-	r.Echo = b.clock.Since(b.opened[agent])
-	b.s.Report(r)
+func (b *fixture) heartbeat(agent string, seen uint64) []string {
+	held := b.s.HeldJobs()
+	r := newReport(agent, seen)
+	r.Echo = b.clock.Since(b.linkOpenedAt[agent])
+	b.s.HandleReport(r)
 	return slices.Concat(held.Running, held.Yielding, held.Finished)
 }
 
-// turn has the entry send a heartbeat, which an agent with one placement echoes,
+// heartbeatAndTick has the entry send a heartbeat, which an agent with one placement echoes,
 // and look at what has come due.
-func (b *bench) turn(agent string) {
-	b.beat(agent, 1)
+func (b *fixture) heartbeatAndTick(agent string) {
+	b.heartbeat(agent, 1)
 	b.s.Tick()
 	b.drain()
 }
 
-func (b *bench) job(id string, tasks int) scheduler.Job {
+func (b *fixture) job(id string, tasks int) scheduler.Job {
 	return scheduler.Job{
 		ID: id, Queue: quotes(), Spec: "spec", Deadline: b.clock.Now().Add(1500 * time.Millisecond),
 		Steps: []scheduler.Step{{Count: tasks, Demand: messenger.Resources{CPU: 3100}, Estimate: 60 * time.Millisecond}},
 	}
 }
 
-// lasting returns a job of one task whose caller waits for long.
-func (b *bench) lasting() scheduler.Job {
+// longJob returns a job of one task whose caller waits for long.
+func (b *fixture) longJob() scheduler.Job {
 	j := b.job(jobID, 1)
 	j.Deadline = b.clock.Now().Add(time.Minute)
 	return j
 }
 
-// handIn hands a job of one task in and returns the run that is placed.
-func (b *bench) handIn(ticket uint64, j scheduler.Job) messenger.Run {
+// submitPlaced hands a job of one task in and returns the run that is placed.
+func (b *fixture) submitPlaced(ticket uint64, j scheduler.Job) messenger.Run {
 	b.t.Helper()
 	b.s.Submit(ticket, j)
 	b.drain()
 	return b.placed().Tasks[0].Run
 }
 
-// relinked opens a new link to an agent that has restarted and found runs, and
+// reconnectRestarted opens a new link to an agent that has restarted and found runs, and
 // returns its word.
-func (b *bench) relinked(agent string, runs ...messenger.Progress) messenger.Report {
-	b.s.Opened(agent)
-	r := report(agent, 0)
+func (b *fixture) reconnectRestarted(agent string, runs ...messenger.Progress) messenger.Report {
+	b.s.LinkOpened(agent)
+	r := newReport(agent, 0)
 	r.Incarnation = 2
 	r.RunsComplete = true
 	r.Runs = runs
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	return r
 }
 
 // ejected reports whether the worker at an agent is set aside.
-func (b *bench) ejected(agent string) bool {
+func (b *fixture) ejected(agent string) bool {
 	for _, a := range b.s.Dump().Agents {
 		if a.Name == agent {
 			return a.Ejected
@@ -139,7 +139,7 @@
 }
 
 // placed returns the one Place among the last messages.
-func (b *bench) placed() messenger.Place {
+func (b *fixture) placed() messenger.Place {
 	b.t.Helper()
 	var out []messenger.Place
 	for _, m := range b.sent {
@@ -151,89 +151,89 @@
 	return out[0]
 }
 
-func TestListOlderThanAPlacementTellsNothingOfIt(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
+func TestRunListOlderThanAPlacementDoesNotCoverIt(t *testing.T) {
+	b := newFixture(t)
+	b.connect("a")
 	b.s.Submit(1, b.job(jobID, 2))
 	b.drain()
 	require.Len(t, b.placed().Tasks, 2)
 	// The agent lists its runs anew before it has taken the placement in.
-	r := report("a", 0)
+	r := newReport("a", 0)
 	r.RunsComplete = true
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	require.Empty(t, b.drain())
 	// A list that was made after it shows that the runs are not there.
 	r.AckedPlace = 1
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.drain()
 	require.Equal(t, 2, b.placed().Tasks[0].Number)
 }
 
 func TestRunsThatARestartedAgentFoundAreClaimed(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	run := b.handIn(1, b.job(jobID, 1))
-	b.s.Closed("a")
-	r := b.relinked("a", messenger.Progress{Run: run, Percent: 50, Age: 30 * time.Millisecond})
+	b := newFixture(t)
+	b.connect("a")
+	run := b.submitPlaced(1, b.job(jobID, 1))
+	b.s.LinkClosed("a")
+	r := b.reconnectRestarted("a", messenger.Progress{Run: run, Percent: 50, Age: 30 * time.Millisecond})
 	b.drain()
 	require.Equal(t, run, b.placed().Tasks[0].Run)
-	r = report("a", 1)
+	r = newReport("a", 1)
 	r.Incarnation = 2
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.drain()
 	require.Equal(t, scheduler.Complete, b.replies[1].Outcome)
 }
 
 func TestRunsOfALostAgentAreRunAgainOnlyWhenTheyHaveEndedForCertain(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.s.Submit(1, b.lasting())
+	b := newFixture(t)
+	b.connect("a")
+	b.s.Submit(1, b.longJob())
 	b.drain()
 	b.placed()
-	b.s.Closed("a")
-	b.open("b")
+	b.s.LinkClosed("a")
+	b.connect("b")
 	b.clock.Advance(time.Second)
-	b.beat("b", 0)
+	b.heartbeat("b", 0)
 	b.s.Tick()
 	require.Empty(t, b.drain())
 	b.clock.Advance(300 * time.Millisecond)
-	b.beat("b", 0)
+	b.heartbeat("b", 0)
 	b.s.Tick()
 	b.drain()
 	require.Equal(t, 2, b.placed().Tasks[0].Number)
 }
 
-func TestRefusalsAreTrue(t *testing.T) {
+func TestRefusalOutcomes(t *testing.T) {
 	tests := []struct {
 		name string
-		play func(b *bench)
+		play func(b *fixture)
 		want scheduler.Outcome
 	}{
-		{"no worker for so long", func(b *bench) {
+		{"no worker for so long", func(b *fixture) {
 			b.s.Submit(1, b.job(jobID, 1))
 			b.clock.Advance(200 * time.Millisecond)
 			b.s.Tick()
 		}, scheduler.Overloaded},
-		{"larger than any worker", func(b *bench) {
-			b.open("a")
+		{"larger than any worker", func(b *fixture) {
+			b.connect("a")
 			j := b.job(jobID, 1)
 			j.Steps[0].Demand.CPU = 99_000
 			b.s.Submit(1, j)
 		}, scheduler.Impossible},
-		{"caller waits for less than the work takes", func(b *bench) {
-			b.open("a")
+		{"caller waits for less than the work takes", func(b *fixture) {
+			b.connect("a")
 			j := b.job(jobID, 1)
 			j.Deadline = b.clock.Now().Add(20 * time.Millisecond)
 			b.s.Submit(1, j)
 		}, scheduler.Overloaded},
-		{"no steps", func(b *bench) {
+		{"no steps", func(b *fixture) {
 			j := b.job(jobID, 1)
 			j.Steps = nil
 			b.s.Submit(1, j)
 		}, scheduler.Impossible},
-		{"deadline with a run that may have started", func(b *bench) {
-			b.open("a")
+		{"deadline with a run that may have started", func(b *fixture) {
+			b.connect("a")
 			b.s.Submit(1, b.job(jobID, 1))
 			b.clock.Advance(1500 * time.Millisecond)
 			b.s.Tick()
@@ -241,7 +241,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			tt.play(b)
 			b.drain()
 			require.Equal(t, tt.want, b.replies[1].Outcome, b.replies[1].Why)
@@ -250,7 +250,7 @@
 }
 
 func TestNothingIsRefusedForLackOfRoomWhileLinksAreBeingOpened(t *testing.T) {
-	b := newYoungBench(t)
+	b := newStartingFixture(t)
 	const jobs = 6
 	for i := range jobs {
 		b.s.Submit(uint64(1+i), b.job(fmt.Sprintf("%016x", 1+i), 8))
@@ -259,7 +259,7 @@
 	b.s.Tick()
 	b.drain()
 	require.Empty(t, b.replies, "the room is not known yet")
-	b.open("a")
+	b.connect("a")
 	placed := 0
 	for _, j := range b.s.Dump().Waiting {
 		if j.Placed > 0 || j.Ready == 0 {
@@ -276,14 +276,14 @@
 }
 
 func TestOnlyTheProbeDecidesOnAnEjectedWorker(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.open("b")
+	b := newFixture(t)
+	b.connect("a")
+	b.connect("b")
 	end := func(r messenger.Run, how messenger.EndReason, failed int, seen uint64) {
-		x := report("a", seen)
+		x := newReport("a", seen)
 		x.Ended = []messenger.RunEnd{{Run: r, Reason: how}}
 		x.ConsecutiveFailedJobs = failed
-		b.s.Report(x)
+		b.s.HandleReport(x)
 		b.drain()
 	}
 	// Three jobs are out at the worker when two of them fail.
@@ -302,25 +302,25 @@
 }
 
 func TestTaskThatFailsTooOftenFailsItsJobOnDifferentWorkers(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for _, a := range []string{"a", "b", "c"} {
-		b.open(a)
+		b.connect(a)
 	}
 	b.s.Submit(1, b.job(jobID, 1))
 	agents := make(map[string]bool)
 	for range quotes().MaxAttempts {
 		var to string
 		var run messenger.Run
-		for _, e := range b.s.Drain() {
+		for _, e := range b.s.TakeEffects() {
 			if s, ok := e.(scheduler.Send); ok {
 				to = s.Agent
 				run = s.Message.(messenger.Place).Tasks[0].Run
 			}
 		}
 		agents[to] = true
-		r := report(to, uint64(run.Number))
+		r := newReport(to, uint64(run.Number))
 		r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunFailed}}
-		b.s.Report(r)
+		b.s.HandleReport(r)
 	}
 	b.drain()
 	require.Len(t, agents, 3)
@@ -328,17 +328,17 @@
 }
 
 func TestJobSentAgainJoinsTheRunningOneAndGetsItsAnswer(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
+	b := newFixture(t)
+	b.connect("a")
 	j := b.job(jobID, 1)
 	b.s.Submit(1, j)
 	b.drain()
 	run := b.placed().Tasks[0].Run
 	b.s.Submit(2, j)
 	require.Empty(t, b.drain())
-	r := report("a", 1)
+	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.s.Submit(3, j)
 	b.drain()
 	for ticket := range uint64(3) {
@@ -361,16 +361,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			c := configuration()
-			r := report("a", 0)
+			r := newReport("a", 0)
 			r.RunsComplete = true
 			tt.spoil(&r, &c)
 			b.s.Configure(c)
-			b.open("b") // A second worker, so that half of them may be ejected.
-			b.s.Opened("a")
-			b.s.Report(r)
-			b.s.Closed("b")
+			b.connect("b") // A second worker, so that half of them may be ejected.
+			b.s.LinkOpened("a")
+			b.s.HandleReport(r)
+			b.s.LinkClosed("b")
 			b.s.Submit(1, b.job(jobID, 1))
 			require.Empty(t, b.drain())
 		})
@@ -378,8 +378,8 @@
 }
 
 func TestStepsRunInTheirOrder(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
+	b := newFixture(t)
+	b.connect("a")
 	j := b.job(jobID, 1)
 	j.Steps = append(j.Steps, j.Steps[0])
 	j.Steps[1].After = []int{0}
@@ -387,25 +387,25 @@
 	b.drain()
 	first := b.placed()
 	require.Equal(t, jobID+".0.0.0", first.Tasks[0].Task)
-	r := report("a", 1)
+	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: first.Tasks[0].Run, Reason: messenger.RunDone}}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.drain()
 	require.Equal(t, jobID+".0.1.0", b.placed().Tasks[0].Task)
 }
 
 func TestRunThatIsNoLongerAtItsAgentMayHaveStarted(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
+	b := newFixture(t)
+	b.connect("a")
 	b.s.Submit(1, b.job(jobID, 1))
 	b.drain()
-	b.s.Closed("a")
+	b.s.LinkClosed("a")
 	b.clock.Advance(time.Second)
-	b.s.Opened("a")
-	r := report("a", 0)
+	b.s.LinkOpened("a")
+	r := newReport("a", 0)
 	r.RunsComplete = true
 	r.Free = messenger.Resources{}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.clock.Advance(time.Second)
 	b.s.Tick()
 	b.drain()
--- a/scheduler/world_test.go
+++ b/scheduler/simcluster_test.go
@@ -18,9 +18,9 @@
 
 // event is something that happens at a time.
 type event struct {
-	at     time.Time
-	number int
-	do     func()
+	at       time.Time
+	sequence int
+	do       func()
 }
 
 type events []event
@@ -30,7 +30,7 @@
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
 	}
-	return h[i].number < h[j].number
+	return h[i].sequence < h[j].sequence
 }
 func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
@@ -46,14 +46,14 @@
 	// the worker.
 	linkDelay  = time.Millisecond
 	localDelay = 300 * time.Microsecond
-	// stopMost is the longest time that a run takes to stop.
-	stopMost = 50 * time.Millisecond
+	// maxStopDelay is the longest time that a run takes to stop.
+	maxStopDelay = 50 * time.Millisecond
 	// callTimeout bounds a call to a worker.
 	callTimeout = 40 * time.Millisecond
-	// pauseLeast is the least time in which an entry that does nothing is paused.
-	pauseLeast = 200 * time.Millisecond
-	// resendAfter is the least time after which a caller sends a job again.
-	resendAfter = 1300 * time.Millisecond
+	// minPause is the least time in which an entry that does nothing is paused.
+	minPause = 200 * time.Millisecond
+	// minResendDelay is the least time after which a caller sends a job again.
+	minResendDelay = 1300 * time.Millisecond
 )
 
 // simTask is what a task really asks for.
@@ -74,40 +74,40 @@
 	got    bool
 }
 
-// world joins real schedulers and executors with simulated links and workers,
+// simulation joins real schedulers and executors with simulated links and workers,
 // under a fake clock.
-type world struct {
-	t       testing.TB
-	rng     *rand.Rand
-	clock   *clockwork.FakeClock
-	queue   events
-	number  int
-	entries []*simEntry
-	agents  []*simAgent
-	tasks   map[string]simTask
-	results map[string]*result
-	// runningAt counts, for each task, the workers that run it.
-	runningAt map[string]int
-	// twice lists tasks that ran in two places at once.
-	twice []string
+type simulation struct {
+	t               testing.TB
+	rng             *rand.Rand
+	clock           *clockwork.FakeClock
+	events          events
+	lastEventNumber int
+	entries         []*simEntry
+	agents          []*simAgent
+	tasks           map[string]simTask
+	results         map[string]*result
+	// runningCount counts, for each task, the workers that run it.
+	runningCount map[string]int
+	// duplicates lists tasks that ran in two places at once.
+	duplicates []string
 	// done holds the tasks that are done, and repeated those that began again
 	// after that.
 	done map[string]bool
-	// firstAt is when each task first began.
-	firstAt  map[string]time.Time
-	repeated []string
-	jobs     int
-	// placed counts the runs sent to agents, and noRoom those refused for lack of
+	// firstStartAt is when each task first began.
+	firstStartAt   map[string]time.Time
+	rerunAfterDone []string
+	jobs           int
+	// placedRuns counts the runs sent to agents, and refusedNoRoom those refused for lack of
 	// room.
-	placed, noRoom int
+	placedRuns, refusedNoRoom int
 	// linkDelay is the way of a message between an entry and an agent.
 	linkDelay time.Duration
-	// far is how many times as long a task takes away from its data; 0 counts as 1.
+	// farFactor is how many times as long a task takes away from its data; 0 counts as 1.
 	// The entries know it if aware.
-	far   float64
-	aware bool
-	// unreserved makes agents deaf to requests to keep room.
-	unreserved bool
+	farFactor      float64
+	farFactorKnown bool
+	// ignoreReserve makes agents deaf to requests to keep room.
+	ignoreReserve bool
 	// withoutSpeeds keeps the speeds of workers out of all reports, as agents do
 	// that do not estimate them.
 	withoutSpeeds bool
@@ -115,7 +115,7 @@
 
 // simEntry is an entry process.
 type simEntry struct {
-	w           *world
+	w           *simulation
 	name        string
 	incarnation int64
 	core        *scheduler.Scheduler
@@ -123,26 +123,26 @@
 	// links are those that the entry has taken in, by agent. What it sends on one
 	// that has been replaced meanwhile is lost.
 	links map[string]*simLink
-	// unheard marks the tickets whose callers have gone without the entry's
+	// disconnected marks the tickets whose callers have gone without the entry's
 	// hearing of it.
-	unheard map[uint64]bool
-	ticket  uint64
-	down    bool
-	// frozenUntil holds back all that the process does.
-	frozenUntil time.Time
-	// at is when the entry last did something.
-	at time.Time
+	disconnected map[uint64]bool
+	lastTicket   uint64
+	down         bool
+	// pausedUntil holds back all that the process does.
+	pausedUntil time.Time
+	// activeAt is when the entry last did something.
+	activeAt time.Time
 }
 
 // simAgent is an agent process with its worker.
 type simAgent struct {
-	w           *world
+	w           *simulation
 	name        string
 	core        *executor.Executor
 	worker      *simWorker
 	incarnation int64
 	down        bool
-	frozenUntil time.Time
+	pausedUntil time.Time
 	links       map[string]*simLink
 	dataCentre  string
 }
@@ -153,24 +153,24 @@
 	agent *simAgent
 	open  bool
 	cut   bool
-	// opened is when the link was opened; its stamps count from there.
-	opened  time.Time
-	beatAt  time.Time
-	heardAt time.Time
-	echo    time.Duration
+	// openedAt is when the link was opened; its stamps count from there.
+	openedAt        time.Time
+	lastHeartbeatAt time.Time
+	lastReportAt    time.Time
+	echo            time.Duration
 }
 
-func newWorld(t testing.TB, seed uint64, entries, agents int, capacity int) *world {
-	w := &world{
-		t:         t,
-		rng:       rand.New(rand.NewPCG(seed, 1)),
-		clock:     clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0)),
-		tasks:     make(map[string]simTask),
-		results:   make(map[string]*result),
-		runningAt: make(map[string]int),
-		done:      make(map[string]bool),
-		firstAt:   make(map[string]time.Time),
-		linkDelay: linkDelay,
+func newSimulation(t testing.TB, seed uint64, entries, agents int, capacity int) *simulation {
+	w := &simulation{
+		t:            t,
+		rng:          rand.New(rand.NewPCG(seed, 1)),
+		clock:        clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0)),
+		tasks:        make(map[string]simTask),
+		results:      make(map[string]*result),
+		runningCount: make(map[string]int),
+		done:         make(map[string]bool),
+		firstStartAt: make(map[string]time.Time),
+		linkDelay:    linkDelay,
 	}
 	for i := range agents {
 		a := &simAgent{w: w, name: fmt.Sprintf("agent-%02d", i), links: make(map[string]*simLink), dataCentre: fmt.Sprintf("dc-%d", i%3)}
@@ -194,30 +194,30 @@
 	}
 	w.every(5*time.Millisecond, func() {
 		for _, a := range w.agents {
-			a.worker.lapse()
+			a.worker.expireLease()
 		}
 	})
 	w.run(300 * time.Millisecond)
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.number++
-	heap.Push(&w.queue, event{at: w.clock.Now().Add(d), number: w.number, do: do})
+func (w *simulation) schedule(d time.Duration, do func()) {
+	w.lastEventNumber++
+	heap.Push(&w.events, event{at: w.clock.Now().Add(d), sequence: w.lastEventNumber, do: do})
 }
 
-func (w *world) every(d time.Duration, do func()) {
-	w.after(d, func() {
+func (w *simulation) every(d time.Duration, do func()) {
+	w.schedule(d, func() {
 		do()
 		w.every(d, do)
 	})
 }
 
 // run plays what happens in the next span.
-func (w *world) run(span time.Duration) {
+func (w *simulation) run(span time.Duration) {
 	end := w.clock.Now().Add(span)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		e := heap.Pop(&w.queue).(event)
+	for len(w.events) > 0 && !w.events[0].at.After(end) {
+		e := heap.Pop(&w.events).(event)
 		if d := e.at.Sub(w.clock.Now()); d > 0 {
 			w.clock.Advance(d)
 		}
@@ -228,21 +228,21 @@
 	}
 }
 
-// began and ended count where a task runs.
-func (w *world) began(v *simWorker, r messenger.Run) {
-	w.runningAt[r.Task]++
-	if _, ok := w.firstAt[r.Task]; !ok {
-		w.firstAt[r.Task] = w.clock.Now()
+// runStarted and ended count where a task runs.
+func (w *simulation) runStarted(v *simWorker, r messenger.Run) {
+	w.runningCount[r.Task]++
+	if _, ok := w.firstStartAt[r.Task]; !ok {
+		w.firstStartAt[r.Task] = w.clock.Now()
 	}
 	if w.done[r.Task] {
-		w.repeated = append(w.repeated, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
+		w.rerunAfterDone = append(w.rerunAfterDone, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
 	}
-	if w.runningAt[r.Task] > 1 {
-		w.twice = append(w.twice, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
+	if w.runningCount[r.Task] > 1 {
+		w.duplicates = append(w.duplicates, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
 	}
 }
 
-func (w *world) ended(_ *simWorker, r messenger.Run) { w.runningAt[r.Task]-- }
+func (w *simulation) runEnded(_ *simWorker, r messenger.Run) { w.runningCount[r.Task]-- }
 
 // configuration returns one with a queue for each kind of job.
 func configuration() scheduler.Configuration {
@@ -254,15 +254,15 @@
 }
 
 // configuration returns the one of the world's entries.
-func (w *world) configuration() scheduler.Configuration {
-	if !w.aware {
+func (w *simulation) configuration() scheduler.Configuration {
+	if !w.farFactorKnown {
 		return configuration()
 	}
-	return configuration().WithFarFactor(w.far)
+	return configuration().WithFarFactor(w.farFactor)
 }
 
-// kind describes a kind of job as the workloads have them.
-type kind struct {
+// jobKind describes a kind of job as the workloads have them.
+type jobKind struct {
 	tasks    int
 	work     time.Duration
 	cpu      int
@@ -271,15 +271,15 @@
 	rack string
 }
 
-// kinds are those of the price service: quotes, indices and alerts.
-var kinds = []kind{
+// jobKinds are those of the price service: quotes, indices and alerts.
+var jobKinds = []jobKind{
 	{tasks: 8, work: 60 * time.Millisecond, cpu: 3100},
 	{tasks: 4, work: 900 * time.Millisecond, cpu: 3100, priority: 2},
 	{tasks: 2, work: 200 * time.Millisecond, cpu: 3100, priority: 1},
 }
 
 // submit hands a job of a kind to an entry, as its caller would.
-func (w *world) submit(e *simEntry, k kind) string {
+func (w *simulation) submit(e *simEntry, k jobKind) string {
 	w.jobs++
 	id := fmt.Sprintf("%016x", w.jobs)
 	work := time.Duration(float64(k.work) * (0.6 + 0.8*w.rng.Float64()))
@@ -304,24 +304,24 @@
 }
 
 // send hands a job in. A caller whose entry is down sends it again later.
-func (w *world) send(e *simEntry, j scheduler.Job) {
-	w.after(linkDelay, func() {
+func (w *simulation) send(e *simEntry, j scheduler.Job) {
+	w.schedule(linkDelay, func() {
 		if e.down {
-			w.again(j)
+			w.resend(j)
 			return
 		}
-		j.Sent = w.clock.Now()
+		j.EarliestSent = w.clock.Now()
 		e.do(func() {
-			e.ticket++
-			e.tickets[e.ticket] = j.ID
-			e.core.Submit(e.ticket, j)
+			e.lastTicket++
+			e.tickets[e.lastTicket] = j.ID
+			e.core.Submit(e.lastTicket, j)
 		})
 	})
 }
 
-// again sends a job once more, to any entry, if its caller still waits.
-func (w *world) again(j scheduler.Job) {
-	w.after(resendAfter, func() {
+// resend sends a job once more, to any entry, if its caller still waits.
+func (w *simulation) resend(j scheduler.Job) {
+	w.schedule(minResendDelay, func() {
 		if w.clock.Now().Before(j.Deadline) {
 			w.send(w.entries[w.rng.IntN(len(w.entries))], j)
 		}
@@ -329,38 +329,38 @@
 }
 
 // load submits jobs of all kinds at a rate for a span, times factor.
-func (w *world) load(span time.Duration, factor float64) { w.loadAt(w.entries, span, factor) }
+func (w *simulation) load(span time.Duration, factor float64) { w.loadAt(w.entries, span, factor) }
 
 // loadAt submits jobs to some entries.
-func (w *world) loadAt(entries []*simEntry, span time.Duration, factor float64) {
+func (w *simulation) loadAt(entries []*simEntry, span time.Duration, factor float64) {
 	perSecond := []float64{34.4, 6.25, 100}
-	for i, k := range kinds {
+	for i, k := range jobKinds {
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor))
 		for at := time.Duration(w.rng.Int64N(int64(gap))); at < span; at += time.Duration(float64(gap) * (0.5 + w.rng.Float64())) {
-			w.after(at, func() { w.submit(entries[w.rng.IntN(len(entries))], k) })
+			w.schedule(at, func() { w.submit(entries[w.rng.IntN(len(entries))], k) })
 		}
 	}
 }
 
 // countNoRoom counts the runs that were refused for lack of room.
-func (w *world) countNoRoom(list []messenger.Refusal) {
+func (w *simulation) countNoRoom(list []messenger.Refusal) {
 	for _, r := range list {
 		if r.Reason == messenger.RefusedNoRoom {
-			w.noRoom++
+			w.refusedNoRoom++
 		}
 	}
 }
 
 // summary counts what callers got.
 type summary struct {
-	all, inAim, late, refused, failed, unanswered int
-	slowestRefusal                                time.Duration
+	all, inTime, late, refused, failed, unanswered int
+	slowestRefusal                                 time.Duration
 }
 
 // plus returns the sum of two summaries, and the slowest refusal of both.
 func (s summary) plus(o summary) summary {
 	s.all += o.all
-	s.inAim += o.inAim
+	s.inTime += o.inTime
 	s.late += o.late
 	s.refused += o.refused
 	s.failed += o.failed
@@ -370,9 +370,9 @@
 }
 
 // missed returns the number of jobs that were not in time.
-func (s summary) missed() int { return s.all - s.inAim }
+func (s summary) missed() int { return s.all - s.inTime }
 
-func (w *world) summary() summary {
+func (w *simulation) summary() summary {
 	var s summary
 	for _, r := range w.results {
 		s.all++
@@ -381,7 +381,7 @@
 		case !r.got:
 			s.unanswered++
 		case r.answer.Outcome == scheduler.Complete && r.took <= objective:
-			s.inAim++
+			s.inTime++
 		case r.answer.Outcome == scheduler.Complete:
 			s.late++
 		case r.answer.Outcome == scheduler.Overloaded || r.answer.Outcome == scheduler.Unavailable:
@@ -395,11 +395,11 @@
 }
 
 // served returns the share of each kind of job that was complete in time.
-func (w *world) served() []float64 {
-	all := make([]float64, len(kinds))
-	good := make([]float64, len(kinds))
+func (w *simulation) served() []float64 {
+	all := make([]float64, len(jobKinds))
+	good := make([]float64, len(jobKinds))
 	for _, r := range w.results {
-		k := slices.IndexFunc(kinds, func(k kind) bool { return k.tasks == r.job.Steps[0].Count })
+		k := slices.IndexFunc(jobKinds, func(k jobKind) bool { return k.tasks == r.job.Steps[0].Count })
 		all[k]++
 		if r.got && r.answer.Outcome == scheduler.Complete && r.took <= w.objective(r.job) {
 			good[k]++
@@ -412,11 +412,11 @@
 }
 
 // objective is the time in which a job's caller wants it complete.
-func (w *world) objective(j scheduler.Job) time.Duration {
-	return time.Duration(j.Queue.Stretch*float64(w.longest(j))) + j.Queue.Slack
+func (w *simulation) objective(j scheduler.Job) time.Duration {
+	return time.Duration(j.Queue.Stretch*float64(w.longestTask(j))) + j.Queue.Slack
 }
 
-func (w *world) longest(j scheduler.Job) time.Duration {
+func (w *simulation) longestTask(j scheduler.Job) time.Duration {
 	var most time.Duration
 	for i := range j.Steps[0].Count {
 		most = max(most, w.tasks[fmt.Sprintf("%s.0.0.%d", j.ID, i)].work)
@@ -425,7 +425,7 @@
 }
 
 // check asserts what must hold whatever happens.
-func (w *world) check() {
+func (w *simulation) check() {
 	w.t.Helper()
-	require.Empty(w.t, w.twice, "tasks that ran twice at once")
+	require.Empty(w.t, w.duplicates, "tasks that ran twice at once")
 }
--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -16,9 +16,9 @@
 	e.core = scheduler.NewScheduler(e.w.clock, "dc-"+e.name[len("entry-"):])
 	e.tickets = make(map[uint64]string)
 	e.links = make(map[string]*simLink)
-	e.unheard = make(map[uint64]bool)
+	e.disconnected = make(map[uint64]bool)
 	e.down = false
-	e.at = e.w.clock.Now()
+	e.activeAt = e.w.clock.Now()
 	core := e.core
 	core.Configure(e.w.configuration())
 	for _, a := range e.w.agents {
@@ -33,7 +33,7 @@
 			core.Tick()
 			e.beat()
 		})
-		e.w.after(10*time.Millisecond, tick)
+		e.w.schedule(10*time.Millisecond, tick)
 	}
 	tick()
 }
@@ -41,23 +41,23 @@
 // do lets the entry take one message in, after any freeze.
 func (e *simEntry) do(f func()) {
 	core := e.core
-	if wait := e.frozenUntil.Sub(e.w.clock.Now()); wait > 0 {
-		e.w.after(wait, func() { e.do(f) })
+	if wait := e.pausedUntil.Sub(e.w.clock.Now()); wait > 0 {
+		e.w.schedule(wait, func() { e.do(f) })
 		return
 	}
 	if e.down || e.core != core {
 		return
 	}
-	if now := e.w.clock.Now(); now.Sub(e.at) > pauseLeast {
-		e.core.Woke()
+	if now := e.w.clock.Now(); now.Sub(e.activeAt) > minPause {
+		e.core.Resumed()
 	}
-	e.at = e.w.clock.Now()
+	e.activeAt = e.w.clock.Now()
 	f()
-	e.carryOut()
+	e.applyEffects()
 }
 
-func (e *simEntry) carryOut() {
-	for _, effect := range e.core.Drain() {
+func (e *simEntry) applyEffects() {
+	for _, effect := range e.core.TakeEffects() {
 		switch m := effect.(type) {
 		case scheduler.Send:
 			if l := e.links[m.Agent]; l != nil {
@@ -73,10 +73,10 @@
 func (e *simEntry) reply(m scheduler.Reply) {
 	r := e.w.results[e.tickets[m.Ticket]]
 	delete(e.tickets, m.Ticket)
-	if e.unheard[m.Ticket] {
+	if e.disconnected[m.Ticket] {
 		return
 	}
-	e.w.after(linkDelay, func() {
+	e.w.schedule(linkDelay, func() {
 		if !r.got {
 			r.got = true
 			r.answer = m.Answer
@@ -85,11 +85,11 @@
 	})
 }
 
-// breakUnheard breaks a caller's connection, which the entry does not hear of.
-func (e *simEntry) breakUnheard(ticket uint64) {
-	if !e.unheard[ticket] {
-		e.unheard[ticket] = true
-		e.w.again(e.w.results[e.tickets[ticket]].job)
+// disconnectUnnoticed breaks a caller's connection, which the entry does not hear of.
+func (e *simEntry) disconnectUnnoticed(ticket uint64) {
+	if !e.disconnected[ticket] {
+		e.disconnected[ticket] = true
+		e.w.resend(e.w.results[e.tickets[ticket]].job)
 	}
 }
 
@@ -97,8 +97,8 @@
 func (e *simEntry) kill(span time.Duration) {
 	e.down = true
 	for _, ticket := range slices.Sorted(maps.Keys(e.tickets)) {
-		if !e.unheard[ticket] {
-			e.w.again(e.w.results[e.tickets[ticket]].job)
+		if !e.disconnected[ticket] {
+			e.w.resend(e.w.results[e.tickets[ticket]].job)
 		}
 	}
 	e.tickets = make(map[uint64]string)
@@ -107,7 +107,7 @@
 			l.close()
 		}
 	}
-	e.w.after(span, e.boot)
+	e.w.schedule(span, e.boot)
 }
 
 // connect keeps a link to an agent open for as long as core lives.
@@ -116,38 +116,38 @@
 		return
 	}
 	if l := a.links[e.name]; l != nil && l.open && l.entry == e {
-		e.w.after(20*time.Millisecond, func() { e.connect(a, core) })
+		e.w.schedule(20*time.Millisecond, func() { e.connect(a, core) })
 		return
 	}
 	old := a.links[e.name]
 	if !a.down && (old == nil || !old.cut) {
-		l := &simLink{entry: e, agent: a, open: true, opened: e.w.clock.Now(), heardAt: e.w.clock.Now()}
+		l := &simLink{entry: e, agent: a, open: true, openedAt: e.w.clock.Now(), lastReportAt: e.w.clock.Now()}
 		a.links[e.name] = l
 		e.do(func() {
 			e.links[a.name] = l
-			core.Opened(a.name)
+			core.LinkOpened(a.name)
 			l.toAgent(messenger.Hello{Entry: e.name, Incarnation: e.incarnation, Upstream: core.Upstream(a.name)})
 		})
 	}
-	e.w.after(20*time.Millisecond, func() { e.connect(a, core) })
+	e.w.schedule(20*time.Millisecond, func() { e.connect(a, core) })
 }
 
 // beat sends heartbeats and closes links that have been silent.
 func (e *simEntry) beat() {
 	now := e.w.clock.Now()
-	ask := e.core.Asks()
+	ask := e.core.EarlyHeartbeatDue()
 	for _, a := range e.w.agents {
 		l := e.links[a.name]
 		if l == nil || !l.open {
 			continue
 		}
-		if now.Sub(l.heardAt) > messenger.IdleTimeout {
+		if now.Sub(l.lastReportAt) > messenger.IdleTimeout {
 			l.close()
 			continue
 		}
-		if ask || now.Sub(l.beatAt) >= messenger.HeartbeatInterval {
-			l.beatAt = now
-			l.toAgent(messenger.Heartbeat{Timestamp: now.Sub(l.opened), Echo: l.echo, Backlog: e.core.Want(), AckedOutcome: e.core.Heard(a.name), HeldJobs: e.core.Held()})
+		if ask || now.Sub(l.lastHeartbeatAt) >= messenger.HeartbeatInterval {
+			l.lastHeartbeatAt = now
+			l.toAgent(messenger.Heartbeat{Timestamp: now.Sub(l.openedAt), Echo: l.echo, Backlog: e.core.Backlog(), AckedOutcome: e.core.LastOutcome(a.name), HeldJobs: e.core.HeldJobs()})
 		}
 	}
 }
@@ -158,7 +158,7 @@
 		return
 	}
 	core := l.agent.core
-	l.agent.w.after(l.agent.w.linkDelay, func() {
+	l.agent.w.schedule(l.agent.w.linkDelay, func() {
 		if !l.open || l.cut || l.agent.core != core {
 			return
 		}
@@ -172,12 +172,12 @@
 			case messenger.Heartbeat:
 				core.Beat(l.entry.name, m)
 			case messenger.Place:
-				l.agent.w.placed += len(m.Tasks)
+				l.agent.w.placedRuns += len(m.Tasks)
 				core.Place(l.entry.name, m)
 			case messenger.Withdraw:
 				core.Withdraw(l.entry.name, m)
 			case messenger.Reserve:
-				if !l.agent.w.unreserved {
+				if !l.agent.w.ignoreReserve {
 					core.Reserve(l.entry.name, m)
 				}
 			}
@@ -191,15 +191,15 @@
 		r.Speed, r.SpeedJobs = 0, 0
 	}
 	core := l.entry.core
-	l.entry.w.after(l.entry.w.linkDelay, func() {
+	l.entry.w.schedule(l.entry.w.linkDelay, func() {
 		if !l.open || l.cut || l.entry.core != core || l.agent.links[l.entry.name] != l {
 			return
 		}
 		l.entry.do(func() {
-			l.heardAt = l.entry.w.clock.Now()
+			l.lastReportAt = l.entry.w.clock.Now()
 			l.echo = r.Timestamp
 			l.agent.w.countNoRoom(r.Refused)
-			core.Report(r)
+			core.HandleReport(r)
 		})
 	})
 }
@@ -210,7 +210,7 @@
 		return
 	}
 	l.open = false
-	l.entry.do(func() { l.entry.core.Closed(l.agent.name) })
+	l.entry.do(func() { l.entry.core.LinkClosed(l.agent.name) })
 	if l.cut {
 		return
 	}
@@ -233,7 +233,7 @@
 			return
 		}
 		a.do(func() { core.Tick() })
-		a.w.after(20*time.Millisecond, tick)
+		a.w.schedule(20*time.Millisecond, tick)
 	}
 	tick()
 }
@@ -241,8 +241,8 @@
 // do lets the agent take one message in, after any freeze.
 func (a *simAgent) do(f func()) {
 	core := a.core
-	if wait := a.frozenUntil.Sub(a.w.clock.Now()); wait > 0 {
-		a.w.after(wait, func() {
+	if wait := a.pausedUntil.Sub(a.w.clock.Now()); wait > 0 {
+		a.w.schedule(wait, func() {
 			if a.core == core {
 				a.do(f)
 			}
@@ -253,7 +253,7 @@
 		return
 	}
 	f()
-	a.carryOut()
+	a.applyEffects()
 }
 
 // kill ends the agent process; the worker runs on.
@@ -263,32 +263,32 @@
 		l.close()
 	}
 	a.links = make(map[string]*simLink)
-	a.w.after(span, a.boot)
+	a.w.schedule(span, a.boot)
 }
 
 // restartWorker ends the worker, which announces itself anew after span.
 func (a *simAgent) restartWorker(span time.Duration) {
 	a.worker.restart()
 	up := a.worker.up
-	a.w.after(span, func() { a.do(func() { a.core.SetUpstream(up) }) })
+	a.w.schedule(span, func() { a.do(func() { a.core.SetUpstream(up) }) })
 }
 
-func (a *simAgent) carryOut() {
+func (a *simAgent) applyEffects() {
 	for _, effect := range a.core.Drain() {
 		switch e := effect.(type) {
 		case executor.Start:
 			a.start(e)
 		case executor.Stop:
-			delay := localDelay + time.Duration(a.w.rng.Int64N(int64(stopMost)))
+			delay := localDelay + time.Duration(a.w.rng.Int64N(int64(maxStopDelay)))
 			if a.w.clock.Now().Before(a.worker.lateStopsUntil) {
 				delay += 2 * time.Second
 			}
-			a.w.after(delay, func() { a.worker.stop(e) })
+			a.w.schedule(delay, func() { a.worker.stop(e) })
 		case executor.Look:
 			a.look(e)
 		case executor.Wake:
 			core := a.core
-			a.w.after(e.After, func() {
+			a.w.schedule(e.After, func() {
 				a.do(func() {
 					if a.core == core {
 						core.Tick()
@@ -315,24 +315,24 @@
 			}
 		})
 	}
-	if a.w.clock.Now().Before(a.worker.muteUntil) {
+	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
 		late := time.Duration(a.w.rng.Int64N(int64(3 * time.Second)))
-		a.w.after(late, func() { a.worker.start(s, deadline) })
-		a.w.after(s.Within, func() { done(executor.Unanswered) })
+		a.w.schedule(late, func() { a.worker.start(s, deadline) })
+		a.w.schedule(s.Within, func() { done(executor.Unanswered) })
 		return
 	}
-	if lost := a.worker.lostShare; lost > 0 && a.w.rng.Float64() < lost {
+	if lost := a.worker.unansweredShare; lost > 0 && a.w.rng.Float64() < lost {
 		delay := localDelay
 		if a.w.rng.IntN(2) == 0 {
 			delay += time.Duration(a.w.rng.Int64N(int64(2 * callTimeout)))
 		}
-		a.w.after(delay, func() { a.worker.start(s, deadline) })
-		a.w.after(s.Within, func() { done(executor.Unanswered) })
+		a.w.schedule(delay, func() { a.worker.start(s, deadline) })
+		a.w.schedule(s.Within, func() { done(executor.Unanswered) })
 		return
 	}
-	a.w.after(localDelay, func() {
+	a.w.schedule(localDelay, func() {
 		out := a.worker.start(s, deadline)
-		a.w.after(localDelay, func() { done(out) })
+		a.w.schedule(localDelay, func() { done(out) })
 	})
 }
 
@@ -347,17 +347,17 @@
 			}
 		})
 	}
-	if a.w.clock.Now().Before(a.worker.muteUntil) {
-		a.w.after(l.Wait+callTimeout, func() { fail(executor.Unanswered) })
+	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
+		a.w.schedule(l.Wait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
 	if a.w.clock.Now().Before(a.worker.lostAnswersUntil) {
-		a.w.after(localDelay, func() {
+		a.w.schedule(localDelay, func() {
 			if l.Upstream.Born == a.worker.up.Born && l.Upstream.ID == a.worker.up.ID {
 				a.worker.look(l, deadline)
 			}
 		})
-		a.w.after(l.Wait+callTimeout, func() { fail(executor.Unanswered) })
+		a.w.schedule(l.Wait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
 	end := a.w.clock.Now().Add(l.Wait)
@@ -373,10 +373,10 @@
 			return
 		}
 		if len(seen.Ended) == 0 && a.w.clock.Now().Before(end) {
-			a.w.after(time.Millisecond, poll)
+			a.w.schedule(time.Millisecond, poll)
 			return
 		}
-		a.w.after(localDelay, func() {
+		a.w.schedule(localDelay, func() {
 			a.do(func() {
 				if a.core == core {
 					core.Looked(seen)
@@ -384,5 +384,5 @@
 			})
 		})
 	}
-	a.w.after(localDelay, poll)
+	a.w.schedule(localDelay, poll)
 }
--- a/scheduler/play_test.go
+++ b/scheduler/simulation_test.go
@@ -11,8 +11,8 @@
 // cores is a worker's capacity in thousandths of a core.
 const cores = 36_000
 
-func TestCalmLoadIsServedInTime(t *testing.T) {
-	w := newWorld(t, 1, 3, 11, cores)
+func TestModerateLoadIsServedInTime(t *testing.T) {
+	w := newSimulation(t, 1, 3, 11, cores)
 	w.load(10*time.Second, 0.9)
 	w.run(15 * time.Second)
 	w.check()
@@ -20,11 +20,11 @@
 	require.Zero(t, s.unanswered)
 	require.Zero(t, s.failed)
 	require.Zero(t, s.refused)
-	require.GreaterOrEqual(t, float64(s.inAim), 0.98*float64(s.all))
+	require.GreaterOrEqual(t, float64(s.inTime), 0.98*float64(s.all))
 }
 
 func TestEntryThatGetsMostOfTheLoadUsesMostOfTheRoom(t *testing.T) {
-	w := newWorld(t, 5, 9, 11, cores)
+	w := newSimulation(t, 5, 9, 11, cores)
 	for range 6 {
 		// One entry gets what nine would share: nine tenths of all room.
 		w.loadAt(w.entries[:1], 6*time.Second, 0.25)
@@ -39,7 +39,7 @@
 func TestOverloadIsRefusedAtOnceAndStarvesNoKind(t *testing.T) {
 	// The demand is a quarter above what all workers can do.
 	const factor = 2.0
-	w := newWorld(t, 2, 3, 11, cores)
+	w := newSimulation(t, 2, 3, 11, cores)
 	w.load(6*time.Second, factor)
 	w.run(12 * time.Second)
 	w.check()
@@ -51,7 +51,7 @@
 	for k, share := range w.served() {
 		require.GreaterOrEqual(t, share, 0.5, "kind %d", k)
 	}
-	require.GreaterOrEqual(t, float64(s.inAim), 0.7*float64(s.all))
+	require.GreaterOrEqual(t, float64(s.inTime), 0.7*float64(s.all))
 	require.LessOrEqual(t, float64(s.late), 0.05*float64(s.all))
 }
 
@@ -65,8 +65,8 @@
 		factor  = 6.3
 		span    = 2 * time.Second
 	)
-	play := func(entries int, delay time.Duration) *world {
-		w := newWorld(t, 50, entries, agents, cores)
+	play := func(entries int, delay time.Duration) *simulation {
+		w := newSimulation(t, 50, entries, agents, cores)
 		w.linkDelay = delay
 		w.loadAt(w.entries[:1], span, factor/4)
 		w.loadAt(w.entries[entries-1:], span, factor/4)
@@ -75,7 +75,7 @@
 		w.check()
 		return w
 	}
-	inAim := func(s summary) float64 { return float64(s.inAim) / float64(s.all) }
+	inAim := func(s summary) float64 { return float64(s.inTime) / float64(s.all) }
 	for _, delay := range []time.Duration{linkDelay, 2 * linkDelay} {
 		t.Run(delay.String(), func(t *testing.T) {
 			alone, together := play(1, delay).summary(), play(entries, delay).summary()
@@ -93,20 +93,20 @@
 	}{
 		{"fails all", func(v *simWorker) { v.failsAll = true }},
 		{"stands still", func(v *simWorker) { v.hangs = true }},
-		{"slow", func(v *simWorker) { v.slow = 6.5 }},
-		{"mute for five seconds", func(v *simWorker) { v.muteUntil = v.w.clock.Now().Add(5 * time.Second) }},
+		{"slow", func(v *simWorker) { v.slowdown = 6.5 }},
+		{"mute for five seconds", func(v *simWorker) { v.unresponsiveUntil = v.w.clock.Now().Add(5 * time.Second) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, 3, 3, 11, cores)
+			w := newSimulation(t, 3, 3, 11, cores)
 			w.load(8*time.Second, 0.8)
-			w.after(time.Second, func() { tt.spoil(w.agents[4].worker) })
+			w.schedule(time.Second, func() { tt.spoil(w.agents[4].worker) })
 			w.run(14 * time.Second)
 			w.check()
 			s := w.summary()
 			t.Logf("%+v", s)
 			require.Zero(t, s.unanswered)
-			require.GreaterOrEqual(t, float64(s.inAim), 0.95*float64(s.all))
+			require.GreaterOrEqual(t, float64(s.inTime), 0.95*float64(s.all))
 		})
 	}
 }
@@ -121,10 +121,10 @@
 		// scarce is a load at which every worker with room is used.
 		scarce = 1.7
 	)
-	w := newWorld(t, 3, entries, 11, cores)
+	w := newSimulation(t, 3, entries, 11, cores)
 	w.load(9*time.Second, scarce)
 	slow := w.agents[4].worker
-	w.after(time.Second, func() { slow.slow = 8 })
+	w.schedule(time.Second, func() { slow.slowdown = 8 })
 	w.run(3 * time.Second)
 	before := slow.starts
 	w.run(6 * time.Second)
@@ -140,12 +140,12 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", 100+seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 100+seed, 3, 7, cores)
+			w := newSimulation(t, 100+seed, 3, 7, cores)
 			w.load(8*time.Second, 0.6)
 			for range 14 {
 				at := time.Duration(w.rng.Int64N(int64(8 * time.Second)))
 				span := 200*time.Millisecond + time.Duration(w.rng.Int64N(int64(3*time.Second)))
-				w.after(at, fault(w, span))
+				w.schedule(at, fault(w, span))
 			}
 			w.run(16 * time.Second)
 			w.check()
@@ -155,13 +155,13 @@
 }
 
 // fault returns a fault drawn at random that lasts for span.
-func fault(w *world, span time.Duration) func() {
+func fault(w *simulation, span time.Duration) func() {
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	a := w.agents[w.rng.IntN(len(w.agents))]
 	switch w.rng.IntN(7) {
 	case 6:
 		return func() {
-			if !a.down && !w.clock.Now().Before(a.frozenUntil) {
+			if !a.down && !w.clock.Now().Before(a.pausedUntil) {
 				a.restartWorker(span)
 			}
 		}
@@ -178,17 +178,17 @@
 			}
 		}
 	case 2:
-		return func() { e.frozenUntil = w.clock.Now().Add(span) }
+		return func() { e.pausedUntil = w.clock.Now().Add(span) }
 	case 3:
-		return func() { a.frozenUntil = w.clock.Now().Add(span) }
+		return func() { a.pausedUntil = w.clock.Now().Add(span) }
 	case 4:
-		return func() { a.worker.muteUntil = w.clock.Now().Add(span) }
+		return func() { a.worker.unresponsiveUntil = w.clock.Now().Add(span) }
 	default:
 		return func() {
 			for _, l := range a.links {
 				l.cut = true
 			}
-			w.after(span, func() {
+			w.schedule(span, func() {
 				for _, l := range a.links {
 					l.cut = false
 				}
@@ -200,13 +200,13 @@
 // TestEntriesSeldomPlaceTasksWithoutRoom guards against entries that all choose the
 // same worker by reports that are a little old, while others have room.
 func TestEntriesSeldomPlaceTasksWithoutRoom(t *testing.T) {
-	w := newWorld(t, 7, 9, 22, cores)
+	w := newSimulation(t, 7, 9, 22, cores)
 	w.load(4*time.Second, 1.6)
 	w.run(6 * time.Second)
 	w.check()
 	s := w.summary()
-	t.Logf("%+v, %d runs refused of %d", s, w.noRoom, w.placed)
-	require.Equal(t, s.all, s.inAim)
+	t.Logf("%+v, %d runs refused of %d", s, w.refusedNoRoom, w.placedRuns)
+	require.Equal(t, s.all, s.inTime)
 	// A refused run costs its job the time of several messages.
-	require.LessOrEqual(t, float64(w.noRoom), 0.1*float64(w.placed))
+	require.LessOrEqual(t, float64(w.refusedNoRoom), 0.1*float64(w.placedRuns))
 }
--- a/scheduler/simworker_test.go
+++ b/scheduler/simworker_test.go
@@ -20,18 +20,18 @@
 
 // simWorker is a worker that obeys the rules of leases, tokens and run numbers.
 type simWorker struct {
-	w    *world
+	w    *simulation
 	name string
 	up   messenger.Upstream
-	// slow stretches the work of runs that start; 0 counts as 1.
-	slow float64
+	// slowdown stretches the work of runs that start; 0 counts as 1.
+	slowdown float64
 	// hangs makes runs stand still; failsAll makes them fail at once.
 	hangs, failsAll bool
-	// lostShare is the share of the starts that are not answered. Every second one
+	// unansweredShare is the share of the starts that are not answered. Every second one
 	// of them arrives late.
-	lostShare float64
-	// muteUntil is until when calls get no answer and starts take effect late.
-	muteUntil time.Time
+	unansweredShare float64
+	// unresponsiveUntil is until when calls get no answer and starts take effect late.
+	unresponsiveUntil time.Time
 	// lateStopsUntil is until when stops are carried out seconds late;
 	// lostAnswersUntil until when looks are carried out and not answered.
 	lateStopsUntil, lostAnswersUntil time.Time
@@ -77,14 +77,14 @@
 		return executor.Full
 	}
 	v.extend(deadline)
-	v.w.began(v, s.Run)
+	v.w.runStarted(v, s.Run)
 	v.starts++
 	work := t.work
-	if v.slow > 0 {
-		work = time.Duration(float64(work) * v.slow)
+	if v.slowdown > 0 {
+		work = time.Duration(float64(work) * v.slowdown)
 	}
 	if t.rack != "" && !slices.Contains(v.up.Labels, t.rack) {
-		work = time.Duration(float64(work) * max(v.w.far, 1))
+		work = time.Duration(float64(work) * max(v.w.farFactor, 1))
 	}
 	r := &simRun{run: s.Run, began: now, work: work, fails: v.failsAll || t.fails, demand: t.demand}
 	v.running[s.Run.Task] = r
@@ -92,7 +92,7 @@
 		work = 5 * time.Millisecond
 	}
 	if !v.hangs {
-		v.w.after(work, func() { v.finish(r) })
+		v.w.schedule(work, func() { v.finish(r) })
 	}
 	return executor.Accepted
 }
@@ -116,7 +116,7 @@
 	v.highest[r.run.Task] = max(v.highest[r.run.Task], r.run.Number)
 	v.endNumber++
 	v.ends = append(v.ends, executor.Ended{Number: v.endNumber, RunEnd: messenger.RunEnd{Run: r.run, Reason: how}})
-	v.w.ended(v, r.run)
+	v.w.runEnded(v, r.run)
 }
 
 func (v *simWorker) stop(s executor.Stop) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// lapse kills what runs without a lease.
-func (v *simWorker) lapse() {
+// expireLease kills what runs without a lease.
+func (v *simWorker) expireLease() {
 	if len(v.running) == 0 || !v.w.clock.Now().After(v.leaseEnd) {
 		return
 	}
@@ -181,7 +181,7 @@
 // restart begins another incarnation, which knows nothing.
 func (v *simWorker) restart() {
 	for _, r := range v.sorted() {
-		v.w.ended(v, r.run)
+		v.w.runEnded(v, r.run)
 	}
 	v.running = make(map[string]*simRun)
 	v.highest = make(map[string]int)
--- a/scheduler/size.go
+++ b/scheduler/size.go
@@ -2,9 +2,9 @@
 
 import "github.com/pomeloferry/pomeloferry/messenger"
 
-// largeShare is the inverse of the share of a worker's resource from which on a task
+// largeDivisor is the inverse of the share of a worker's resource from which on a task
 // counts as large.
-const largeShare = 4
+const largeDivisor = 4
 
 // Size is how large a task is against the workers.
 type Size string
@@ -16,33 +16,33 @@
 	Large Size = "large"
 )
 
-// large reports whether a task is large on a worker.
-func large(d, worker messenger.Resources) bool {
-	return takesMuch(d.CPU, worker.CPU) || takesMuch(d.Memory, worker.Memory) || takesMuch(d.GPU, worker.GPU)
+// isLarge reports whether a task is large on a worker.
+func isLarge(d, worker messenger.Resources) bool {
+	return isLargePart(d.CPU, worker.CPU) || isLargePart(d.Memory, worker.Memory) || isLargePart(d.GPU, worker.GPU)
 }
 
-// takesMuch reports whether part is a large share of whole.
-func takesMuch(part, whole int) bool { return part > 0 && whole > 0 && largeShare*part >= whole }
+// isLargePart reports whether part is a large share of whole.
+func isLargePart(part, whole int) bool { return part > 0 && whole > 0 && largeDivisor*part >= whole }
 
-// updateLargest notes the most of each resource that a worker of a service has.
-func (s *Scheduler) updateLargest(service string) {
+// updateMaxCapacity notes the most of each resource that a worker of a service has.
+func (s *Scheduler) updateMaxCapacity(service string) {
 	var most messenger.Resources
-	for _, a := range s.byName {
+	for _, a := range s.agentsByName {
 		if a.upstream.Born != 0 && a.upstream.Service == service {
 			most = most.Max(a.upstream.Capacity)
 		}
 	}
 	if most.IsZero() {
-		delete(s.largest, service)
+		delete(s.maxCapacity, service)
 		return
 	}
-	s.largest[service] = most
+	s.maxCapacity[service] = most
 }
 
-// mayBeLarge reports whether a task is large on the workers of some service.
-func (s *Scheduler) mayBeLarge(d messenger.Resources) bool {
-	for _, worker := range s.largest {
-		if large(d, worker) {
+// largeForAnyService reports whether a task is large on the workers of some service.
+func (s *Scheduler) largeForAnyService(d messenger.Resources) bool {
+	for _, worker := range s.maxCapacity {
+		if isLarge(d, worker) {
 			return true
 		}
 	}
@@ -51,15 +51,15 @@
 
 // sizeOf returns the size of the tasks of a step.
 func (s *Scheduler) sizeOf(j *job, step int) Size {
-	if large(j.Steps[step].Demand, s.largest[j.Queue.Service]) {
+	if isLarge(j.Steps[step].Demand, s.maxCapacity[j.Queue.Service]) {
 		return Large
 	}
 	return Small
 }
 
-// largeTask returns the first task of a job that is large and waits; nil when
+// waitingLargeTask returns the first task of a job that is large and waits; nil when
 // there is none.
-func (s *Scheduler) largeTask(j *job) *task {
+func (s *Scheduler) waitingLargeTask(j *job) *task {
 	for step := range j.Steps {
 		if s.sizeOf(j, step) != Large {
 			continue
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -18,59 +18,59 @@
 	largeCPU  = 16_000
 	smallWork = 100 * time.Millisecond
 	largeWork = 300 * time.Millisecond
-	// largeEach is how many jobs there are for one large one.
-	largeEach = 20
-	// sizesSpan is how long the mixed load lasts.
-	sizesSpan = 6 * time.Second
+	// jobsPerLarge is how many jobs there are for one large one.
+	jobsPerLarge = 20
+	// mixedLoadDuration is how long the mixed load lasts.
+	mixedLoadDuration = 6 * time.Second
 )
 
-// mixedSizes plays small jobs of one task with one large one in twenty at a share
+// mixedSizesScenario plays small jobs of one task with one large one in twenty at a share
 // of all room. Estimates are off by up to off, either way.
-type mixedSizes struct {
-	entries, agents int
-	share, off      float64
-	seed            uint64
-	unreserved      bool
+type mixedSizesScenario struct {
+	entries, agents      int
+	share, estimateError float64
+	seed                 uint64
+	withoutReservations  bool
 	// fault changes the world before the load begins.
-	fault func(w *world)
+	fault func(w *simulation)
 }
 
-func (m mixedSizes) play(t testing.TB) *world {
+func (m mixedSizesScenario) run(t testing.TB) *simulation {
 	t.Helper()
-	w := newWorld(t, m.seed, m.entries, m.agents, cores)
-	w.unreserved = m.unreserved
+	w := newSimulation(t, m.seed, m.entries, m.agents, cores)
+	w.ignoreReserve = m.withoutReservations
 	if m.fault != nil {
 		m.fault(w)
 	}
-	mean := (float64(largeEach-1)*smallCPU*smallWork.Seconds() + largeCPU*largeWork.Seconds()) / largeEach
+	mean := (float64(jobsPerLarge-1)*smallCPU*smallWork.Seconds() + largeCPU*largeWork.Seconds()) / jobsPerLarge
 	gap := time.Duration(float64(time.Second) * mean / (m.share * float64(cores*m.agents)))
 	n := 0
-	for at := time.Duration(0); at < sizesSpan; at += time.Duration(float64(gap) * 2 * w.rng.Float64()) {
+	for at := time.Duration(0); at < mixedLoadDuration; at += time.Duration(float64(gap) * 2 * w.rng.Float64()) {
 		n++
 		cpu, work := smallCPU, smallWork
-		if n%largeEach == 0 {
+		if n%jobsPerLarge == 0 {
 			cpu, work = largeCPU, largeWork
 		}
-		w.after(at, func() { w.submitOne(w.entries[w.rng.IntN(len(w.entries))], cpu, work, m.off) })
+		w.schedule(at, func() { w.submitOne(w.entries[w.rng.IntN(len(w.entries))], cpu, work, m.estimateError) })
 	}
-	w.run(sizesSpan + 3*time.Second)
+	w.run(mixedLoadDuration + 3*time.Second)
 	w.check()
 	return w
 }
 
-// playAll plays the load once with each seed.
-func (m mixedSizes) playAll(t testing.TB, seeds []uint64) []*world {
+// runAll plays the load once with each seed.
+func (m mixedSizesScenario) runAll(t testing.TB, seeds []uint64) []*simulation {
 	t.Helper()
-	var worlds []*world
+	var worlds []*simulation
 	for _, seed := range seeds {
 		m.seed = seed
-		worlds = append(worlds, m.play(t))
+		worlds = append(worlds, m.run(t))
 	}
 	return worlds
 }
 
 // submitOne hands a job of one task in, whose caller can wait for a second.
-func (w *world) submitOne(e *simEntry, cpu int, mean time.Duration, off float64) {
+func (w *simulation) submitOne(e *simEntry, cpu int, mean time.Duration, off float64) {
 	w.jobs++
 	id := fmt.Sprintf("%016x", w.jobs)
 	work := time.Duration(float64(mean) * (0.5 + w.rng.Float64()))
@@ -86,8 +86,8 @@
 	w.send(e, j)
 }
 
-// sizeFigures are what callers of jobs of one size got.
-type sizeFigures struct {
+// sizeStats are what callers of jobs of one size got.
+type sizeStats struct {
 	jobs, refused, unanswered int
 	// late counts those refused, and those whose wait alone made them miss the
 	// latency objective.
@@ -97,34 +97,34 @@
 	waits []time.Duration
 }
 
-func (f sizeFigures) String() string {
+func (f sizeStats) String() string {
 	return fmt.Sprintf("%d jobs, %d refused, %d late, wait p50 %s p99 %s longest %s", f.jobs, f.refused, f.late, f.p50, f.p99, f.longest)
 }
 
-func (f sizeFigures) refusedShare() float64 { return float64(f.refused) / float64(f.jobs) }
-func (f sizeFigures) lateShare() float64    { return float64(f.late) / float64(f.jobs) }
+func (f sizeStats) refusedShare() float64 { return float64(f.refused) / float64(f.jobs) }
+func (f sizeStats) lateShare() float64    { return float64(f.late) / float64(f.jobs) }
 
-// longerShare returns the share of the jobs that have waited longer than d.
-func (f sizeFigures) longerShare(d time.Duration) float64 {
+// shareWaitingOver returns the share of the jobs that have waited longer than d.
+func (f sizeStats) shareWaitingOver(d time.Duration) float64 {
 	n, _ := slices.BinarySearch(f.waits, d+1)
 	return float64(len(f.waits)-n) / float64(len(f.waits))
 }
 
-// percent returns a share of a hundredth and three times its standard error in
+// onePercentBound returns a share of a hundredth and three times its standard error in
 // a sample of n.
-func percent(n int) float64 {
+func onePercentBound(n int) float64 {
 	const share = 0.01
 	return share + 3*math.Sqrt(share*(1-share)/float64(n))
 }
 
-// slack is how long a job of one task can wait within its latency objective, which
+// maxWaitInTime is how long a job of one task can wait within its latency objective, which
 // is 1.6 times its work plus 60 ms.
-func slack(work time.Duration) time.Duration { return work*6/10 + 60*time.Millisecond }
+func maxWaitInTime(work time.Duration) time.Duration { return work*6/10 + 60*time.Millisecond }
 
-// sizes returns the figures of the jobs of a demand in all worlds. The wait of a job
+// statsFor returns the figures of the jobs of a demand in all worlds. The wait of a job
 // lasts until its task begins, or until it is refused.
-func sizes(cpu int, worlds ...*world) sizeFigures {
-	var f sizeFigures
+func statsFor(cpu int, worlds ...*simulation) sizeStats {
+	var f sizeStats
 	var waits []time.Duration
 	for _, w := range worlds {
 		for id, r := range w.results {
@@ -143,11 +143,11 @@
 }
 
 // addTo counts a job and returns its wait.
-func (w *world) addTo(f *sizeFigures, id string, r *result) time.Duration {
+func (w *simulation) addTo(f *sizeStats, id string, r *result) time.Duration {
 	task := id + ".0.0.0"
 	f.jobs++
 	wait := r.took
-	at, began := w.firstAt[task]
+	at, began := w.firstStartAt[task]
 	switch {
 	case !r.got:
 		f.unanswered++
@@ -156,7 +156,7 @@
 	default:
 		f.refused++
 	}
-	if !began || wait > slack(w.tasks[task].work) {
+	if !began || wait > maxWaitInTime(w.tasks[task].work) {
 		f.late++
 	}
 	return wait
@@ -179,29 +179,29 @@
 		// TestOverloadIsRefusedAtOnceAndStarvesNoKind.
 		smallLate = 0.05
 	)
-	for _, m := range []mixedSizes{
+	for _, m := range []mixedSizesScenario{
 		{entries: 2, share: 0.7},
-		{entries: 2, share: 0.7, off: 0.4},
+		{entries: 2, share: 0.7, estimateError: 0.4},
 		{entries: 2, share: 0.9},
-		{entries: 2, share: 0.9, off: 0.4},
+		{entries: 2, share: 0.9, estimateError: 0.4},
 		{entries: 2, share: 1.1},
-		{entries: 2, share: 1.1, off: 0.4},
+		{entries: 2, share: 1.1, estimateError: 0.4},
 		{entries: 5, share: 0.7},
-		{entries: 5, share: 0.7, off: 0.4},
+		{entries: 5, share: 0.7, estimateError: 0.4},
 		{entries: 5, share: 0.9},
-		{entries: 5, share: 0.9, off: 0.4},
+		{entries: 5, share: 0.9, estimateError: 0.4},
 		{entries: 5, share: 1.1},
-		{entries: 5, share: 1.1, off: 0.4},
+		{entries: 5, share: 1.1, estimateError: 0.4},
 	} {
 		m.agents = 11
-		t.Run(fmt.Sprintf("%d entries, %.0f%% of the room, estimates off by %.0f%%", m.entries, 100*m.share, 100*m.off), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d entries, %.0f%% of the room, estimates off by %.0f%%", m.entries, 100*m.share, 100*m.estimateError), func(t *testing.T) {
 			t.Parallel()
 			seeds := []uint64{31, 32, 33, 34, 35, 36}
-			with := m.playAll(t, seeds)
-			m.unreserved = true
-			without := m.playAll(t, seeds)
-			small, large := sizes(smallCPU, with...), sizes(largeCPU, with...)
-			smallBefore, largeBefore := sizes(smallCPU, without...), sizes(largeCPU, without...)
+			with := m.runAll(t, seeds)
+			m.withoutReservations = true
+			without := m.runAll(t, seeds)
+			small, large := statsFor(smallCPU, with...), statsFor(largeCPU, with...)
+			smallBefore, largeBefore := statsFor(smallCPU, without...), statsFor(largeCPU, without...)
 			t.Logf("small %s, without reservations %s", small, smallBefore)
 			t.Logf("large %s, without reservations %s", large, largeBefore)
 			require.Zero(t, small.unanswered+large.unanswered)
@@ -209,7 +209,7 @@
 			switch m.share {
 			case 0.7:
 				require.Zero(t, small.late)
-				require.LessOrEqual(t, small.longerShare(smallBefore.p99), percent(small.jobs))
+				require.LessOrEqual(t, small.shareWaitingOver(smallBefore.p99), onePercentBound(small.jobs))
 				require.LessOrEqual(t, large.p99, largeBefore.p99+linkDelay)
 			case 0.9:
 				require.LessOrEqual(t, large.refused, largeBefore.refused)
@@ -222,9 +222,9 @@
 	}
 }
 
-// keeper returns an agent that keeps room, and the entry that it is kept for; nil
+// reservingAgent returns an agent that keeps room, and the entry that it is kept for; nil
 // when there is none.
-func (w *world) keeper() (*simAgent, *simEntry) {
+func (w *simulation) reservingAgent() (*simAgent, *simEntry) {
 	for _, a := range w.agents {
 		holder := a.core.Dump().Holder
 		for _, e := range w.entries {
@@ -245,32 +245,32 @@
 		// entry.
 		patience = messenger.IdleTimeout + 100*time.Millisecond
 	)
-	tests := map[string]func(w *world, a *simAgent, e *simEntry){
-		"entry killed":      func(_ *world, _ *simAgent, e *simEntry) { e.kill(time.Second) },
-		"entry paused":      func(w *world, _ *simAgent, e *simEntry) { e.frozenUntil = w.clock.Now().Add(time.Second) },
-		"link cut":          func(w *world, a *simAgent, e *simEntry) { a.links[e.name].cut = true },
-		"agent killed":      func(_ *world, a *simAgent, _ *simEntry) { a.kill(500 * time.Millisecond) },
-		"worker turns slow": func(_ *world, a *simAgent, _ *simEntry) { a.worker.slow = 8 },
-		"worker restarted":  func(_ *world, a *simAgent, _ *simEntry) { a.restartWorker(500 * time.Millisecond) },
+	tests := map[string]func(w *simulation, a *simAgent, e *simEntry){
+		"entry killed":      func(_ *simulation, _ *simAgent, e *simEntry) { e.kill(time.Second) },
+		"entry paused":      func(w *simulation, _ *simAgent, e *simEntry) { e.pausedUntil = w.clock.Now().Add(time.Second) },
+		"link cut":          func(w *simulation, a *simAgent, e *simEntry) { a.links[e.name].cut = true },
+		"agent killed":      func(_ *simulation, a *simAgent, _ *simEntry) { a.kill(500 * time.Millisecond) },
+		"worker turns slow": func(_ *simulation, a *simAgent, _ *simEntry) { a.worker.slowdown = 8 },
+		"worker restarted":  func(_ *simulation, a *simAgent, _ *simEntry) { a.restartWorker(500 * time.Millisecond) },
 	}
 	for name, fail := range tests {
 		for _, entries := range []int{2, 5} {
 			t.Run(fmt.Sprintf("%s, %d entries", name, entries), func(t *testing.T) {
 				t.Parallel()
 				failed := false
-				m := mixedSizes{entries: entries, agents: 11, share: 0.9, off: 0.4, seed: 33}
-				m.fault = func(w *world) {
+				m := mixedSizesScenario{entries: entries, agents: 11, share: 0.9, estimateError: 0.4, seed: 33}
+				m.fault = func(w *simulation) {
 					var watch func()
 					watch = func() {
-						a, e := w.keeper()
+						a, e := w.reservingAgent()
 						if a == nil {
-							w.after(time.Millisecond, watch)
+							w.schedule(time.Millisecond, watch)
 							return
 						}
 						failed = true
 						fail(w, a, e)
-						w.after(patience, func() {
-							if e.down || w.clock.Now().Before(e.frozenUntil) {
+						w.schedule(patience, func() {
+							if e.down || w.clock.Now().Before(e.pausedUntil) {
 								require.NotEqual(t, e.name, a.core.Dump().Holder)
 							}
 							if l := a.links[e.name]; l != nil {
@@ -278,14 +278,14 @@
 							}
 						})
 					}
-					w.after(begin, watch)
+					w.schedule(begin, watch)
 				}
-				w := m.play(t)
+				w := m.run(t)
 				require.True(t, failed)
 				for _, a := range w.agents {
 					require.Empty(t, a.core.Dump().Holder, a.name)
 				}
-				small, large := sizes(smallCPU, w), sizes(largeCPU, w)
+				small, large := statsFor(smallCPU, w), statsFor(largeCPU, w)
 				t.Logf("small %s, large %s", small, large)
 				require.Zero(t, small.unanswered+large.unanswered)
 			})
