--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -38,9 +38,9 @@
 
 // Worker is what an agent needs of the worker beside it.
 type Worker interface {
-	Start(ctx context.Context, s executor.Start) (executor.Outcome, error)
-	Stop(ctx context.Context, s executor.Stop) (executor.Outcome, error)
-	Look(ctx context.Context, l executor.Look) (executor.Seen, executor.Outcome, error)
+	Start(ctx context.Context, s executor.Start) (executor.CallResult, error)
+	Stop(ctx context.Context, s executor.Stop) (executor.CallResult, error)
+	Look(ctx context.Context, l executor.Poll) (executor.PollResult, executor.CallResult, error)
 	Sample(id string, born int64, clockMillis float64)
 }
 
@@ -67,7 +67,7 @@
 	Metrics string
 	// Grace bounds a planned stop.
 	Grace time.Duration
-	// DrainWithin is how long after the worker's notice to leave tasks may
+	// DrainTimeout is how long after the worker's notice to leave tasks may
 	// still start on it.
 	DrainWithin time.Duration
 }
--- a/attendant/core.go
+++ b/attendant/core.go
@@ -35,12 +35,12 @@
 	// started carries the outcome of a start.
 	started struct {
 		order executor.Start
-		out   executor.Outcome
+		out   executor.CallResult
 	}
 	// looked carries the answer to a look.
 	looked struct {
-		seen executor.Seen
-		out  executor.Outcome
+		seen executor.PollResult
+		out  executor.CallResult
 	}
 )
 
@@ -61,7 +61,7 @@
 	return &core{
 		attendant: a,
 		executor: executor.NewExecutor(a.deps.Clock, a.identity, executor.Config{
-			DrainWithin: a.cfg.DrainWithin,
+			DrainTimeout: a.cfg.DrainWithin,
 		}),
 		links:  make(map[string]*messenger.Link),
 		names:  make(map[*messenger.Link]string),
@@ -76,7 +76,7 @@
 	case tick:
 		c.executor.Tick()
 	case leaving:
-		c.executor.SetLeaving()
+		c.executor.BeginShutdown()
 	case idleQuestion:
 		ctx.Respond(c.executor.Idle())
 	case dumpQuestion:
@@ -92,9 +92,9 @@
 		c.recall(m.upstream)
 	case departed:
 		c.attendant.deps.Log.WithField("worker", m.id).Info("worker left")
-		c.executor.ClearUpstream(m.id)
+		c.executor.HandleWorkerDeparture(m.id)
 	case started:
-		c.executor.Started(m.order.Run, m.order.Token, m.out)
+		c.executor.HandleStartResult(m.order.Run, m.order.Token, m.out)
 	case looked:
 		c.looked(m)
 	}
@@ -103,10 +103,10 @@
 
 func (c *core) looked(m looked) {
 	if m.out == executor.Accepted {
-		c.executor.Looked(m.seen)
+		c.executor.HandlePollResult(m.seen)
 		return
 	}
-	c.executor.LookFailed(m.seen.Number, m.out)
+	c.executor.HandlePollFailure(m.seen.Number, m.out)
 }
 
 // heartbeat takes in the worker's word, unless a later one has come before.
@@ -154,13 +154,13 @@
 	}
 	switch msg := m.msg.(type) {
 	case *messenger.Heartbeat:
-		c.executor.Beat(name, *msg)
+		c.executor.HandleHeartbeat(name, *msg)
 	case *messenger.Place:
-		c.executor.Place(name, *msg)
+		c.executor.HandlePlace(name, *msg)
 	case *messenger.Withdraw:
-		c.executor.Withdraw(name, *msg)
+		c.executor.HandleWithdraw(name, *msg)
 	case *messenger.Reserve:
-		c.executor.Reserve(name, *msg)
+		c.executor.HandleReserve(name, *msg)
 	}
 }
 
@@ -172,7 +172,7 @@
 	c.links[h.Entry] = l
 	c.names[l] = h.Entry
 	c.attendant.deps.Log.WithField("entry", h.Entry).Info("entry in touch")
-	c.executor.Hello(h)
+	c.executor.HandleHello(h)
 }
 
 func (c *core) closed(l *messenger.Link) {
@@ -183,13 +183,13 @@
 	delete(c.names, l)
 	delete(c.links, name)
 	c.attendant.deps.Log.WithField("entry", name).Info("entry out of touch")
-	c.executor.Closed(name)
+	c.executor.HandleLinkClosed(name)
 }
 
 // applyEffects does what the executor decided.
 func (c *core) carryOut() {
 	a := c.attendant
-	for _, e := range c.executor.Drain() {
+	for _, e := range c.executor.TakeEffects() {
 		switch e := e.(type) {
 		case executor.Start:
 			c.meters.starts.Inc()
@@ -197,22 +197,22 @@
 		case executor.Stop:
 			c.meters.stops.Inc()
 			c.calls.do(func() { a.stop(e) })
-		case executor.Look:
+		case executor.Poll:
 			c.meters.looks.Inc()
 			c.calls.do(func() { a.look(e) })
-		case executor.Tell:
+		case executor.SendReport:
 			c.meters.reports.Inc()
 			if l := c.links[e.Entry]; l != nil {
 				l.Send(e.Report)
 			}
-		case executor.Wake:
-			a.deps.Clock.AfterFunc(e.After, func() { a.post(tick{}) })
+		case executor.TickAfter:
+			a.deps.Clock.AfterFunc(e.Delay, func() { a.post(tick{}) })
 		case executor.Note:
 			c.meters.decided(e.What)
 			a.note(e)
 		}
 	}
-	c.meters.reserved.Set(float64(c.executor.Kept().CPU))
+	c.meters.reserved.Set(float64(c.executor.ReservedCapacity().CPU))
 }
 
 func (a *Attendant) start(s executor.Start) {
@@ -229,7 +229,7 @@
 	}
 }
 
-func (a *Attendant) look(l executor.Look) {
+func (a *Attendant) look(l executor.Poll) {
 	seen, out, err := a.worker.Look(a.ctx, l)
 	if err != nil && a.ctx.Err() == nil {
 		a.deps.Log.WithError(err).WithField("worker", l.Upstream.ID).WithField("token", l.Token).Warn("look failed")
--- a/attendant/core_test.go
+++ b/attendant/core_test.go
@@ -17,16 +17,16 @@
 // noWorker is a worker that takes nothing.
 type noWorker struct{}
 
-func (noWorker) Start(context.Context, executor.Start) (executor.Outcome, error) {
+func (noWorker) Start(context.Context, executor.Start) (executor.CallResult, error) {
 	return executor.NotSent, nil
 }
 
-func (noWorker) Stop(context.Context, executor.Stop) (executor.Outcome, error) {
+func (noWorker) Stop(context.Context, executor.Stop) (executor.CallResult, error) {
 	return executor.NotSent, nil
 }
 
-func (noWorker) Look(context.Context, executor.Look) (executor.Seen, executor.Outcome, error) {
-	return executor.Seen{}, executor.NotSent, nil
+func (noWorker) Look(context.Context, executor.Poll) (executor.PollResult, executor.CallResult, error) {
+	return executor.PollResult{}, executor.NotSent, nil
 }
 
 func (noWorker) Sample(string, int64, float64) {}
@@ -46,9 +46,9 @@
 	}
 	beat("w", 1, 5, false)
 	beat("stranger", 2, 1000, false)
-	for _, e := range c.executor.Drain() {
-		if l, ok := e.(executor.Look); ok {
-			c.executor.LookFailed(l.Number, executor.OtherWorker)
+	for _, e := range c.executor.TakeEffects() {
+		if l, ok := e.(executor.Poll); ok {
+			c.executor.HandlePollFailure(l.Number, executor.Misdirected)
 		}
 	}
 	require.Equal(t, "w", c.executor.Upstream().ID)
@@ -69,5 +69,5 @@
 	c.receive(linkMessage{link: link, msg: &messenger.Hello{Entry: "e", Incarnation: 1}})
 	want := messenger.Resources{CPU: 4000}
 	c.receive(linkMessage{link: link, msg: &messenger.Reserve{Number: 1, Demand: want, TTL: time.Second}})
-	require.Equal(t, want, c.executor.Kept())
+	require.Equal(t, want, c.executor.ReservedCapacity())
 }
--- a/executor/calltime_test.go
+++ b/executor/calltime_test.go
@@ -11,21 +11,21 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// calls plays n starts with an outcome that is known after a time, and returns the
+// playStarts plays n starts with an outcome that is known after a time, and returns the
 // time that the last one was given.
-func (b *bench) calls(n int, took time.Duration, out executor.Outcome) time.Duration {
+func (b *harness) playStarts(n int, took time.Duration, out executor.CallResult) time.Duration {
 	var within time.Duration
 	for range n {
 		b.place(messenger.Run{Task: fmt.Sprintf("c%d.0.0.0", b.placed), Number: 1}, 10)
 		s := b.starts[0]
-		within = s.Within
+		within = s.Timeout
 		b.clock.Advance(took)
-		b.x.Started(s.Run, s.Token, out)
-		b.drain()
+		b.x.HandleStartResult(s.Run, s.Token, out)
+		b.collect()
 		if out == executor.Unanswered {
 			// It took effect.
-			b.lookAnswered(b.lastLook, []messenger.Progress{{Run: s.Run}})
-			b.lookAnswered(b.lastLook, nil, executor.Ended{Number: int64(b.placed), RunEnd: messenger.RunEnd{Run: s.Run, Reason: messenger.RunDone}})
+			b.answerPoll(b.lastPoll, []messenger.Progress{{Run: s.Run}})
+			b.answerPoll(b.lastPoll, nil, executor.EndRecord{Number: int64(b.placed), RunEnd: messenger.RunEnd{Run: s.Run, Reason: messenger.RunDone}})
 		}
 	}
 	return within
@@ -37,47 +37,47 @@
 func TestStartsCountAsUnansweredByHowLongCallsTakeLately(t *testing.T) {
 	tests := []struct {
 		name string
-		play func(b *bench)
+		play func(b *harness)
 		want time.Duration
 	}{
-		{"nothing known", func(*bench) {}, 40 * time.Millisecond},
-		{"few calls", func(b *bench) { b.calls(7, time.Millisecond, executor.Rejected) }, 40 * time.Millisecond},
-		{"fast calls", func(b *bench) { b.calls(15, time.Millisecond, executor.Rejected) }, 10 * time.Millisecond},
-		{"calls of 2 ms", func(b *bench) { b.calls(15, 2*time.Millisecond, executor.Rejected) }, 16 * time.Millisecond},
-		{"slow calls", func(b *bench) { b.calls(15, 12*time.Millisecond, executor.Rejected) }, 40 * time.Millisecond},
-		{"some lost", func(b *bench) {
-			b.calls(11, time.Millisecond, executor.Rejected)
-			b.calls(2, 10*time.Millisecond, executor.Unanswered)
+		{"nothing known", func(*harness) {}, 40 * time.Millisecond},
+		{"few calls", func(b *harness) { b.playStarts(7, time.Millisecond, executor.Rejected) }, 40 * time.Millisecond},
+		{"fast calls", func(b *harness) { b.playStarts(15, time.Millisecond, executor.Rejected) }, 10 * time.Millisecond},
+		{"calls of 2 ms", func(b *harness) { b.playStarts(15, 2*time.Millisecond, executor.Rejected) }, 16 * time.Millisecond},
+		{"slow calls", func(b *harness) { b.playStarts(15, 12*time.Millisecond, executor.Rejected) }, 40 * time.Millisecond},
+		{"some lost", func(b *harness) {
+			b.playStarts(11, time.Millisecond, executor.Rejected)
+			b.playStarts(2, 10*time.Millisecond, executor.Unanswered)
 		}, 10 * time.Millisecond},
-		{"calls have become slower", func(b *bench) {
-			b.calls(15, time.Millisecond, executor.Rejected)
-			b.calls(8, 10*time.Millisecond, executor.Unanswered)
+		{"calls have become slower", func(b *harness) {
+			b.playStarts(15, time.Millisecond, executor.Rejected)
+			b.playStarts(8, 10*time.Millisecond, executor.Unanswered)
 		}, 40 * time.Millisecond},
-		{"long ago", func(b *bench) {
-			b.calls(15, time.Millisecond, executor.Rejected)
+		{"long ago", func(b *harness) {
+			b.playStarts(15, time.Millisecond, executor.Rejected)
 			b.clock.Advance(6 * time.Second)
-			b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.clock.Since(b.start())})
+			b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.clock.Since(b.createdAt())})
 			b.x.Tick()
-			b.drain()
+			b.collect()
 		}, 40 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			b.lookAnswered(b.lastLook, nil)
+			b := newHarness(t)
+			b.answerPoll(b.lastPoll, nil)
 			tt.play(b)
-			require.Equal(t, tt.want, b.calls(1, time.Millisecond, executor.Rejected))
+			require.Equal(t, tt.want, b.playStarts(1, time.Millisecond, executor.Rejected))
 		})
 	}
 }
 
-// start returns when the executor was made, by its stamps.
-func (b *bench) start() time.Time { return b.clock.Now().Add(-b.stamp) }
+// createdAt returns when the executor was made, by its stamps.
+func (b *harness) createdAt() time.Time { return b.clock.Now().Add(-b.stamp) }
 
-// startAll places a job's tasks after enough fast calls, and returns their starts.
-func (b *bench) startAll(tasks int) []executor.Start {
-	b.lookAnswered(b.lastLook, nil)
-	b.calls(15, time.Millisecond, executor.Rejected)
+// placeAll places a job's tasks after enough fast calls, and returns their starts.
+func (b *harness) placeAll(tasks int) []executor.Start {
+	b.answerPoll(b.lastPoll, nil)
+	b.playStarts(15, time.Millisecond, executor.Rejected)
 	p := messenger.Place{Number: b.placed + 1, Job: "j", Service: "quotes", MaxWait: time.Second, Echo: b.stamp}
 	for i := range tasks {
 		p.Tasks = append(p.Tasks, messenger.Task{
@@ -86,49 +86,49 @@
 		})
 	}
 	b.placed++
-	b.x.Place("e", p)
-	b.drain()
+	b.x.HandlePlace("e", p)
+	b.collect()
 	return b.starts
 }
 
 // timeOut lets a start go unanswered.
-func (b *bench) timeOut(s executor.Start) {
-	b.clock.Advance(s.Within)
-	b.x.Started(s.Run, s.Token, executor.Unanswered)
-	b.drain()
+func (b *harness) timeOut(s executor.Start) {
+	b.clock.Advance(s.Timeout)
+	b.x.HandleStartResult(s.Run, s.Token, executor.Unanswered)
+	b.collect()
 }
 
-// TestTimeOutThatIsTooShortCostsOneLook guards against a worker that is set aside, and
+// TestTimeoutThatIsTooShortCostsOnePoll guards against a worker that is set aside, and
 // runs that are refused, since starts which took effect were answered too late.
-func TestTimeOutThatIsTooShortCostsOneLook(t *testing.T) {
+func TestTimeoutThatIsTooShortCostsOnePoll(t *testing.T) {
 	for _, tasks := range []int{1, 4} {
 		t.Run(fmt.Sprintf("%d starts", tasks), func(t *testing.T) {
-			b := newBench(t)
-			starts := b.startAll(tasks)
+			b := newHarness(t)
+			starts := b.placeAll(tasks)
 			require.Len(t, starts, tasks)
-			b.clock.Advance(starts[0].Within)
-			var looks []executor.Look
+			b.clock.Advance(starts[0].Timeout)
+			var looks []executor.Poll
 			for _, s := range starts {
-				b.x.Started(s.Run, s.Token, executor.Unanswered)
-				b.drain()
-				looks = append(looks, b.looks...)
+				b.x.HandleStartResult(s.Run, s.Token, executor.Unanswered)
+				b.collect()
+				looks = append(looks, b.polls...)
 				require.Empty(t, b.refused())
-				for _, r := range b.tells {
+				for _, r := range b.reports {
 					require.Zero(t, r.UnansweredCalls, "the worker is not set aside")
 				}
 			}
 			require.Len(t, looks, 1)
-			require.Zero(t, looks[0].Wait, "the answer is needed at once")
-			require.False(t, looks[0].Until.IsZero(), "leases are renewed")
+			require.Zero(t, looks[0].MaxWait, "the answer is needed at once")
+			require.False(t, looks[0].LeaseUntil.IsZero(), "leases are renewed")
 			var running []messenger.Progress
 			for _, s := range starts {
 				running = append(running, messenger.Progress{Run: s.Run, Percent: 1})
 			}
-			b.lookAnswered(looks[0].Number, running)
+			b.answerPoll(looks[0].Number, running)
 			require.Empty(t, b.starts, "no run is sent again")
 			require.Empty(t, b.refused())
 			require.Empty(t, b.ended())
-			require.NotZero(t, b.looks[0].Wait, "the next look waits for an end")
+			require.NotZero(t, b.polls[0].MaxWait, "the next look waits for an end")
 		})
 	}
 }
@@ -136,21 +136,21 @@
 // TestStartThatDidNothingIsSentAgainWithTheLongestTime guards against runs that are
 // refused since several short time-outs follow each other.
 func TestStartThatDidNothingIsSentAgainWithTheLongestTime(t *testing.T) {
-	b := newBench(t)
-	s := b.startAll(1)[0]
-	require.Equal(t, 10*time.Millisecond, s.Within)
+	b := newHarness(t)
+	s := b.placeAll(1)[0]
+	require.Equal(t, 10*time.Millisecond, s.Timeout)
 	b.timeOut(s)
-	b.lookAnswered(b.lastLook, nil)
+	b.answerPoll(b.lastPoll, nil)
 	require.Len(t, b.starts, 1)
 	require.Greater(t, b.starts[0].Token, s.Token, "the first start can do nothing any more")
-	require.Equal(t, 40*time.Millisecond, b.starts[0].Within)
+	require.Equal(t, 40*time.Millisecond, b.starts[0].Timeout)
 }
 
-// TestWorkerThatIsMuteIsReported guards against a worker that answers nothing and gets
+// TestUnresponsiveWorkerIsReported guards against a worker that answers nothing and gets
 // run after run, each of which is in doubt for a short time only.
-func TestWorkerThatIsMuteIsReported(t *testing.T) {
-	b := newBench(t)
-	first := b.startAll(1)[0]
+func TestUnresponsiveWorkerIsReported(t *testing.T) {
+	b := newHarness(t)
+	first := b.placeAll(1)[0]
 	b.timeOut(first)
 	unanswered := 0
 	for range 4 {
@@ -158,32 +158,32 @@
 		require.Len(t, b.starts, 1)
 		s := b.starts[0]
 		b.timeOut(s)
-		for _, r := range b.tells {
+		for _, r := range b.reports {
 			unanswered = max(unanswered, r.UnansweredCalls)
 		}
 	}
 	require.Positive(t, unanswered)
 }
 
-// TestLookDoesNotClearAStartOfItsOwnToken guards against a start that is taken for one
+// TestPollDoesNotConfirmAStartOfItsOwnToken guards against a start that is taken for one
 // that did nothing since a look which cannot fence it off does not list it, and that
 // takes effect later.
-func TestLookDoesNotClearAStartOfItsOwnToken(t *testing.T) {
-	b := newBench(t)
-	first := b.startAll(1)[0]
+func TestPollDoesNotConfirmAStartOfItsOwnToken(t *testing.T) {
+	b := newHarness(t)
+	first := b.placeAll(1)[0]
 	b.timeOut(first)
-	require.Len(t, b.looks, 1)
-	open := b.looks[0]
+	require.Len(t, b.polls, 1)
+	open := b.polls[0]
 	b.place(messenger.Run{Task: "k.0.0.0", Number: 1}, 10)
 	require.Len(t, b.starts, 1)
 	second := b.starts[0]
 	require.Equal(t, open.Token, second.Token)
 	b.timeOut(second)
-	require.Len(t, b.looks, 1)
-	require.Greater(t, b.looks[0].Token, second.Token)
-	b.lookAnswered(open.Number, nil)
+	require.Len(t, b.polls, 1)
+	require.Greater(t, b.polls[0].Token, second.Token)
+	b.answerPoll(open.Number, nil)
 	require.Empty(t, b.starts, "the open look says nothing of either start")
-	b.lookAnswered(b.lastLook, nil)
+	b.answerPoll(b.lastPoll, nil)
 	require.Len(t, b.starts, 2)
 	for _, s := range b.starts {
 		require.Greater(t, s.Token, second.Token)
--- a/executor/dump.go
+++ b/executor/dump.go
@@ -39,21 +39,21 @@
 		Identity:   x.identity,
 		Token:      x.token,
 		Upstream:   x.upstream,
-		Free:       x.free(),
-		Kept:       x.Kept(),
-		Leaving:    x.leaving,
-		Unanswered: x.look.unanswered,
+		Free:       x.freeCapacity(),
+		Kept:       x.ReservedCapacity(),
+		Leaving:    x.shuttingDown,
+		Unanswered: x.poll.unanswered,
 	}
-	if x.reservation.held() {
+	if x.reservation.active() {
 		d.Holder = x.reservation.holder.name
 	}
-	s := x.speeds.estimate(x.clock.Now())
+	s := x.speedSamples.estimate(x.clock.Now())
 	d.Speed, d.SpeedJobs = s.value, s.jobs
-	for _, r := range x.sorted() {
+	for _, r := range x.sortedRuns() {
 		d.Runs = append(d.Runs, RunDump{Run: r.Run, Owner: r.owner, Phase: r.phase.String(), Percent: r.percent})
 	}
 	for name, e := range x.entries {
-		if e.open {
+		if e.linkOpen {
 			d.Entries = append(d.Entries, name)
 		}
 	}
--- a/executor/effect.go
+++ b/executor/effect.go
@@ -16,12 +16,12 @@
 	Spec string
 	// Token fences off all earlier calls.
 	Token uint64
-	// Until is how long the run may go on without word, and when the start has
+	// LeaseUntil is how long the run may go on without word, and when the start has
 	// to have arrived. It is set when the start is decided on, so that one that
 	// is held up does not lengthen the lease unseen.
-	Until time.Time
-	// Within is how long the call may take before it counts as unanswered.
-	Within time.Duration
+	LeaseUntil time.Time
+	// Timeout is how long the call may take before it counts as unanswered.
+	Timeout time.Duration
 	// Upstream is the incarnation that is meant.
 	Upstream messenger.Upstream
 }
@@ -30,33 +30,33 @@
 type Stop struct {
 	Run   messenger.Run
 	Token uint64
-	// Within is how long the call may take before it counts as unanswered.
-	Within   time.Duration
+	// Timeout is how long the call may take before it counts as unanswered.
+	Timeout  time.Duration
 	Upstream messenger.Upstream
 }
 
-// Look asks the worker for what it runs and what has ended.
-type Look struct {
+// Poll asks the worker for what it runs and what has ended.
+type Poll struct {
 	Number uint64
 	Token  uint64
-	// Seen is the number of the last end that was taken in.
-	Seen int64
-	// Until is how long the runs may go on; zero renews nothing.
-	Until time.Time
-	// Wait is how long the worker may wait for an end before it answers.
-	Wait     time.Duration
+	// AckedEnd is the number of the last end that was taken in.
+	AckedEnd int64
+	// LeaseUntil is how long the runs may go on; zero renews nothing.
+	LeaseUntil time.Time
+	// MaxWait is how long the worker may wait for an end before it answers.
+	MaxWait  time.Duration
 	Upstream messenger.Upstream
 }
 
-// Tell sends a report to an entry.
-type Tell struct {
+// SendReport sends a report to an entry.
+type SendReport struct {
 	Entry  string
 	Report messenger.Report
 }
 
-// Wake asks for a Tick after a while.
-type Wake struct {
-	After time.Duration
+// TickAfter asks for a Tick after a while.
+type TickAfter struct {
+	Delay time.Duration
 }
 
 // Note is a line for the log about one run.
@@ -70,12 +70,12 @@
 	Age    time.Duration
 }
 
-func (Start) effect() {}
-func (Stop) effect()  {}
-func (Look) effect()  {}
-func (Tell) effect()  {}
-func (Wake) effect()  {}
-func (Note) effect()  {}
+func (Start) effect()      {}
+func (Stop) effect()       {}
+func (Poll) effect()       {}
+func (SendReport) effect() {}
+func (TickAfter) effect()  {}
+func (Note) effect()       {}
 
 func compareRuns(a, b messenger.Run) int {
 	if c := strings.Compare(a.Task, b.Task); c != 0 {
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -13,56 +13,56 @@
 )
 
 const (
-	// Lease is how long the worker runs on without word from its agent.
-	Lease = 600 * time.Millisecond
-	// leaseDrift is the largest share by which the worker's clock is slow.
-	leaseDrift = 0.02
-	// leaseSlack covers the time that a call takes to arrive.
-	leaseSlack = 30 * time.Millisecond
-	// busyWait is how long a look at a worker with runs waits for an end. It
+	// LeaseDuration is how long the worker runs on without word from its agent.
+	LeaseDuration = 600 * time.Millisecond
+	// leaseClockDrift is the largest share by which the worker's clock is slow.
+	leaseClockDrift = 0.02
+	// leaseTransitMargin covers the time that a call takes to arrive.
+	leaseTransitMargin = 30 * time.Millisecond
+	// busyPollWait is how long a look at a worker with runs waits for an end. It
 	// bounds the age of what is known of their progress.
-	busyWait = 50 * time.Millisecond
-	// idleWait is the same for a worker without runs.
-	idleWait = 250 * time.Millisecond
-	// retryPause is the pause after a look that failed. It doubles with
-	// each further failure up to retryMost, since each opens a connection; a
+	busyPollWait = 50 * time.Millisecond
+	// idlePollWait is the same for a worker without runs.
+	idlePollWait = 250 * time.Millisecond
+	// minPollRetryDelay is the pause after a look that failed. It doubles with
+	// each further failure up to maxPollRetryDelay, since each opens a connection; a
 	// heartbeat of the worker ends it.
-	retryPause = 40 * time.Millisecond
-	retryMost  = 640 * time.Millisecond
-	// entryPatience is how long an entry may be silent before its runs are
+	minPollRetryDelay = 40 * time.Millisecond
+	maxPollRetryDelay = 640 * time.Millisecond
+	// entryTimeout is how long an entry may be silent before its runs are
 	// stopped.
-	entryPatience = messenger.IdleTimeout
-	// echoCredit is how long after the stamp that it echoes an entry's word
+	entryTimeout = messenger.IdleTimeout
+	// echoTolerance is how long after the stamp that it echoes an entry's word
 	// counts as said at most, however late it is read.
-	echoCredit = messenger.HeartbeatInterval
-	// stopPatience is how long runs that must end may take to be stopped. Then
+	echoTolerance = messenger.HeartbeatInterval
+	// stopTimeout is how long runs that must end may take to be stopped. Then
 	// no lease is renewed until they are over.
-	stopPatience = 100 * time.Millisecond
-	// entryMemory is how long the ends of a lost entry's runs are kept for it.
-	entryMemory = 10 * time.Second
-	// orphanPatience is how long a run without an owner is kept for an entry
+	stopTimeout = 100 * time.Millisecond
+	// endRetention is how long the ends of a lost entry's runs are kept for it.
+	endRetention = 10 * time.Second
+	// orphanTimeout is how long a run without an owner is kept for an entry
 	// that may claim it. No lease is renewed meanwhile.
-	orphanPatience = 150 * time.Millisecond
-	// placeAge is the greatest age of a Place that is still carried out.
-	placeAge = messenger.IdleTimeout
-	// stopAgain is the time after which a stop is sent again.
-	stopAgain = 100 * time.Millisecond
-	// startTries bounds how often one run is sent to the worker.
-	startTries = 3
-	// roomInterval, times the number of entries, is the least time between two
+	orphanTimeout = 150 * time.Millisecond
+	// maxPlaceAge is the greatest age of a Place that is still carried out.
+	maxPlaceAge = messenger.IdleTimeout
+	// stopRetryInterval is the time after which a stop is sent again.
+	stopRetryInterval = 100 * time.Millisecond
+	// maxStartAttempts bounds how often one run is sent to the worker.
+	maxStartAttempts = 3
+	// capacityReportInterval, times the number of entries, is the least time between two
 	// reports of changed room to one entry. It bounds what an agent sends.
-	roomInterval = 4 * time.Millisecond
-	// calmInterval is the same for an entry at which nothing waits. It asks when
-	// something does. One that has placed nothing for idleAfter hears of room with
+	capacityReportInterval = 4 * time.Millisecond
+	// relaxedReportInterval is the same for an entry at which nothing waits. It asks when
+	// something does. One that has placed nothing for entryIdleAfter hears of room with
 	// its heartbeats alone.
-	calmInterval = messenger.HeartbeatInterval / 2
-	idleAfter    = 500 * time.Millisecond
-	// beatEarly is the time after a heartbeat from which a report that is sent
+	relaxedReportInterval = messenger.HeartbeatInterval / 2
+	entryIdleAfter        = 500 * time.Millisecond
+	// earlyHeartbeatAfter is the time after a heartbeat from which a report that is sent
 	// anyhow serves as the next one.
-	beatEarly = messenger.HeartbeatInterval / 2
-	// tokenStep is the least step of the fencing token when the worker has
+	earlyHeartbeatAfter = messenger.HeartbeatInterval / 2
+	// minTokenStep is the least step of the fencing token when the worker has
 	// seen a higher one.
-	tokenStep = 1_000_000
+	minTokenStep = 1_000_000
 )
 
 // Identity names an agent.
@@ -77,38 +77,38 @@
 
 // Config bounds what an executor does.
 type Config struct {
-	// DrainWithin is how long after an upstream's notice to leave a task may
+	// DrainTimeout is how long after an upstream's notice to leave a task may
 	// still be started on it.
-	DrainWithin time.Duration
+	DrainTimeout time.Duration
 }
 
 // Executor decides for one worker.
 type Executor struct {
-	clock    clockwork.Clock
-	began    time.Time
-	identity Identity
-	cfg      Config
+	clock     clockwork.Clock
+	startedAt time.Time
+	identity  Identity
+	cfg       Config
 
 	upstream messenger.Upstream
-	// prior is the worker whose place upstream has taken, until a look has shown
+	// previousUpstream is the worker whose place upstream has taken, until a look has shown
 	// that upstream is there.
-	prior messenger.Upstream
+	previousUpstream messenger.Upstream
 	// departed is whether the worker has said that it leaves for good. It gets
 	// nothing new; what runs there is followed to its end.
 	departed bool
-	// leasedAt is when a call was last sent that may have lengthened the lease
+	// leaseRenewedAt is when a call was last sent that may have lengthened the lease
 	// of all that the worker runs.
-	leasedAt time.Time
-	// settled is whether it is known what runs: the worker has answered a look,
+	leaseRenewedAt time.Time
+	// runsKnown is whether it is known what runs: the worker has answered a look,
 	// or the leases of an earlier incarnation of the agent are over.
-	settled bool
+	runsKnown bool
 	// drainingSince is when the upstream first said that it leaves.
 	drainingSince time.Time
-	leaving       bool
-	// directives is the revision of the newest directives heard; evacuated is
+	shuttingDown  bool
+	// directivesRevision is the revision of the newest directives heard; evacuated is
 	// whether they evacuate the agent's data centre.
-	directives int64
-	evacuated  bool
+	directivesRevision int64
+	evacuated          bool
 
 	// token is sent with each call; calls with a lower one have no effect at
 	// the worker once it has seen this one.
@@ -125,19 +125,19 @@
 	unclaimed map[messenger.Run]unclaimedEnd
 
 	entries map[string]*entry
-	// order lists the entries by name.
-	order []*entry
-	look  look
-	// paces and failures tell entries how sound the worker is.
-	paces     paces
-	failures  failures
-	speeds    speeds
-	callTimes callTimes
-	turns     turns
+	// sortedEntries lists the entries by name.
+	sortedEntries []*entry
+	poll          pollState
+	// paceSamples and failures tell entries how sound the worker is.
+	paceSamples  paceSamples
+	failures     failureStreak
+	speedSamples speedSamples
+	callTimes    callTimes
+	turn         turnState
 	// reservation is the room that is kept for a large task.
 	reservation reservation
-	// released is whether a reservation has ended since waiting runs were looked at.
-	released bool
+	// reservationEnded is whether a reservation has ended since waiting runs were looked at.
+	reservationEnded bool
 
 	effects []Effect
 }
@@ -146,11 +146,11 @@
 func NewExecutor(clock clockwork.Clock, identity Identity, cfg Config) *Executor {
 	return &Executor{
 		clock:     clock,
-		began:     clock.Now(),
+		startedAt: clock.Now(),
 		identity:  identity,
 		cfg:       cfg,
 		token:     identity.Token,
-		fenceStep: tokenStep,
+		fenceStep: minTokenStep,
 		runs:      make(map[messenger.Run]*run),
 		byTask:    make(map[string]*run),
 		entries:   make(map[string]*entry),
@@ -158,10 +158,10 @@
 	}
 }
 
-// Drain returns the effects since the last call.
-func (x *Executor) Drain() []Effect {
-	x.useReleased()
-	x.tellChanged()
+// TakeEffects returns the effects since the last call.
+func (x *Executor) TakeEffects() []Effect {
+	x.startInReleased()
+	x.sendDueReports()
 	out := x.effects
 	x.effects = nil
 	return out
@@ -169,15 +169,15 @@
 
 func (x *Executor) emit(e Effect) { x.effects = append(x.effects, e) }
 
-// stamp returns the agent's clock as it is written into messages.
-func (x *Executor) stamp() time.Duration { return x.clock.Since(x.began) }
+// timestamp returns the agent's clock as it is written into messages.
+func (x *Executor) timestamp() time.Duration { return x.clock.Since(x.startedAt) }
 
-// SetLeaving begins a planned stop: nothing new is taken.
-func (x *Executor) SetLeaving() {
-	x.leaving = true
+// BeginShutdown begins a planned stop: nothing new is taken.
+func (x *Executor) BeginShutdown() {
+	x.shuttingDown = true
 	x.endReservation("agent leaves")
 	x.refuseWaiting(messenger.RefusedLeaving)
-	x.changed()
+	x.markStateChanged()
 }
 
 // Idle reports whether nothing runs or waits here.
@@ -186,23 +186,23 @@
 // Tick looks at what has come due.
 func (x *Executor) Tick() {
 	now := x.clock.Now()
-	x.dropSilent(now)
-	x.expireWaiting(now)
-	x.stopAgain(now)
-	x.lapseSure(now)
-	x.settleByTime(now)
-	x.forgetEnds(now)
-	x.forgetHeld(now)
-	x.nextLook()
-	x.beat(now)
+	x.expireSilent(now)
+	x.refuseExpired(now)
+	x.retryStops(now)
+	x.lapseExpired(now)
+	x.markRunsKnownAfterLeases(now)
+	x.expireUnclaimedEnds(now)
+	x.expireHeld(now)
+	x.sendDuePoll()
+	x.sendHeartbeats(now)
 }
 
-// free returns the room that nothing holds.
-func (x *Executor) free() messenger.Resources { return x.upstream.Capacity.Minus(x.used) }
+// freeCapacity returns the room that nothing holds.
+func (x *Executor) freeCapacity() messenger.Resources { return x.upstream.Capacity.Minus(x.used) }
 
-// unassignedRoom returns the room that nothing holds or waits for.
-func (x *Executor) unassignedRoom() messenger.Resources {
-	d := x.free()
+// uncommittedCapacity returns the room that nothing holds or waits for.
+func (x *Executor) uncommittedCapacity() messenger.Resources {
+	d := x.freeCapacity()
 	for _, r := range x.waiting {
 		d = d.Minus(r.Demand)
 	}
--- a/executor/expect_test.go
+++ b/executor/expectedend_test.go
@@ -29,7 +29,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &run{Task: messenger.Task{Estimate: 100 * ms}, sentAt: start, begunAt: start, percent: tt.percent, age: tt.readAt}
+			r := &run{Task: messenger.Task{Estimate: 100 * ms}, sentAt: start, startedAt: start, percent: tt.percent, progressAge: tt.readAt}
 			got := new(Executor).expectedEnd(r, start.Add(tt.age))
 			require.Equal(t, tt.expected, got.Sub(start))
 		})
--- /dev/null
+++ b/executor/forecast.go
@@ -0,0 +1,42 @@
+package executor
+
+import (
+	"time"
+
+	"github.com/pomeloferry/pomeloferry/messenger"
+)
+
+// forecast returns the room that runs are expected to have given back after each of
+// messenger.ForecastHorizons; nil when none is.
+func (x *Executor) forecast(now time.Time) []messenger.Resources {
+	if !x.acceptsRuns() {
+		return nil
+	}
+	out := make([]messenger.Resources, len(messenger.ForecastHorizons))
+	for _, r := range x.runs {
+		if !r.holdsCapacity() || !r.endIsPredictable() {
+			continue
+		}
+		after := x.expectedEnd(r, now).Sub(now)
+		for i, span := range messenger.ForecastHorizons {
+			if after <= span {
+				out[i] = out[i].Plus(r.Demand)
+			}
+		}
+	}
+	if out[len(out)-1].IsZero() {
+		return nil
+	}
+	return out
+}
+
+// acceptsRuns reports whether room that falls free may be used for new runs.
+func (x *Executor) acceptsRuns() bool {
+	return !x.shuttingDown && !x.evacuated && !x.departed && !x.upstream.Draining && x.upstream.Born != 0
+}
+
+// endIsPredictable reports whether anything is known of how long a run takes. A run
+// that was found at the worker has no estimate.
+func (r *run) endIsPredictable() bool {
+	return r.Estimate > 0 || (r.percent >= minProgressPercent && r.progressAge > 0)
+}
--- a/executor/ahead_test.go
+++ b/executor/forecast_test.go
@@ -10,32 +10,32 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// waits has the entry ask for the room ahead for a task that waits, and returns
+// requestForecast has the entry ask for the room ahead for a task that waits, and returns
 // what its next report says of it, in thousandths of a core.
-func (b *bench) waits() []int {
+func (b *harness) requestForecast() []int {
 	b.t.Helper()
-	b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Backlog: messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 1}, Min: messenger.Resources{CPU: 1}, WantsForecast: true}})
+	b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Backlog: messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 1}, Min: messenger.Resources{CPU: 1}, WantsForecast: true}})
 	b.clock.Advance(messenger.HeartbeatInterval)
 	b.x.Tick()
-	b.drain()
-	require.NotEmpty(b.t, b.tells)
+	b.collect()
+	require.NotEmpty(b.t, b.reports)
 	var out []int
-	for _, d := range b.tells[len(b.tells)-1].Forecast {
+	for _, d := range b.reports[len(b.reports)-1].Forecast {
 		out = append(out, d.CPU)
 	}
 	return out
 }
 
-// begins places run1 of an estimate, which begins.
-func (b *bench) begins(estimate time.Duration) {
+// startEstimated places run1 of an estimate, which begins.
+func (b *harness) startEstimated(estimate time.Duration) {
 	b.placed++
-	b.x.Place("e", messenger.Place{
+	b.x.HandlePlace("e", messenger.Place{
 		Number: b.placed, Job: "j", Spec: "spec", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: b.stamp,
 		Tasks: []messenger.Task{{Run: run1, Demand: messenger.Resources{CPU: 1000}, Estimate: estimate}},
 	})
-	b.drain()
-	b.x.Started(run1, b.starts[0].Token, executor.Accepted)
-	b.drain()
+	b.collect()
+	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Accepted)
+	b.collect()
 }
 
 // TestRoomAhead guards against a forecast that goes by estimates alone, which are
@@ -60,13 +60,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			b.lookAnswered(b.lastLook, nil)
-			b.begins(tt.estimate)
+			b := newHarness(t)
+			b.answerPoll(b.lastPoll, nil)
+			b.startEstimated(tt.estimate)
 			b.clock.Advance(100 * time.Millisecond)
-			b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
-			b.lookAnswered(b.lastLook, []messenger.Progress{{Run: run1, Percent: tt.percent}})
-			require.Equal(t, tt.want, b.waits())
+			b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
+			b.answerPoll(b.lastPoll, []messenger.Progress{{Run: run1, Percent: tt.percent}})
+			require.Equal(t, tt.want, b.requestForecast())
 		})
 	}
 }
@@ -74,18 +74,18 @@
 // TestRoomAheadIsToldOnlyWhereAskedFor guards against reports that grow on all
 // links, also of entries that have no use for the forecast.
 func TestRoomAheadIsToldOnlyWhereAskedFor(t *testing.T) {
-	b := newBench(t)
-	b.lookAnswered(b.lastLook, nil)
-	b.begins(200 * time.Millisecond)
+	b := newHarness(t)
+	b.answerPoll(b.lastPoll, nil)
+	b.startEstimated(200 * time.Millisecond)
 	b.clock.Advance(messenger.HeartbeatInterval)
-	b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Backlog: messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 1}, Min: messenger.Resources{CPU: 1}}})
+	b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Backlog: messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 1}, Min: messenger.Resources{CPU: 1}}})
 	b.x.Tick()
-	b.drain()
-	require.NotEmpty(t, b.tells)
-	for _, r := range b.tells {
+	b.collect()
+	require.NotEmpty(t, b.reports)
+	for _, r := range b.reports {
 		require.Empty(t, r.Forecast)
 	}
-	require.NotEmpty(t, b.waits())
+	require.NotEmpty(t, b.requestForecast())
 }
 
 // TestNoRoomAheadWhereNothingStarts guards against tasks that wait for a worker
@@ -93,28 +93,28 @@
 func TestNoRoomAheadWhereNothingStarts(t *testing.T) {
 	tests := []struct {
 		name string
-		stop func(b *bench)
+		stop func(b *harness)
 	}{
-		{"agent stops", func(b *bench) { b.x.SetLeaving() }},
-		{"worker has left", func(b *bench) { b.x.ClearUpstream("w") }},
-		{"worker is about to leave", func(b *bench) {
+		{"agent stops", func(b *harness) { b.x.BeginShutdown() }},
+		{"worker has left", func(b *harness) { b.x.HandleWorkerDeparture("w") }},
+		{"worker is about to leave", func(b *harness) {
 			up := upstream(1)
 			up.Draining = true
 			up.Remaining = time.Second
 			b.x.SetUpstream(up)
 		}},
-		{"data centre evacuated", func(b *bench) {
-			b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Revision: 1, Evacuated: []string{"dc"}})
+		{"data centre evacuated", func(b *harness) {
+			b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Revision: 1, Evacuated: []string{"dc"}})
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			b.lookAnswered(b.lastLook, nil)
-			b.begins(300 * time.Millisecond)
+			b := newHarness(t)
+			b.answerPoll(b.lastPoll, nil)
+			b.startEstimated(300 * time.Millisecond)
 			tt.stop(b)
-			b.drain()
-			require.Empty(t, b.waits())
+			b.collect()
+			require.Empty(t, b.requestForecast())
 		})
 	}
 }
--- a/executor/outcome.go
+++ b/executor/outcome.go
@@ -14,62 +14,62 @@
 	refused messenger.Refusal
 }
 
-// outcomes are what an entry has to hear of its runs. They are kept until the
+// outcomeQueue are what an entry has to hear of its runs. They are kept until the
 // entry says that it has taken them in, since a link that breaks loses what is
 // on its way.
-type outcomes struct {
+type outcomeQueue struct {
 	// list holds what has not been acknowledged, by rising numbers.
 	list []outcome
-	// last is the number of the last outcome; told that of the last one sent on
+	// lastNumber is the number of the last outcome; told that of the last one sent on
 	// the present link.
-	last, told uint64
+	lastNumber, sentNumber uint64
 }
 
-// note adds an outcome.
-func (o *outcomes) note(c outcome) {
-	o.last++
-	c.number = o.last
+// add adds an outcome.
+func (o *outcomeQueue) add(c outcome) {
+	o.lastNumber++
+	c.number = o.lastNumber
 	o.list = append(o.list, c)
 }
 
-// holds reports whether the outcome of a run has not been acknowledged yet.
-func (o *outcomes) holds(r messenger.Run) bool {
+// contains reports whether the outcome of a run has not been acknowledged yet.
+func (o *outcomeQueue) contains(r messenger.Run) bool {
 	return slices.ContainsFunc(o.list, func(c outcome) bool { return c.end.Run == r || c.refused.Run == r })
 }
 
-// waiting reports whether there is something to tell.
-func (o *outcomes) waiting() bool { return len(o.list) > 0 && o.told < o.last }
+// hasUnsent reports whether there is something to tell.
+func (o *outcomeQueue) hasUnsent() bool { return len(o.list) > 0 && o.sentNumber < o.lastNumber }
 
-// heard drops what the entry has taken in on the present link.
-func (o *outcomes) heard(number uint64) {
-	if number > o.told {
+// acknowledge drops what the entry has taken in on the present link.
+func (o *outcomeQueue) acknowledge(number uint64) {
+	if number > o.sentNumber {
 		return
 	}
 	o.list = slices.DeleteFunc(o.list, func(c outcome) bool { return c.number <= number })
 }
 
-// tell returns what has not been told on the present link, and the number of
+// takeUnsent returns what has not been told on the present link, and the number of
 // the last outcome.
-func (o *outcomes) tell() ([]messenger.RunEnd, []messenger.Refusal, uint64) {
+func (o *outcomeQueue) takeUnsent() ([]messenger.RunEnd, []messenger.Refusal, uint64) {
 	var ends []messenger.RunEnd
 	var refusals []messenger.Refusal
 	for _, c := range o.list {
 		switch {
-		case c.number <= o.told:
+		case c.number <= o.sentNumber:
 		case c.end.Reason != "":
 			ends = append(ends, c.end)
 		default:
 			refusals = append(refusals, c.refused)
 		}
 	}
-	o.told = o.last
-	return ends, refusals, o.last
+	o.sentNumber = o.lastNumber
+	return ends, refusals, o.lastNumber
 }
 
-// keep has an entry, if it is known, hear of an outcome.
-func (x *Executor) keep(name string, c outcome) {
+// queueOutcome has an entry, if it is known, hear of an outcome.
+func (x *Executor) queueOutcome(name string, c outcome) {
 	if e := x.entries[name]; e != nil {
-		e.outcomes.note(c)
+		e.outcomes.add(c)
 	}
 }
 
@@ -79,9 +79,9 @@
 	at time.Time
 }
 
-// unclaimedEnds returns the ends of runs that no entry had claimed, in a fixed
+// sortedUnclaimedEnds returns the ends of runs that no entry had claimed, in a fixed
 // order.
-func (x *Executor) unclaimedEnds() []messenger.RunEnd {
+func (x *Executor) sortedUnclaimedEnds() []messenger.RunEnd {
 	var out []messenger.RunEnd
 	for _, e := range x.unclaimed {
 		out = append(out, e.RunEnd)
@@ -90,10 +90,10 @@
 	return out
 }
 
-// forgetEnds drops the ends that no entry has asked for in time.
-func (x *Executor) forgetEnds(now time.Time) {
+// expireUnclaimedEnds drops the ends that no entry has asked for in time.
+func (x *Executor) expireUnclaimedEnds(now time.Time) {
 	for r, e := range x.unclaimed {
-		if now.Sub(e.at) > entryMemory {
+		if now.Sub(e.at) > endRetention {
 			delete(x.unclaimed, r)
 		}
 	}
--- a/executor/speed.go
+++ b/executor/speed.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// speedSpan is the number of jobs over which a sample loses all but 1/e of
-	// its weight, and speedLife is the time in which it does.
-	speedSpan = 16
-	speedLife = 5 * time.Second
-	// speedSamples bounds the samples that are kept. Older ones weigh less than a
+	// speedDecayJobs is the number of jobs over which a sample loses all but 1/e of
+	// its weight, and speedDecayTime is the time in which it does.
+	speedDecayJobs = 16
+	speedDecayTime = 5 * time.Second
+	// maxSpeedSamples bounds the samples that are kept. Older ones weigh less than a
 	// seventh of the newest.
-	speedSamples = 2 * speedSpan
-	// speedNews is the number of newest samples whose median shows a change, and
-	// speedChange the factor by which it is then off the older samples. Estimates
+	maxSpeedSamples = 2 * speedDecayJobs
+	// speedChangeSamples is the number of newest samples whose median shows a change, and
+	// speedChangeFactor the factor by which it is then off the older samples. Estimates
 	// that are off by 40% move a median of five by less than that nearly always.
-	speedNews   = 5
-	speedChange = 1.6
+	speedChangeSamples = 5
+	speedChangeFactor  = 1.6
 	// speedStepRatio is the share by which a speed must have changed to be told between
 	// heartbeats.
-	speedStep = 0.1
+	minSpeedReportChange = 0.1
 )
 
 // speedSample is the natural logarithm of the speed of one job's fastest run: a
@@ -32,27 +32,27 @@
 	at  time.Time
 }
 
-// speeds keeps the speeds of the last jobs, the oldest first. There is one sample
+// speedSamples keeps the speeds of the last jobs, the oldest first. There is one sample
 // for each job, since the estimates of a job's tasks are wrong together.
-type speeds struct {
+type speedSamples struct {
 	list []speedSample
 }
 
-// speed is an estimate of the worker's speed.
-type speed struct {
+// speedEstimate is an estimate of the worker's speed.
+type speedEstimate struct {
 	// value is estimated over taken time; 1 when nothing is known.
 	value float64
 	// jobs is the weight behind it in jobs.
 	jobs int
 }
 
-// changed reports whether s differs from o by enough to be told at once.
-func (s speed) changed(o speed) bool {
-	return math.Abs(s.value-o.value) >= speedStep*o.value
+// differsFrom reports whether s differs from o by enough to be told at once.
+func (s speedEstimate) differsFrom(o speedEstimate) bool {
+	return math.Abs(s.value-o.value) >= minSpeedReportChange*o.value
 }
 
-// note takes in a run that was estimated to take one time and took another.
-func (v *speeds) note(job string, estimate, took time.Duration, now time.Time) {
+// add takes in a run that was estimated to take one time and took another.
+func (v *speedSamples) add(job string, estimate, took time.Duration, now time.Time) {
 	s := speedSample{job: job, log: math.Log(float64(estimate) / float64(took)), at: now}
 	if i := slices.IndexFunc(v.list, func(o speedSample) bool { return o.job == job }); i >= 0 {
 		v.list[i].log = max(v.list[i].log, s.log)
@@ -60,36 +60,36 @@
 	}
 	v.list = append(v.list, s)
 	if v.hasChanged(now) {
-		v.list = v.list[len(v.list)-speedNews:]
+		v.list = v.list[len(v.list)-speedChangeSamples:]
 	}
-	if len(v.list) > speedSamples {
+	if len(v.list) > maxSpeedSamples {
 		v.list = v.list[1:]
 	}
 }
 
 // hasChanged reports whether the newest samples are off the older ones.
-func (v *speeds) hasChanged(now time.Time) bool {
-	older := len(v.list) - speedNews
+func (v *speedSamples) hasChanged(now time.Time) bool {
+	older := len(v.list) - speedChangeSamples
 	if older <= 0 {
 		return false
 	}
-	logs := make([]float64, speedNews)
+	logs := make([]float64, speedChangeSamples)
 	for i, s := range v.list[older:] {
 		logs[i] = s.log
 	}
 	slices.Sort(logs)
 	mean, _ := meanLog(v.list[:older], now)
-	return math.Abs(logs[speedNews/2]-mean) > math.Log(speedChange)
+	return math.Abs(logs[speedChangeSamples/2]-mean) > math.Log(speedChangeFactor)
 }
 
 // estimate returns the present estimate.
-func (v *speeds) estimate(now time.Time) speed {
+func (v *speedSamples) estimate(now time.Time) speedEstimate {
 	mean, weight := meanLog(v.list, now)
 	jobs := int(weight)
 	if jobs == 0 {
-		return speed{value: 1}
+		return speedEstimate{value: 1}
 	}
-	return speed{value: math.Exp(mean), jobs: jobs}
+	return speedEstimate{value: math.Exp(mean), jobs: jobs}
 }
 
 // meanLog returns the weighted mean of samples, and their weight in jobs.
@@ -97,7 +97,7 @@
 	var sum float64
 	for i, s := range list {
 		newer := float64(len(list) - 1 - i)
-		w := math.Exp(-newer/speedSpan - now.Sub(s.at).Seconds()/speedLife.Seconds())
+		w := math.Exp(-newer/speedDecayJobs - now.Sub(s.at).Seconds()/speedDecayTime.Seconds())
 		sum += w * s.log
 		weight += w
 	}
@@ -107,13 +107,13 @@
 	return sum / weight, weight
 }
 
-// tellSpeed returns the speed for a report to an entry, zero for one that need
+// speedToReport returns the speed for a report to an entry, zero for one that need
 // not carry it: it goes with heartbeats, and with others when it has changed.
-func (x *Executor) tellSpeed(e *entry, now time.Time, beat bool) speed {
-	s := x.speeds.estimate(now)
-	if s == e.toldSpeed || (!beat && !s.changed(e.toldSpeed)) {
-		return speed{}
+func (x *Executor) speedToReport(e *entry, now time.Time, beat bool) speedEstimate {
+	s := x.speedSamples.estimate(now)
+	if s == e.reportedSpeed || (!beat && !s.differsFrom(e.reportedSpeed)) {
+		return speedEstimate{}
 	}
-	e.toldSpeed = s
+	e.reportedSpeed = s
 	return s
 }
--- a/executor/speed_test.go
+++ b/executor/speed_test.go
@@ -12,9 +12,9 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// speedBench plays runs one after the other and keeps what is told of the speed.
-type speedBench struct {
-	*bench
+// speedHarness plays runs one after the other and keeps what is told of the speed.
+type speedHarness struct {
+	*harness
 	rng  *rand.Rand
 	born int64
 	jobs int
@@ -25,65 +25,65 @@
 	weight int
 }
 
-func newSpeedBench(t *testing.T, seed uint64) *speedBench {
-	b := &speedBench{bench: newBench(t), rng: rand.New(rand.NewPCG(seed, 1)), born: 1}
-	b.answer()
+func newSpeedHarness(t *testing.T, seed uint64) *speedHarness {
+	b := &speedHarness{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), born: 1}
+	b.answerLastPoll()
 	return b
 }
 
-// hear keeps the speed in the last reports.
-func (b *speedBench) hear() {
-	for _, r := range b.tells {
+// recordSpeed keeps the speed in the last reports.
+func (b *speedHarness) recordSpeed() {
+	for _, r := range b.reports {
 		if r.Speed > 0 {
 			b.speed, b.weight = r.Speed, r.SpeedJobs
 		}
 	}
 }
 
-// answer answers the last look.
-func (b *speedBench) answer(ended ...executor.Ended) {
-	b.x.Looked(executor.Seen{Number: b.lastLook, Born: b.born, Ended: ended})
-	b.drain()
-	b.hear()
+// answerLastPoll answers the last look.
+func (b *speedHarness) answerLastPoll(ended ...executor.EndRecord) {
+	b.x.HandlePollResult(executor.PollResult{Number: b.lastPoll, Born: b.born, Ended: ended})
+	b.collect()
+	b.recordSpeed()
 }
 
-// wait lets time pass in which the worker answers looks and the entry is there.
-func (b *speedBench) wait(span time.Duration, running ...messenger.Progress) {
+// passAnswered lets time pass in which the worker answers looks and the entry is there.
+func (b *speedHarness) passAnswered(span time.Duration, running ...messenger.Progress) {
 	const step = 10 * time.Millisecond
 	for passed := time.Duration(0); passed < span; passed += step {
 		b.clock.Advance(min(step, span-passed))
-		b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
+		b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
 		b.x.Tick()
-		b.drain()
-		b.hear()
-		b.x.Looked(executor.Seen{Number: b.lastLook, Born: b.born, Running: running})
-		b.drain()
-		b.hear()
+		b.collect()
+		b.recordSpeed()
+		b.x.HandlePollResult(executor.PollResult{Number: b.lastPoll, Born: b.born, Running: running})
+		b.collect()
+		b.recordSpeed()
 	}
 }
 
 // job runs a task of a new job that takes 60 ms on a worker of a speed, and whose
 // estimate is off by up to 40%.
-func (b *speedBench) job(speed float64) {
+func (b *speedHarness) job(speed float64) {
 	b.jobs++
 	b.run(fmt.Sprintf("j%d", b.jobs), speed, 0.6+0.8*b.rng.Float64())
 }
 
 // run runs a task of a job whose estimate is off by a factor.
-func (b *speedBench) run(job string, speed, estimate float64) {
+func (b *speedHarness) run(job string, speed, estimate float64) {
 	const work = 60 * time.Millisecond
 	b.placed++
 	r := messenger.Run{Task: fmt.Sprintf("%s.0.0.%d", job, b.placed), Number: 1}
-	b.x.Place("e", messenger.Place{
+	b.x.HandlePlace("e", messenger.Place{
 		Number: b.placed, Job: job, Service: "quotes", MaxWait: time.Second, Echo: b.stamp,
 		Tasks: []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: 1000}, Estimate: time.Duration(estimate * float64(work))}},
 	})
-	b.drain()
-	b.x.Started(r, b.starts[0].Token, executor.Accepted)
-	b.drain()
-	b.wait(time.Duration(float64(work)/speed), messenger.Progress{Run: r})
+	b.collect()
+	b.x.HandleStartResult(r, b.starts[0].Token, executor.Accepted)
+	b.collect()
+	b.passAnswered(time.Duration(float64(work)/speed), messenger.Progress{Run: r})
 	b.ends++
-	b.answer(executor.Ended{Number: b.ends, RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}})
+	b.answerLastPoll(executor.EndRecord{Number: b.ends, RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}})
 }
 
 // TestSpeedIsKnownDespiteTheErrorOfEstimates guards against a speed that follows the
@@ -91,11 +91,11 @@
 func TestSpeedIsKnownDespiteTheErrorOfEstimates(t *testing.T) {
 	for _, speed := range []float64{0.55, 0.83, 1, 1.8} {
 		for seed := range uint64(10) {
-			b := newSpeedBench(t, seed)
+			b := newSpeedHarness(t, seed)
 			for range 30 {
 				b.job(speed)
 			}
-			b.wait(messenger.HeartbeatInterval)
+			b.passAnswered(messenger.HeartbeatInterval)
 			require.InEpsilon(t, speed, b.speed, 0.2, "seed %d", seed)
 			require.GreaterOrEqual(t, b.weight, 8)
 		}
@@ -105,13 +105,13 @@
 // TestStragglerDoesNotMakeItsWorkerSlow guards against a task that takes seven times
 // as long as its sibling and counts for the worker.
 func TestStragglerDoesNotMakeItsWorkerSlow(t *testing.T) {
-	b := newSpeedBench(t, 1)
+	b := newSpeedHarness(t, 1)
 	for i := range 12 {
 		job := fmt.Sprintf("j%d", i)
 		b.run(job, 1, 1)
 		b.run(job, 1.0/7, 1)
 	}
-	b.wait(messenger.HeartbeatInterval)
+	b.passAnswered(messenger.HeartbeatInterval)
 	require.InEpsilon(t, 1, b.speed, 0.1)
 	require.LessOrEqual(t, b.weight, 12, "tasks of one job are one sample")
 }
@@ -121,7 +121,7 @@
 func TestChangeOfSpeedIsBelievedWithinAFewEnds(t *testing.T) {
 	for _, change := range []struct{ from, to float64 }{{1, 0.4}, {0.83, 1.8}} {
 		for seed := range uint64(10) {
-			b := newSpeedBench(t, seed)
+			b := newSpeedHarness(t, seed)
 			for range 20 {
 				b.job(change.from)
 			}
@@ -137,7 +137,7 @@
 // TestSpeedOfAnEarlierIncarnationIsForgotten guards against a worker that comes back
 // on another machine and is judged by the last one.
 func TestSpeedOfAnEarlierIncarnationIsForgotten(t *testing.T) {
-	b := newSpeedBench(t, 1)
+	b := newSpeedHarness(t, 1)
 	for range 12 {
 		b.job(0.5)
 	}
@@ -145,19 +145,19 @@
 	b.born = 2
 	b.ends = 0
 	b.x.SetUpstream(upstream(2))
-	b.drain()
-	b.wait(2 * messenger.HeartbeatInterval)
+	b.collect()
+	b.passAnswered(2 * messenger.HeartbeatInterval)
 	require.InDelta(t, 1, b.speed, 0)
 	require.Zero(t, b.weight)
 }
 
-// TestSpeedFades guards against a worker that is avoided for a speed of long ago.
-func TestSpeedFades(t *testing.T) {
-	b := newSpeedBench(t, 1)
+// TestSpeedDecaysToUnknown guards against a worker that is avoided for a speed of long ago.
+func TestSpeedDecaysToUnknown(t *testing.T) {
+	b := newSpeedHarness(t, 1)
 	for range 12 {
 		b.job(0.5)
 	}
-	b.wait(30 * time.Second)
+	b.passAnswered(30 * time.Second)
 	require.Zero(t, b.weight)
 	require.InDelta(t, 1, b.speed, 0)
 }
@@ -165,33 +165,33 @@
 // TestRunSeenLateTellsNothingOfTheSpeed guards against a speed that is worse than
 // the worker's since its answers were lost.
 func TestRunSeenLateTellsNothingOfTheSpeed(t *testing.T) {
-	b := newSpeedBench(t, 1)
+	b := newSpeedHarness(t, 1)
 	b.place(run1, 1000)
-	b.x.Started(run1, b.starts[0].Token, executor.Accepted)
-	b.drain()
+	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Accepted)
+	b.collect()
 	b.clock.Advance(300 * time.Millisecond)
-	b.answer(executor.Ended{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
-	b.wait(2 * messenger.HeartbeatInterval)
+	b.answerLastPoll(executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+	b.passAnswered(2 * messenger.HeartbeatInterval)
 	require.Zero(t, b.speed)
 }
 
 // TestSpeedIsToldWithHeartbeatsOrWhenItHasChanged guards against reports that grow
 // by a speed which says nothing new.
 func TestSpeedIsToldWithHeartbeatsOrWhenItHasChanged(t *testing.T) {
-	b := newSpeedBench(t, 1)
+	b := newSpeedHarness(t, 1)
 	told, all := 0, 0
 	began := b.clock.Now()
 	for i := range 100 {
 		b.place(messenger.Run{Task: fmt.Sprintf("j%d.0.0.0", i), Number: 1}, 100)
 		r := b.starts[0].Run
-		b.x.Started(r, b.starts[0].Token, executor.Accepted)
-		b.drain()
+		b.x.HandleStartResult(r, b.starts[0].Token, executor.Accepted)
+		b.collect()
 		b.clock.Advance(10 * time.Millisecond)
-		b.x.Beat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
-		b.drain()
-		b.x.Looked(executor.Seen{Number: b.lastLook, Born: 1, Ended: []executor.Ended{{Number: int64(i + 1), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}}}})
-		b.drain()
-		for _, tell := range b.tells {
+		b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
+		b.collect()
+		b.x.HandlePollResult(executor.PollResult{Number: b.lastPoll, Born: 1, Ended: []executor.EndRecord{{Number: int64(i + 1), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}}}})
+		b.collect()
+		for _, tell := range b.reports {
 			all++
 			if tell.Speed > 0 {
 				told++
--- a/executor/turn_test.go
+++ b/executor/turn_test.go
@@ -11,75 +11,75 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// crowd is an executor with several entries, whose room is full until leave.
-type crowd struct {
-	*bench
+// turnHarness is an executor with several entries, whose room is full until leave.
+type turnHarness struct {
+	*harness
 	names []string
-	// told is the room that each entry was last told of, in thousandths of a
+	// reportedFree is the room that each entry was last told of, in thousandths of a
 	// core.
-	told map[string]int
-	// ahead is the forecast in the last report to each entry.
-	ahead map[string][]messenger.Resources
-	runs  int
+	reportedFree map[string]int
+	// forecasts is the forecast in the last report to each entry.
+	forecasts map[string][]messenger.Resources
+	runs      int
 	// ended counts the runs that the worker has ended, and look is the number of
 	// its last look.
-	ended int64
-	look  uint64
+	ended          int64
+	lastPollNumber uint64
 }
 
 const (
-	taskCPU  = 1000
-	crowdCPU = 8000
+	taskCPU   = 1000
+	workerCPU = 8000
 )
 
-func newCrowd(t *testing.T, entries int) *crowd {
-	c := &crowd{bench: newBench(t), told: make(map[string]int), ahead: make(map[string][]messenger.Resources), look: 1}
-	c.x.Closed("e")
+func newTurnHarness(t *testing.T, entries int) *turnHarness {
+	c := &turnHarness{harness: newHarness(t), reportedFree: make(map[string]int), forecasts: make(map[string][]messenger.Resources), lastPollNumber: 1}
+	c.x.HandleLinkClosed("e")
 	for i := range entries {
 		name := fmt.Sprintf("entry-%d", i)
 		c.names = append(c.names, name)
-		c.x.Hello(messenger.Hello{Entry: name, Incarnation: 1})
+		c.x.HandleHello(messenger.Hello{Entry: name, Incarnation: 1})
 	}
-	c.take()
+	c.collectTurns()
 	return c
 }
 
-// take notes what the entries are told.
-func (c *crowd) take() {
-	for _, e := range c.x.Drain() {
+// collectTurns notes what the entries are told.
+func (c *turnHarness) collectTurns() {
+	for _, e := range c.x.TakeEffects() {
 		switch m := e.(type) {
-		case executor.Tell:
-			c.told[m.Entry] = m.Report.Free.CPU
-			c.ahead[m.Entry] = m.Report.Forecast
+		case executor.SendReport:
+			c.reportedFree[m.Entry] = m.Report.Free.CPU
+			c.forecasts[m.Entry] = m.Report.Forecast
 			c.stamp = m.Report.Timestamp
-		case executor.Look:
-			c.look = m.Number
+		case executor.Poll:
+			c.lastPollNumber = m.Number
 		case executor.Start:
-			c.x.Started(m.Run, m.Token, executor.Accepted)
+			c.x.HandleStartResult(m.Run, m.Token, executor.Accepted)
 		}
 	}
 }
 
 // want tells the agent what waits at an entry.
-func (c *crowd) want(name string, tasks int) {
-	c.x.Beat(name, messenger.Heartbeat{Timestamp: 1, Backlog: waits(tasks)})
-	c.take()
+func (c *turnHarness) want(name string, tasks int) {
+	c.x.HandleHeartbeat(name, messenger.Heartbeat{Timestamp: 1, Backlog: backlogOf(tasks)})
+	c.collectTurns()
 }
 
-// use places one task of an entry with some still waiting.
-func (c *crowd) use(name string, waiting int) {
+// placeTask places one task of an entry with some still waiting.
+func (c *turnHarness) placeTask(name string, waiting int) {
 	c.runs++
 	r := taskRun(c.runs)
-	c.x.Place(name, messenger.Place{
+	c.x.HandlePlace(name, messenger.Place{
 		Number: uint64(c.runs), Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: c.stamp,
 		Tasks:   []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: taskCPU}, Estimate: time.Second}},
-		Backlog: waits(waiting),
+		Backlog: backlogOf(waiting),
 	})
-	c.take()
+	c.collectTurns()
 }
 
-// waits returns what tells of tasks that wait.
-func waits(tasks int) messenger.Backlog {
+// backlogOf returns what tells of tasks that wait.
+func backlogOf(tasks int) messenger.Backlog {
 	return messenger.Backlog{Tasks: tasks, Total: messenger.Resources{CPU: tasks * taskCPU}, Min: messenger.Resources{CPU: taskCPU}}
 }
 
@@ -87,18 +87,18 @@
 	return messenger.Run{Task: fmt.Sprintf("j%d.0.0.0", i), Number: 1}
 }
 
-// pass lets time go on.
-func (c *crowd) pass(d time.Duration) {
+// advance lets time go on.
+func (c *turnHarness) advance(d time.Duration) {
 	c.clock.Advance(d)
 	c.x.Tick()
-	c.take()
+	c.collectTurns()
 }
 
-// holders lists the entries that have been told of room.
-func (c *crowd) holders() []string {
+// entriesWithCapacity lists the entries that have been told of room.
+func (c *turnHarness) entriesWithCapacity() []string {
 	var out []string
 	for _, name := range c.names {
-		if c.told[name] >= taskCPU {
+		if c.reportedFree[name] >= taskCPU {
 			out = append(out, name)
 		}
 	}
@@ -106,22 +106,22 @@
 }
 
 func TestRoomIsToldToAllWhileOnlyOneEntryHasTasksThatWait(t *testing.T) {
-	c := newCrowd(t, 3)
+	c := newTurnHarness(t, 3)
 	c.want("entry-1", 5)
-	c.pass(50 * time.Millisecond)
-	require.Equal(t, c.names, c.holders())
+	c.advance(50 * time.Millisecond)
+	require.Equal(t, c.names, c.entriesWithCapacity())
 }
 
 func TestScarceRoomIsToldToOneEntryAtATime(t *testing.T) {
-	c := newCrowd(t, 3)
+	c := newTurnHarness(t, 3)
 	c.want("entry-1", 15)
 	c.want("entry-2", 15)
-	c.pass(time.Millisecond)
-	first := c.holders()
+	c.advance(time.Millisecond)
+	first := c.entriesWithCapacity()
 	require.Len(t, first, 1)
 	require.NotContains(t, first, "entry-0", "nothing waits there")
-	c.pass(10 * time.Millisecond)
-	second := c.holders()
+	c.advance(10 * time.Millisecond)
+	second := c.entriesWithCapacity()
 	require.Len(t, second, 1)
 	require.NotEqual(t, first, second, "a turn that is not used passes on")
 }
@@ -130,38 +130,38 @@
 // answer from another data centre can arrive, so that the same room is told twice.
 func TestTurnLastsAsLongAsItsEntryTakesToAnswer(t *testing.T) {
 	const answerTime = 5 * time.Millisecond
-	c := newCrowd(t, 2)
+	c := newTurnHarness(t, 2)
 	met := 0
 	for range 12 {
 		c.want("entry-0", 15)
 		c.want("entry-1", 15)
-		c.pass(time.Millisecond)
-		first := c.holders()
+		c.advance(time.Millisecond)
+		first := c.entriesWithCapacity()
 		require.Len(t, first, 1)
 		stamp := c.stamp
-		c.pass(answerTime)
-		if now := c.holders(); len(now) == 1 && now[0] == first[0] {
+		c.advance(answerTime)
+		if now := c.entriesWithCapacity(); len(now) == 1 && now[0] == first[0] {
 			met++
 		}
 		c.stamp = stamp
-		c.use(first[0], 15)
+		c.placeTask(first[0], 15)
 		c.freeOldest()
-		c.pass(20 * time.Millisecond)
+		c.advance(20 * time.Millisecond)
 	}
 	require.GreaterOrEqual(t, met, 9, "turns in which the answer came in time")
 }
 
 func TestRoomIsSharedInProportionToWhatWaits(t *testing.T) {
-	c := newCrowd(t, 3)
+	c := newTurnHarness(t, 3)
 	used := make(map[string]int)
 	for range 400 {
 		for i, name := range c.names {
 			c.want(name, 10*(1+i))
 		}
-		c.pass(2 * time.Millisecond)
+		c.advance(2 * time.Millisecond)
 		for i, name := range c.names {
-			if c.told[name] >= taskCPU {
-				c.use(name, 10*(1+i))
+			if c.reportedFree[name] >= taskCPU {
+				c.placeTask(name, 10*(1+i))
 				used[name]++
 				break
 			}
@@ -176,40 +176,40 @@
 }
 
 // freeOldest ends the oldest run once the room is full.
-func (c *crowd) freeOldest() {
-	if c.runs-int(c.ended) < crowdCPU/taskCPU {
+func (c *turnHarness) freeOldest() {
+	if c.runs-int(c.ended) < workerCPU/taskCPU {
 		return
 	}
 	c.ended++
-	seen := executor.Seen{Number: c.look, Born: 1, Ended: []executor.Ended{
+	seen := executor.PollResult{Number: c.lastPollNumber, Born: 1, Ended: []executor.EndRecord{
 		{Number: c.ended, RunEnd: messenger.RunEnd{Run: taskRun(int(c.ended)), Reason: messenger.RunDone}},
 	}}
 	for i := int(c.ended) + 1; i <= c.runs; i++ {
 		seen.Running = append(seen.Running, messenger.Progress{Run: taskRun(i)})
 	}
-	c.x.Looked(seen)
-	c.take()
+	c.x.HandlePollResult(seen)
+	c.collectTurns()
 }
 
 // TestUnusedTurnKeepsTheRequestForTheForecast guards against tasks held for a near
 // worker that go far since their entry has left a turn unused.
 func TestUnusedTurnKeepsTheRequestForTheForecast(t *testing.T) {
-	c := newCrowd(t, 2)
-	c.x.Place("entry-0", messenger.Place{
+	c := newTurnHarness(t, 2)
+	c.x.HandlePlace("entry-0", messenger.Place{
 		Number: 1, Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: c.stamp,
 		Tasks: []messenger.Task{{Run: taskRun(1), Demand: messenger.Resources{CPU: taskCPU}, Estimate: 200 * time.Millisecond}},
 	})
-	c.take()
-	want := waits(15)
+	c.collectTurns()
+	want := backlogOf(15)
 	want.WantsForecast = true
 	for _, name := range c.names {
-		c.x.Beat(name, messenger.Heartbeat{Timestamp: 1, Backlog: want})
+		c.x.HandleHeartbeat(name, messenger.Heartbeat{Timestamp: 1, Backlog: want})
 	}
-	c.take()
+	c.collectTurns()
 	for at := time.Duration(0); at <= messenger.HeartbeatInterval; at += 5 * time.Millisecond {
-		c.pass(5 * time.Millisecond)
+		c.advance(5 * time.Millisecond)
 	}
 	for _, name := range c.names {
-		require.NotEmpty(t, c.ahead[name], name)
+		require.NotEmpty(t, c.forecasts[name], name)
 	}
 }
--- a/executor/upstream.go
+++ b/executor/upstream.go
@@ -16,13 +16,13 @@
 	switch {
 	case u.ID != x.upstream.ID:
 		x.detachAll("another worker announced itself")
-		if x.look.answered || x.prior.Born == 0 {
-			x.prior = x.upstream
+		if x.poll.answered || x.previousUpstream.Born == 0 {
+			x.previousUpstream = x.upstream
 		}
-		x.forgetWorker()
+		x.resetWorkerState()
 	case u.Born != x.upstream.Born:
-		x.forgetWorker()
-		x.doubtAll("worker restarted")
+		x.resetWorkerState()
+		x.markAllUnconfirmed("worker restarted")
 	}
 	if u.Draining && x.drainingSince.IsZero() {
 		x.drainingSince = x.clock.Now()
@@ -31,59 +31,59 @@
 	switch {
 	case u.Draining:
 		x.endReservation("worker leaves")
-	case x.reservation.held() && !x.reservation.demand.FitsIn(u.Capacity):
+	case x.reservation.active() && !x.reservation.demand.FitsIn(u.Capacity):
 		x.endReservation("larger than the worker")
 	}
-	x.look.notBefore = time.Time{}
-	x.upstreamChanged()
-	x.nextLook()
+	x.poll.notBefore = time.Time{}
+	x.markUpstreamChanged()
+	x.sendDuePoll()
 }
 
-// ClearUpstream notes that the worker has said that it leaves. That does not
+// HandleWorkerDeparture notes that the worker has said that it leaves. That does not
 // tell when its runs end, nor that the word is of its present life.
-func (x *Executor) ClearUpstream(id string) {
+func (x *Executor) HandleWorkerDeparture(id string) {
 	if id != x.upstream.ID || x.upstream.Born == 0 {
 		return
 	}
 	x.departed = true
 	x.endReservation("worker left")
 	x.refuseWaiting(messenger.RefusedNoWorker)
-	x.upstreamChanged()
-	x.nextLook()
+	x.markUpstreamChanged()
+	x.sendDuePoll()
 }
 
-// withoutWorker refuses what waits until another worker is known.
-func (x *Executor) withoutWorker() {
+// dropUpstream refuses what waits until another worker is known.
+func (x *Executor) dropUpstream() {
 	x.refuseWaiting(messenger.RefusedNoWorker)
 	x.upstream = messenger.Upstream{ID: x.upstream.ID}
 	x.departed = false
-	x.forgetWorker()
-	x.upstreamChanged()
+	x.resetWorkerState()
+	x.markUpstreamChanged()
 }
 
-// misplaced notes that the worker that was meant is not at its address: what
+// handleMisdirected notes that the worker that was meant is not at its address: what
 // ran there has ended. If it had only announced itself, the last one is looked
 // at again.
-func (x *Executor) misplaced() {
-	x.lapseAt(x.upstream.ID)
-	if x.prior.Born == 0 {
-		x.withoutWorker()
+func (x *Executor) handleMisdirected() {
+	x.lapseRunsOf(x.upstream.ID)
+	if x.previousUpstream.Born == 0 {
+		x.dropUpstream()
 		return
 	}
-	x.upstream = x.prior
-	x.prior = messenger.Upstream{}
-	x.forgetWorker()
-	x.upstreamChanged()
-	x.nextLook()
+	x.upstream = x.previousUpstream
+	x.previousUpstream = messenger.Upstream{}
+	x.resetWorkerState()
+	x.markUpstreamChanged()
+	x.sendDuePoll()
 }
 
-// forgetWorker drops what was learned about one incarnation of the worker.
-func (x *Executor) forgetWorker() {
+// resetWorkerState drops what was learned about one incarnation of the worker.
+func (x *Executor) resetWorkerState() {
 	x.endReservation("worker changed")
-	x.look.reset()
-	x.paces = paces{}
-	x.failures = failures{}
-	x.speeds = speeds{}
+	x.poll.reset()
+	x.paceSamples = paceSamples{}
+	x.failures = failureStreak{}
+	x.speedSamples = speedSamples{}
 	x.callTimes = callTimes{}
 	x.drainingSince = time.Time{}
 }
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -23,7 +23,7 @@
 const (
 	// HistoryPrefix begins the keys of all bundles ever published.
 	HistoryPrefix = "pomeloferry/history/"
-	// retryPause is the pause before a call to the store is made again.
+	// minPollRetryDelay is the pause before a call to the store is made again.
 	retryPause = 200 * time.Millisecond
 	// liveSpan is how recently a live entry has registered.
 	liveSpan = 6 * time.Second
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// SetLeaving takes this entry out of the view for good.
+// BeginShutdown takes this entry out of the view for good.
 func (g *Registrar) SetLeaving() { g.leaving = true }
 
 // Leaving reports whether this entry is leaving.
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -27,7 +27,7 @@
 	const (
 		tick  = 10 * time.Millisecond
 		steps = 150
-		// inTouch is less than the greatest age of a report on which tasks are placed.
+		// openLinks is less than the greatest age of a report on which tasks are placed.
 		inTouch = 200 * time.Millisecond
 	)
 	rapid.Check(t, func(rt *rapid.T) {
--- a/scheduler/duplicate_test.go
+++ b/scheduler/duplicate_test.go
@@ -27,7 +27,7 @@
 }{
 	{"a worker is said to have left", func(w *simulation) {
 		a := w.anyAgent()
-		a.do(func() { a.core.ClearUpstream(a.worker.up.ID) })
+		a.do(func() { a.core.HandleWorkerDeparture(a.worker.up.ID) })
 		a.announceWorker()
 	}},
 	{"a worker that is not there announces itself", func(w *simulation) {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -129,12 +129,12 @@
 	// runNumber is the number of the last run.
 	runNumber int
 	agent     *agent
-	// placedAt is when the last run was sent; link and place are the numbers of
+	// lastPlaceAt is when the last run was sent; link and place are the numbers of
 	// the agent's link and of the Place on it.
 	placedAt    time.Time
 	linkNumber  int
 	placeNumber uint64
-	// placedSpeed is the relative speed of the worker as it was known at placedAt; 1 for
+	// placedSpeed is the relative speed of the worker as it was known at lastPlaceAt; 1 for
 	// a probe.
 	placedSpeed float64
 	// failures counts the runs that ended as failed.
--- a/scheduler/locality_test.go
+++ b/scheduler/locality_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// placedAt counts the tasks that the last effects place at an agent.
+// lastPlaceAt counts the tasks that the last effects place at an agent.
 func (b *rackBench) placedAt(name string) int {
 	n := 0
 	for _, p := range b.places[name] {
--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -168,17 +168,17 @@
 			}
 			switch m := msg.(type) {
 			case messenger.Hello:
-				core.Hello(m)
+				core.HandleHello(m)
 			case messenger.Heartbeat:
-				core.Beat(l.entry.name, m)
+				core.HandleHeartbeat(l.entry.name, m)
 			case messenger.Place:
 				l.agent.w.placedRuns += len(m.Tasks)
-				core.Place(l.entry.name, m)
+				core.HandlePlace(l.entry.name, m)
 			case messenger.Withdraw:
-				core.Withdraw(l.entry.name, m)
+				core.HandleWithdraw(l.entry.name, m)
 			case messenger.Reserve:
 				if !l.agent.w.ignoreReserve {
-					core.Reserve(l.entry.name, m)
+					core.HandleReserve(l.entry.name, m)
 				}
 			}
 		})
@@ -214,7 +214,7 @@
 	if l.cut {
 		return
 	}
-	l.agent.do(func() { l.agent.core.Closed(l.entry.name) })
+	l.agent.do(func() { l.agent.core.HandleLinkClosed(l.entry.name) })
 }
 
 // boot starts an agent.
@@ -224,7 +224,7 @@
 	a.incarnation = now.UnixMilli()
 	a.core = executor.NewExecutor(a.w.clock, executor.Identity{
 		Agent: a.name, DataCentre: a.dataCentre, Incarnation: a.incarnation, Token: uint64(now.UnixMilli()) * 1000,
-	}, executor.Config{DrainWithin: 2 * time.Second})
+	}, executor.Config{DrainTimeout: 2 * time.Second})
 	core := a.core
 	a.core.SetUpstream(a.worker.up)
 	var tick func()
@@ -274,7 +274,7 @@
 }
 
 func (a *simAgent) applyEffects() {
-	for _, effect := range a.core.Drain() {
+	for _, effect := range a.core.TakeEffects() {
 		switch e := effect.(type) {
 		case executor.Start:
 			a.start(e)
@@ -284,18 +284,18 @@
 				delay += 2 * time.Second
 			}
 			a.w.schedule(delay, func() { a.worker.stop(e) })
-		case executor.Look:
+		case executor.Poll:
 			a.look(e)
-		case executor.Wake:
+		case executor.TickAfter:
 			core := a.core
-			a.w.schedule(e.After, func() {
+			a.w.schedule(e.Delay, func() {
 				a.do(func() {
 					if a.core == core {
 						core.Tick()
 					}
 				})
 			})
-		case executor.Tell:
+		case executor.SendReport:
 			if l := a.links[e.Entry]; l != nil && l.open {
 				l.toEntry(e.Report)
 			}
@@ -307,18 +307,18 @@
 // without an answer.
 func (a *simAgent) start(s executor.Start) {
 	core := a.core
-	deadline := s.Until
-	done := func(out executor.Outcome) {
+	deadline := s.LeaseUntil
+	done := func(out executor.CallResult) {
 		a.do(func() {
 			if a.core == core {
-				core.Started(s.Run, s.Token, out)
+				core.HandleStartResult(s.Run, s.Token, out)
 			}
 		})
 	}
 	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
 		late := time.Duration(a.w.rng.Int64N(int64(3 * time.Second)))
 		a.w.schedule(late, func() { a.worker.start(s, deadline) })
-		a.w.schedule(s.Within, func() { done(executor.Unanswered) })
+		a.w.schedule(s.Timeout, func() { done(executor.Unanswered) })
 		return
 	}
 	if lost := a.worker.unansweredShare; lost > 0 && a.w.rng.Float64() < lost {
@@ -327,7 +327,7 @@
 			delay += time.Duration(a.w.rng.Int64N(int64(2 * callTimeout)))
 		}
 		a.w.schedule(delay, func() { a.worker.start(s, deadline) })
-		a.w.schedule(s.Within, func() { done(executor.Unanswered) })
+		a.w.schedule(s.Timeout, func() { done(executor.Unanswered) })
 		return
 	}
 	a.w.schedule(localDelay, func() {
@@ -337,18 +337,18 @@
 }
 
 // look calls the worker, which answers when a run ends or the wait is over.
-func (a *simAgent) look(l executor.Look) {
+func (a *simAgent) look(l executor.Poll) {
 	core := a.core
-	deadline := l.Until
-	fail := func(out executor.Outcome) {
+	deadline := l.LeaseUntil
+	fail := func(out executor.CallResult) {
 		a.do(func() {
 			if a.core == core {
-				core.LookFailed(l.Number, out)
+				core.HandlePollFailure(l.Number, out)
 			}
 		})
 	}
 	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
-		a.w.schedule(l.Wait+callTimeout, func() { fail(executor.Unanswered) })
+		a.w.schedule(l.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
 	if a.w.clock.Now().Before(a.worker.lostAnswersUntil) {
@@ -357,14 +357,14 @@
 				a.worker.look(l, deadline)
 			}
 		})
-		a.w.schedule(l.Wait+callTimeout, func() { fail(executor.Unanswered) })
+		a.w.schedule(l.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
-	end := a.w.clock.Now().Add(l.Wait)
+	end := a.w.clock.Now().Add(l.MaxWait)
 	var poll func()
 	poll = func() {
 		if l.Upstream.Born != a.worker.up.Born || l.Upstream.ID != a.worker.up.ID {
-			fail(executor.OtherWorker)
+			fail(executor.Misdirected)
 			return
 		}
 		seen, ok := a.worker.look(l, deadline)
@@ -379,7 +379,7 @@
 		a.w.schedule(localDelay, func() {
 			a.do(func() {
 				if a.core == core {
-					core.Looked(seen)
+					core.HandlePollResult(seen)
 				}
 			})
 		})
--- a/scheduler/simworker_test.go
+++ b/scheduler/simworker_test.go
@@ -39,7 +39,7 @@
 	starts    int
 	running   map[string]*simRun
 	highest   map[string]int
-	ends      []executor.Ended
+	ends      []executor.EndRecord
 	endNumber int64
 	token     uint64
 	leaseEnd  time.Time
@@ -54,10 +54,10 @@
 }
 
 // start carries a start out and returns its outcome.
-func (v *simWorker) start(s executor.Start, deadline time.Time) executor.Outcome {
+func (v *simWorker) start(s executor.Start, deadline time.Time) executor.CallResult {
 	now := v.w.clock.Now()
 	if s.Upstream.Born != v.up.Born || s.Upstream.ID != v.up.ID {
-		return executor.OtherWorker
+		return executor.Misdirected
 	}
 	if s.Token < v.token {
 		return executor.Fenced
@@ -67,10 +67,10 @@
 		return executor.Accepted
 	}
 	if s.Run.Number <= v.highest[s.Run.Task] {
-		return executor.Old
+		return executor.StaleRun
 	}
 	if now.After(deadline) {
-		return executor.Late
+		return executor.Expired
 	}
 	t := v.w.tasks[s.Run.Task]
 	if !t.demand.FitsIn(v.free()) {
@@ -115,7 +115,7 @@
 	delete(v.running, r.run.Task)
 	v.highest[r.run.Task] = max(v.highest[r.run.Task], r.run.Number)
 	v.endNumber++
-	v.ends = append(v.ends, executor.Ended{Number: v.endNumber, RunEnd: messenger.RunEnd{Run: r.run, Reason: how}})
+	v.ends = append(v.ends, executor.EndRecord{Number: v.endNumber, RunEnd: messenger.RunEnd{Run: r.run, Reason: how}})
 	v.w.runEnded(v, r.run)
 }
 
@@ -157,16 +157,16 @@
 }
 
 // look returns what runs and what has ended; false when the token is too low.
-func (v *simWorker) look(l executor.Look, deadline time.Time) (executor.Seen, bool) {
+func (v *simWorker) look(l executor.Poll, deadline time.Time) (executor.PollResult, bool) {
 	if l.Token < v.token {
-		return executor.Seen{}, false
+		return executor.PollResult{}, false
 	}
 	v.token = l.Token
-	if !l.Until.IsZero() {
+	if !l.LeaseUntil.IsZero() {
 		v.extend(deadline)
 	}
-	v.ends = slices.DeleteFunc(v.ends, func(e executor.Ended) bool { return e.Number <= l.Seen })
-	s := executor.Seen{Number: l.Number, Born: v.up.Born, Ended: slices.Clone(v.ends)}
+	v.ends = slices.DeleteFunc(v.ends, func(e executor.EndRecord) bool { return e.Number <= l.AckedEnd })
+	s := executor.PollResult{Number: l.Number, Born: v.up.Born, Ended: slices.Clone(v.ends)}
 	now := v.w.clock.Now()
 	for _, r := range v.sorted() {
 		percent := int(100 * now.Sub(r.began) / max(r.work, 1))
--- a/scheduler/speed_test.go
+++ b/scheduler/speed_test.go
@@ -206,7 +206,7 @@
 	return r
 }
 
-// newSpeedBench returns a scheduler whose agents have told of their speeds: d is
+// newSpeedHarness returns a scheduler whose agents have told of their speeds: d is
 // fast.
 func newSpeedBench(t *testing.T) *fixture {
 	b := newFixture(t)
