--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -27,11 +27,11 @@
 	mailboxSize = 8192
 	// askTimeout bounds the wait for the actor's answer to a question.
 	askTimeout = time.Second
-	// stopReserve is what a planned stop leaves of the time it has.
-	stopReserve = 700 * time.Millisecond
-	// leaveDelay is how long a stopping entry still takes connections, so that
+	// gracePeriodMargin is what a planned stop leaves of the time it has.
+	gracePeriodMargin = 700 * time.Millisecond
+	// deregistrationDelay is how long a stopping entry still takes connections, so that
 	// the balancer can turn away from it.
-	leaveDelay = 3200 * time.Millisecond
+	deregistrationDelay = 3200 * time.Millisecond
 	// idleConnTimeout closes callers' connections that are not used.
 	idleConnTimeout = 2 * time.Minute
 	headerTimeout   = 3 * time.Second
@@ -47,17 +47,17 @@
 type Config struct {
 	ID         string
 	DataCentre string
-	// Front is where callers arrive.
-	Front string
-	// Ready is where the balancer asks.
-	Ready string
-	// Metrics is where metrics and the state dump are served.
-	Metrics string
-	// Grace bounds a planned stop.
-	Grace time.Duration
-	// Resend is the least time after which a caller that got no answer sends
+	// FrontAddr is where callers arrive.
+	FrontAddr string
+	// ReadyAddr is where the balancer asks.
+	ReadyAddr string
+	// MetricsAddr is where metrics and the state dump are served.
+	MetricsAddr string
+	// GracePeriod bounds a planned stop.
+	GracePeriod time.Duration
+	// MinResendDelay is the least time after which a caller that got no answer sends
 	// its job again.
-	Resend time.Duration
+	MinResendDelay time.Duration
 	// FarFactor is how many times as long a task takes away from its data; 0 or 1
 	// means that this makes no difference.
 	FarFactor float64
@@ -74,40 +74,40 @@
 	pid         *actor.PID
 	// configuration is the one in force; nil before the first.
 	configuration atomic.Pointer[scheduler.Configuration]
-	// read is closed when the first read of the operators' directives has an
+	// firstReadDone is closed when the first read of the operators' directives has an
 	// outcome.
-	read chan struct{}
-	// connected is whether a worker can be reached.
-	connected atomic.Bool
-	// stopBy is when a planned stop ends, in Unix nanoseconds; zero before one.
-	stopBy   atomic.Int64
-	tickets  atomic.Uint64
-	handling atomic.Int64
-	meters   meters
-	lag      lag
+	firstReadDone chan struct{}
+	// hasLinks is whether a worker can be reached.
+	hasLinks atomic.Bool
+	// shutdownDeadline is when a planned stop ends, in Unix nanoseconds; zero before one.
+	shutdownDeadline atomic.Int64
+	lastTicket       atomic.Uint64
+	inFlight         atomic.Int64
+	metrics          entryMetrics
+	lag              lag
 }
 
 // NewAcceptor returns an entry that listens already.
 func NewAcceptor(deps provider.Deps, cfg Config, store Store) (*Acceptor, error) {
 	a := &Acceptor{
-		deps:        deps.WithField("entry", cfg.ID).WithField("data_centre", cfg.DataCentre),
-		cfg:         cfg,
-		store:       store,
-		read:        make(chan struct{}),
-		incarnation: deps.Clock.Now().UnixMilli(),
-		meters:      newMeters(deps.Metrics),
-		lag:         lag{clock: deps.Clock},
+		deps:          deps.WithField("entry", cfg.ID).WithField("data_centre", cfg.DataCentre),
+		cfg:           cfg,
+		store:         store,
+		firstReadDone: make(chan struct{}),
+		incarnation:   deps.Clock.Now().UnixMilli(),
+		metrics:       newEntryMetrics(deps.Metrics),
+		lag:           lag{clock: deps.Clock},
 	}
 	list, err := announcer.Listen(
-		announcer.Address{Setting: "Front", Addr: cfg.Front},
-		announcer.Address{Setting: "Ready", Addr: cfg.Ready},
-		announcer.Address{Setting: "Metrics", Addr: cfg.Metrics},
+		announcer.Address{Setting: "Front", Addr: cfg.FrontAddr},
+		announcer.Address{Setting: "Ready", Addr: cfg.ReadyAddr},
+		announcer.Address{Setting: "Metrics", Addr: cfg.MetricsAddr},
 	)
 	if err != nil {
 		return nil, err
 	}
 	a.listeners.front, a.listeners.ready, a.listeners.metrics = list[0], list[1], list[2]
-	a.system = announcer.NewSystem(a.deps)
+	a.system = announcer.NewActorSystem(a.deps)
 	return a, nil
 }
 
@@ -117,31 +117,31 @@
 	defer cancel()
 	peers := newLinkSet(a)
 	a.pid = a.system.Root.Spawn(actor.PropsFromProducer(
-		func() actor.Actor { return newCore(a) },
+		func() actor.Actor { return newEntryActor(a) },
 		actor.WithMailbox(actor.Bounded(mailboxSize)),
 		actor.WithDispatcher(announcer.NewDispatcher(inner)),
 	))
 	defer a.system.Shutdown()
-	front := announcer.NewFront(a.deps.Clock, &http.Server{
-		Handler:           platform.NewFront(a.deps.Clock, a),
+	front := announcer.NewGracefulServer(a.deps.Clock, &http.Server{
+		Handler:           platform.NewJobHandler(a.deps.Clock, a),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleConnTimeout,
-		ConnContext:       announcer.WithConn,
+		ConnContext:       announcer.ContextWithConn,
 	}, a.listeners.front)
-	ready := &http.Server{Handler: platform.NewReadyServer(a.isReady), ReadHeaderTimeout: headerTimeout}
-	metrics := &http.Server{Handler: announcer.ServeMetrics(a.deps, a), ReadHeaderTimeout: headerTimeout}
+	ready := &http.Server{Handler: platform.NewReadyHandler(a.isReady), ReadHeaderTimeout: headerTimeout}
+	metrics := &http.Server{Handler: announcer.NewMetricsHandler(a.deps, a), ReadHeaderTimeout: headerTimeout}
 
 	var g run.Group
-	g.Add(func() error { return a.drainAfter(ctx, inner, front) }, func(error) { cancel() })
+	g.Add(func() error { return a.drainOnShutdown(ctx, inner, front) }, func(error) { cancel() })
 	g.Add(func() error { return front.Serve(inner) }, func(error) { front.Close() })
 	g.Add(func() error { return announcer.Serve(ready, a.listeners.ready) }, func(error) { _ = ready.Close() })
 	g.Add(func() error { return announcer.Serve(metrics, a.listeners.metrics) }, func(error) { _ = metrics.Close() })
 	g.Add(func() error { return a.tick(inner) }, func(error) { cancel() })
 	g.Add(func() error { return newDirectives(a).follow(inner) }, func(error) { cancel() })
 	g.Add(func() error { return peers.follow(inner) }, func(error) { cancel() })
-	a.deps.Log.WithField("front", a.cfg.Front).Info("entry started")
-	if a.cfg.Resend < scheduler.AgentLossTimeout {
-		a.deps.Log.WithField("resend", a.cfg.Resend.String()).WithField("needed", scheduler.AgentLossTimeout.String()).
+	a.deps.Log.WithField("front", a.cfg.FrontAddr).Info("entry started")
+	if a.cfg.MinResendDelay < scheduler.AgentLossTimeout {
+		a.deps.Log.WithField("resend", a.cfg.MinResendDelay.String()).WithField("needed", scheduler.AgentLossTimeout.String()).
 			Warn("callers may send jobs again while runs of a lost entry go on")
 	}
 	err := g.Run()
@@ -151,22 +151,22 @@
 
 // isReady reports whether callers are better served here than elsewhere.
 func (a *Acceptor) isReady() bool {
-	return !a.Stopping() && a.configuration.Load() != nil && a.connected.Load()
+	return !a.Stopping() && a.configuration.Load() != nil && a.hasLinks.Load()
 }
 
-// drainAfter waits for the planned stop, turns the balancer away, and waits
+// drainOnShutdown waits for the planned stop, turns the balancer away, and waits
 // until every request has been answered.
-func (a *Acceptor) drainAfter(ctx, inner context.Context, front *announcer.Front) error {
+func (a *Acceptor) drainOnShutdown(ctx, inner context.Context, front *announcer.GracefulServer) error {
 	select {
 	case <-ctx.Done():
 	case <-inner.Done():
 		return nil
 	}
-	a.stopBy.Store(a.deps.Clock.Now().Add(a.cfg.Grace - stopReserve).UnixNano())
-	a.deps.Log.WithField("in_flight", a.handling.Load()).Info("entry draining")
-	limit, cancel := context.WithTimeout(inner, a.cfg.Grace-stopReserve)
+	a.shutdownDeadline.Store(a.deps.Clock.Now().Add(a.cfg.GracePeriod - gracePeriodMargin).UnixNano())
+	a.deps.Log.WithField("in_flight", a.inFlight.Load()).Info("entry draining")
+	limit, cancel := context.WithTimeout(inner, a.cfg.GracePeriod-gracePeriodMargin)
 	defer cancel()
-	a.deps.Clock.Sleep(leaveDelay)
+	a.deps.Clock.Sleep(deregistrationDelay)
 	if left := front.Drain(limit); left > 0 {
 		a.deps.Log.WithField("in_flight", left).Warn("requests cut off by the end of the grace period")
 	}
@@ -174,7 +174,7 @@
 }
 
 func (a *Acceptor) tick(ctx context.Context) error {
-	return announcer.Tick(ctx, a.deps.Clock, tickInterval, func() { a.post(tick{sent: a.deps.Clock.Now()}) })
+	return announcer.Tick(ctx, a.deps.Clock, tickInterval, func() { a.post(tick{sentAt: a.deps.Clock.Now()}) })
 }
 
 // post sends msg to the actor. It waits while the mailbox is full.
@@ -185,4 +185,4 @@
 }
 
 // Dump implements announcer.Dumper.
-func (a *Acceptor) Dump() (any, error) { return a.ask(dumpQuestion{}) }
+func (a *Acceptor) Dump() (any, error) { return a.ask(dumpQuery{}) }
--- /dev/null
+++ b/acceptor/actor.go
@@ -0,0 +1,173 @@
+package acceptor
+
+import (
+	"time"
+
+	"github.com/asynkron/protoactor-go/actor"
+	"github.com/sirupsen/logrus"
+
+	"github.com/pomeloferry/pomeloferry/messenger"
+	"github.com/pomeloferry/pomeloferry/scheduler"
+)
+
+// The messages of the core.
+type (
+	// tick asks for a look at what has come due.
+	tick struct{ sentAt time.Time }
+	// dumpQuery asks for a scheduler.Dump.
+	dumpQuery struct{}
+	// submitJob hands a job in.
+	submitJob struct {
+		ticket uint64
+		job    scheduler.Job
+		reply  chan scheduler.Answer
+	}
+	// callerDisconnected tells that a caller has gone.
+	callerDisconnected struct{ ticket uint64 }
+	// configurationChanged carries a new configuration.
+	configurationChanged struct{ configuration scheduler.Configuration }
+	// stateQuery, cancelJob and waitingQuery ask for a job's state,
+	// cancel a job, and count a queue's waiting jobs.
+	stateQuery   struct{ job string }
+	cancelJob    struct{ job string }
+	waitingQuery struct{ queue string }
+	// needQuery asks for the scheduler.Need.
+	needQuery struct{}
+	// releaseLinks asks to end the links to agents on which nothing depends,
+	// and for their names.
+	releaseLinks struct{ agents []string }
+	// linkOpened tells of a new link to an agent.
+	linkOpened struct {
+		agent string
+		link  *messenger.Link
+	}
+	// linkMessage carries a message from an agent.
+	linkMessage struct {
+		link *messenger.Link
+		msg  any
+	}
+	// linkClosed tells that a link has ended.
+	linkClosed struct{ link *messenger.Link }
+)
+
+// minPause is the least time without any message that counts as a pause.
+const minPause = 200 * time.Millisecond
+
+// entryActor owns the scheduler.
+type entryActor struct {
+	acceptor    *Acceptor
+	scheduler   *scheduler.Scheduler
+	replies     map[uint64]chan scheduler.Answer
+	links       map[string]*agentLink
+	agentByLink map[*messenger.Link]string
+	// lastActiveAt is when the last message was taken in or had been dealt with.
+	lastActiveAt time.Time
+}
+
+func newEntryActor(a *Acceptor) *entryActor {
+	return &entryActor{
+		acceptor:    a,
+		scheduler:   scheduler.NewScheduler(a.deps.Clock, a.cfg.DataCentre),
+		replies:     make(map[uint64]chan scheduler.Answer),
+		links:       make(map[string]*agentLink),
+		agentByLink: make(map[*messenger.Link]string),
+	}
+}
+
+// Receive implements actor.Actor.
+func (c *entryActor) Receive(ctx actor.Context) {
+	c.detectPause()
+	switch m := ctx.Message().(type) {
+	case tick:
+		c.acceptor.lag.observeTick(m.sentAt)
+		c.scheduler.Tick()
+		c.sendHeartbeats()
+	case submitJob:
+		c.replies[m.ticket] = m.reply
+		c.scheduler.Submit(m.ticket, m.job)
+	case callerDisconnected:
+		delete(c.replies, m.ticket)
+		c.scheduler.CallerLeft(m.ticket)
+	case configurationChanged:
+		c.scheduler.Configure(m.configuration)
+	case linkOpened:
+		c.handleLinkOpened(m)
+	case linkMessage:
+		c.handleLinkMessage(m)
+	case linkClosed:
+		c.handleLinkClosed(m.link)
+	case dumpQuery:
+		ctx.Respond(c.scheduler.Dump())
+	case needQuery:
+		ctx.Respond(c.scheduler.CapacityNeed())
+	case releaseLinks:
+		ctx.Respond(c.releaseIdleLinks(m.agents))
+	case stateQuery:
+		ctx.Respond(c.scheduler.State(m.job))
+	case cancelJob:
+		ctx.Respond(c.scheduler.Cancel(m.job))
+	case waitingQuery:
+		ctx.Respond(c.scheduler.Waiting(m.queue))
+	}
+	c.applyEffects()
+	c.detectPause()
+}
+
+// detectPause tells the scheduler of a pause of the process, between messages or
+// within one: a tick comes sooner.
+func (c *entryActor) detectPause() {
+	now := c.acceptor.deps.Clock.Now()
+	if !c.lastActiveAt.IsZero() && now.Sub(c.lastActiveAt) > minPause {
+		c.scheduler.Resumed()
+	}
+	c.lastActiveAt = now
+}
+
+// applyEffects does what the scheduler decided.
+func (c *entryActor) applyEffects() {
+	for _, e := range c.scheduler.TakeEffects() {
+		switch e := e.(type) {
+		case scheduler.Send:
+			c.acceptor.metrics.messagesSent.Inc()
+			if l := c.links[e.Agent]; l != nil {
+				l.Send(e.Message)
+			}
+		case scheduler.Reply:
+			if ch := c.replies[e.Ticket]; ch != nil {
+				ch <- e.Answer
+				delete(c.replies, e.Ticket)
+			}
+		case scheduler.Note:
+			c.logNote(e)
+		}
+	}
+}
+
+func (c *entryActor) logNote(n scheduler.Note) {
+	c.acceptor.metrics.countDecision(n.What)
+	if n.Size != "" {
+		c.acceptor.metrics.observeWait(n.Size, n.Wait.Seconds())
+	}
+	c.acceptor.deps.Log.WithFields(logrus.Fields{
+		"job":    n.Job,
+		"queue":  n.Queue,
+		"task":   n.Run.Task,
+		"run":    n.Run.Number,
+		"agent":  n.Agent,
+		"why":    n.Why,
+		"age_ms": n.Age.Milliseconds(),
+	}).Info(n.What)
+}
+
+func (c *entryActor) handleLinkMessage(m linkMessage) {
+	name, ok := c.agentByLink[m.link]
+	if !ok {
+		return
+	}
+	r, ok := m.msg.(*messenger.Report)
+	if !ok || r.Agent != name {
+		return
+	}
+	c.links[name].recordTimestamp(r.Timestamp)
+	c.scheduler.HandleReport(*r)
+}
--- a/acceptor/directives.go
+++ b/acceptor/directives.go
@@ -13,18 +13,18 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// directiveWait is how long one watch of the directives waits. It bounds how
+// directiveWatchTimeout is how long one watch of the directives waits. It bounds how
 // long a connection that has gone silent hides a change.
-const directiveWait = 600 * time.Millisecond
+const directiveWatchTimeout = 600 * time.Millisecond
 
 // directives follows what the operators ask for in the store.
 type directives struct {
-	acceptor  *Acceptor
-	revision  int64
-	last      string
-	current   scheduler.Configuration
-	known     bool
-	evacuated map[string]bool
+	acceptor         *Acceptor
+	revision         int64
+	lastError        string
+	configuration    scheduler.Configuration
+	hasConfiguration bool
+	evacuated        map[string]bool
 }
 
 func newDirectives(a *Acceptor) *directives {
@@ -35,24 +35,24 @@
 func (d *directives) follow(ctx context.Context) error {
 	a := d.acceptor
 	var first sync.Once
-	retry := storeRetry{clock: a.deps.Clock}
+	retry := storeBackoffTimer{clock: a.deps.Clock}
 	for ctx.Err() == nil {
-		err := d.next(ctx)
-		first.Do(func() { close(a.read) })
+		err := d.sync(ctx)
+		first.Do(func() { close(a.firstReadDone) })
 		if ctx.Err() != nil {
 			return nil
 		}
-		d.last = announcer.Dependency(a.deps, "store", d.last, err)
+		d.lastError = announcer.LogDependency(a.deps, "store", d.lastError, err)
 		if err != nil {
 			d.revision = 0
 		}
-		retry.after(err)
+		retry.wait(err)
 	}
 	return nil
 }
 
-// next takes in one list or one watch.
-func (d *directives) next(ctx context.Context) error {
+// sync takes in one list or one watch.
+func (d *directives) sync(ctx context.Context) error {
 	store := d.acceptor.store
 	if d.revision == 0 {
 		items, revision, err := store.List(ctx, platform.OperatorPrefix)
@@ -61,44 +61,44 @@
 		}
 		d.revision = revision
 		d.evacuated = make(map[string]bool)
-		d.take(items)
+		d.apply(items)
 		return nil
 	}
-	items, revision, err := store.Watch(ctx, platform.OperatorPrefix, d.revision, directiveWait)
+	items, revision, err := store.Watch(ctx, platform.OperatorPrefix, d.revision, directiveWatchTimeout)
 	if err != nil {
 		return err
 	}
 	d.revision = revision
 	if len(items) > 0 {
-		d.take(items)
+		d.apply(items)
 	}
 	return nil
 }
 
-// take puts items into force, all at once.
-func (d *directives) take(items []platform.Item) {
+// apply puts items into force, all at once.
+func (d *directives) apply(items []platform.Item) {
 	log := d.acceptor.deps.Log
 	for _, i := range items {
-		directive, err := platform.ReadDirective(i)
+		directive, err := platform.ParseDirective(i)
 		switch {
 		case err != nil:
 			log.WithError(err).WithField("key", i.Key).Warn("directive passed over")
 		case directive.Configuration != nil:
-			d.adopt(*directive.Configuration)
-		case directive.Evacuate != "" && directive.TakeBack:
-			delete(d.evacuated, directive.Evacuate)
-		case directive.Evacuate != "":
-			d.evacuated[directive.Evacuate] = true
+			d.setConfiguration(*directive.Configuration)
+		case directive.DataCentre != "" && directive.EndEvacuation:
+			delete(d.evacuated, directive.DataCentre)
+		case directive.DataCentre != "":
+			d.evacuated[directive.DataCentre] = true
 		}
 	}
-	if !d.known {
+	if !d.hasConfiguration {
 		return
 	}
 	a := d.acceptor
-	next := d.current.WithEvacuated(maps.Clone(d.evacuated), d.revision).WithFarFactor(a.cfg.FarFactor)
+	next := d.configuration.WithEvacuated(maps.Clone(d.evacuated), d.revision).WithFarFactor(a.cfg.FarFactor)
 	a.configuration.Store(&next)
 	a.deps.BundleVersion.Store(next.Version)
-	a.post(configured{configuration: next})
+	a.post(configurationChanged{configuration: next})
 	log.WithFields(logrus.Fields{
 		"version":   next.Version,
 		"queues":    len(next.Queues),
@@ -107,12 +107,12 @@
 	}).Info("configuration in force")
 }
 
-// adopt takes a configuration that is not older than the present one.
-func (d *directives) adopt(c scheduler.Configuration) {
-	if d.known && c.Version < d.current.Version {
+// setConfiguration takes a configuration that is not older than the present one.
+func (d *directives) setConfiguration(c scheduler.Configuration) {
+	if d.hasConfiguration && c.Version < d.configuration.Version {
 		d.acceptor.deps.Log.WithField("version", c.Version).Warn("older configuration passed over")
 		return
 	}
-	d.current = c
-	d.known = true
+	d.configuration = c
+	d.hasConfiguration = true
 }
--- a/acceptor/directives_test.go
+++ b/acceptor/directives_test.go
@@ -16,13 +16,13 @@
 // lost when the operators change the configuration.
 func TestConfigurationHasTheFarFactorOfTheSettings(t *testing.T) {
 	a := &Acceptor{deps: provider.NewDeps(io.Discard), cfg: Config{FarFactor: 2}}
-	a.system = announcer.NewSystem(a.deps)
+	a.system = announcer.NewActorSystem(a.deps)
 	t.Cleanup(a.system.Shutdown)
 	a.pid = a.system.Root.Spawn(actor.PropsFromFunc(func(actor.Context) {}))
 	d := newDirectives(a)
 	for version := range uint64(2) {
-		d.adopt(scheduler.Configuration{Version: version + 1})
-		d.take(nil)
+		d.setConfiguration(scheduler.Configuration{Version: version + 1})
+		d.apply(nil)
 		require.Equal(t, version+1, a.configuration.Load().Version)
 		require.InDelta(t, 2, a.configuration.Load().FarFactor, 0)
 	}
--- a/acceptor/grid.go
+++ b/acceptor/grid.go
@@ -15,37 +15,37 @@
 // root of the fleet.
 
 const (
-	// agentsPerCell is the least number of agents for each cell of the grid. A
+	// minAgentsPerCell is the least number of agents for each cell of the grid. A
 	// cell that has several keeps a holder when one is lost.
-	agentsPerCell = 9
-	// sideFactor is the step from one size of the grid to the next. The steps are
+	minAgentsPerCell = 9
+	// gridGrowthFactor is the step from one size of the grid to the next. The steps are
 	// coarse since entries that see fleets of slightly different sizes have to
 	// agree on the grid.
-	sideFactor = 2
+	gridGrowthFactor = 2
 )
 
 // gridSide returns the number of rows, and of columns, for a number of agents.
 func gridSide(agents int) int {
 	side := 1
-	for next := side * sideFactor; agentsPerCell*next*next <= agents; next *= sideFactor {
+	for next := side * gridGrowthFactor; minAgentsPerCell*next*next <= agents; next *= gridGrowthFactor {
 		side = next
 	}
 	return side
 }
 
-// meetingAgents returns the agents of an entry's row and column. The first agent
+// gridAgents returns the agents of an entry's row and column. The first agent
 // of each cell that is reached holds it; those before it stay linked, since other
 // entries may reach them.
-func meetingAgents(entry string, list []candidate) []string {
+func gridAgents(entry string, list []candidate) []string {
 	side := gridSide(len(list))
-	row, column := crossOf(entry, side)
+	row, column := gridPosition(entry, side)
 	cells := make(map[int][]string)
 	reached := make(map[string]bool, len(list))
 	for _, c := range list {
 		cell := int(xxhash.Sum64String(c.agent) % uint64(side*side))
 		if cell/side == row || cell%side == column {
 			cells[cell] = append(cells[cell], c.agent)
-			reached[c.agent] = c.reached
+			reached[c.agent] = c.reachable
 		}
 	}
 	var out []string
@@ -63,8 +63,8 @@
 	return out
 }
 
-// crossOf returns the row and the column of an entry.
-func crossOf(entry string, side int) (row, column int) {
+// gridPosition returns the row and the column of an entry.
+func gridPosition(entry string, side int) (row, column int) {
 	h := xxhash.Sum64String(entry)
 	return int(h % uint64(side)), int(h / uint64(side) % uint64(side))
 }
--- a/acceptor/grid_test.go
+++ b/acceptor/grid_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAnyTwoEntriesMeetAtTwoAgentsEvenWhenOneIsLost(t *testing.T) {
+func TestAnyTwoEntriesHaveTwoAgentsInCommon(t *testing.T) {
 	const entries = 55
 	for _, agents := range []int{68, 240, 1200} {
 		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
@@ -15,7 +15,7 @@
 			for e := range entries {
 				id := fmt.Sprintf("entry-%d", e)
 				linked[e] = make(map[string]bool)
-				for _, name := range meetingAgents(id, fleet(id, agents)) {
+				for _, name := range gridAgents(id, fleet(id, agents)) {
 					linked[e][name] = true
 				}
 				require.LessOrEqual(t, len(linked[e]), 2*gridSide(agents)-1)
@@ -35,13 +35,13 @@
 	}
 }
 
-func TestAnEntryThatCannotReachAnAgentMeetsTheOthersAtTheNextOne(t *testing.T) {
+func TestEntryThatCannotReachAGridAgentLinksTheNextOneOfTheCell(t *testing.T) {
 	list := fleet("entry-1", 240)
-	before := meetingAgents("entry-1", list)
+	before := gridAgents("entry-1", list)
 	for i := range list {
-		list[i].reached = list[i].agent != before[0]
+		list[i].reachable = list[i].agent != before[0]
 	}
-	after := meetingAgents("entry-1", list)
+	after := gridAgents("entry-1", list)
 	require.Len(t, after, len(before)+1)
 	require.Subset(t, after, before)
 }
--- a/acceptor/jobs.go
+++ b/acceptor/jobs.go
@@ -24,46 +24,46 @@
 // its outcome than coming back later.
 func (a *Acceptor) AwaitConfiguration(ctx context.Context) {
 	select {
-	case <-a.read:
+	case <-a.firstReadDone:
 	case <-ctx.Done():
 	}
 }
 
 // Submit implements platform.Jobs.
 func (a *Acceptor) Submit(ctx context.Context, j scheduler.Job) scheduler.Answer {
-	a.handling.Add(1)
-	defer a.handling.Add(-1)
+	a.inFlight.Add(1)
+	defer a.inFlight.Add(-1)
 	began := a.deps.Clock.Now()
-	if behind := a.lag.behind(); behind > lagMost {
-		a.Turned(j.ID, "entry is behind by "+behind.String())
+	if behind := a.lag.current(); behind > maxLag {
+		a.RecordRejection(j.ID, "entry is behind by "+behind.String())
 		return scheduler.Answer{Outcome: scheduler.Overloaded, RetryAfter: time.Second, Why: "entry is behind"}
 	}
-	if announcer.Gone(ctx) {
-		a.Turned(j.ID, "caller left before the job was taken on")
+	if announcer.PeerClosed(ctx) {
+		a.RecordRejection(j.ID, "caller left before the job was taken on")
 		return scheduler.Answer{Outcome: scheduler.Cancelled, Why: "caller left"}
 	}
-	if a.endsTooLate(j) {
-		a.Turned(j.ID, "entry stops before the job can end")
+	if a.endsAfterShutdown(j) {
+		a.RecordRejection(j.ID, "entry stops before the job can end")
 		return scheduler.Answer{Outcome: scheduler.Unavailable, RetryAfter: time.Second, Why: "entry stops"}
 	}
-	j.EarliestSent = began.Add(-a.lag.unread())
-	ticket := a.tickets.Add(1)
+	j.EarliestSent = began.Add(-a.lag.maxUnreadAge())
+	ticket := a.lastTicket.Add(1)
 	reply := make(chan scheduler.Answer, 1)
-	a.post(submit{ticket: ticket, job: j, reply: reply})
+	a.post(submitJob{ticket: ticket, job: j, reply: reply})
 	var answer scheduler.Answer
 	select {
 	case answer = <-reply:
 	case <-ctx.Done():
-		a.post(left{ticket: ticket})
+		a.post(callerDisconnected{ticket: ticket})
 		answer = scheduler.Answer{Outcome: scheduler.Cancelled, Why: "caller left"}
 	}
-	a.answered(j, answer, began, a.deps.Clock.Since(began))
+	a.recordAnswer(j, answer, began, a.deps.Clock.Since(began))
 	return answer
 }
 
-// answered writes the log line and the metrics of an answer.
-func (a *Acceptor) answered(j scheduler.Job, answer scheduler.Answer, began time.Time, took time.Duration) {
-	a.meters.answered(answer.Outcome, took.Seconds())
+// recordAnswer writes the log line and the metrics of an answer.
+func (a *Acceptor) recordAnswer(j scheduler.Job, answer scheduler.Answer, began time.Time, took time.Duration) {
+	a.metrics.observeAnswer(answer.Outcome, took.Seconds())
 	line := a.deps.Log.WithFields(logrus.Fields{
 		"job":      j.ID,
 		"queue":    j.Queue.Name,
@@ -77,7 +77,7 @@
 		"took_ms":  took.Milliseconds(),
 	})
 	if r := answer.Refusal; r.Point != "" {
-		a.meters.refused(j.Queue.Name, r.Point)
+		a.metrics.countRefusal(j.Queue.Name, r.Point)
 		line = line.WithFields(logrus.Fields{
 			"refused":          r.Point,
 			"expected_wait_ms": r.Wait.Milliseconds(),
@@ -89,29 +89,29 @@
 	line.Info("job answered")
 }
 
-// endsTooLate reports whether a planned stop would cut a job off.
-func (a *Acceptor) endsTooLate(j scheduler.Job) bool {
-	by := a.stopBy.Load()
+// endsAfterShutdown reports whether a planned stop would cut a job off.
+func (a *Acceptor) endsAfterShutdown(j scheduler.Job) bool {
+	by := a.shutdownDeadline.Load()
 	return by != 0 && a.deps.Clock.Now().Add(j.MaxDuration()).UnixNano() > by
 }
 
 // State implements platform.Jobs.
 func (a *Acceptor) State(id string) scheduler.Answer {
-	return ask[scheduler.Answer](a, stateQuestion{job: id})
+	return ask[scheduler.Answer](a, stateQuery{job: id})
 }
 
 // Cancel implements platform.Jobs.
-func (a *Acceptor) Cancel(id string) bool { return ask[bool](a, cancelQuestion{job: id}) }
+func (a *Acceptor) Cancel(id string) bool { return ask[bool](a, cancelJob{job: id}) }
 
 // Waiting implements platform.Jobs.
-func (a *Acceptor) Waiting(queue string) int { return ask[int](a, waitingQuestion{queue: queue}) }
+func (a *Acceptor) Waiting(queue string) int { return ask[int](a, waitingQuery{queue: queue}) }
 
 // Stopping implements platform.Jobs.
-func (a *Acceptor) Stopping() bool { return a.stopBy.Load() != 0 }
+func (a *Acceptor) Stopping() bool { return a.shutdownDeadline.Load() != 0 }
 
-// Turned implements platform.Jobs.
-func (a *Acceptor) Turned(id, why string) {
-	a.meters.turned.Inc()
+// RecordRejection implements platform.Jobs.
+func (a *Acceptor) RecordRejection(id, why string) {
+	a.metrics.requestsRejected.Inc()
 	a.deps.Log.WithField("job", id).WithField("why", why).Warn("request turned down")
 }
 
--- a/acceptor/link.go
+++ b/acceptor/link.go
@@ -8,31 +8,31 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// beatTogether is the time after a heartbeat from which the next one goes out with
+// heartbeatBatchWindow is the time after a heartbeat from which the next one goes out with
 // those that are due on other links.
-const beatTogether = messenger.HeartbeatInterval / 2
+const heartbeatBatchWindow = messenger.HeartbeatInterval / 2
 
-// link is an open link to an agent as the core sees it.
-type link struct {
+// agentLink is an open link to an agent as the core sees it.
+type agentLink struct {
 	*messenger.Link
-	openedAt time.Time
-	beatAt   time.Time
-	// echo is the agent's last stamp.
-	echo time.Duration
+	openedAt    time.Time
+	heartbeatAt time.Time
+	// lastTimestamp is the agent's last stamp.
+	lastTimestamp time.Duration
 }
 
-// heard notes the agent's stamp. The first one is echoed at once, since the
+// recordTimestamp notes the agent's stamp. The first one is echoed at once, since the
 // agent counts the entry as there by that.
-func (l *link) heard(stamp time.Duration) {
-	if l.echo == 0 {
-		l.beatAt = time.Time{}
+func (l *agentLink) recordTimestamp(stamp time.Duration) {
+	if l.lastTimestamp == 0 {
+		l.heartbeatAt = time.Time{}
 	}
-	l.echo = stamp
+	l.lastTimestamp = stamp
 }
 
-// beat sends heartbeats that are due.
-func (c *core) beat() {
-	due := c.due(c.acceptor.deps.Clock.Now())
+// sendHeartbeats sends heartbeats that are due.
+func (c *entryActor) sendHeartbeats() {
+	due := c.linksDue(c.acceptor.deps.Clock.Now())
 	if len(due) == 0 {
 		return
 	}
@@ -43,46 +43,46 @@
 	// What has been named counts from before the stamp on.
 	now := c.acceptor.deps.Clock.Now()
 	for _, l := range due {
-		l.beatAt = now
+		l.heartbeatAt = now
 		l.Send(messenger.Heartbeat{
 			Timestamp:    now.Sub(l.openedAt),
-			Echo:         l.echo,
+			Echo:         l.lastTimestamp,
 			Revision:     directives.Revision,
 			Evacuated:    evacuated,
 			Backlog:      want,
-			AckedOutcome: c.scheduler.LastOutcome(c.names[l.Link]),
+			AckedOutcome: c.scheduler.LastOutcome(c.agentByLink[l.Link]),
 			HeldJobs:     held,
 		})
 	}
 }
 
-// due returns the links whose heartbeat is due: all when the entry asks for room.
+// linksDue returns the links whose heartbeat is due: all when the entry asks for room.
 // With one that is due go those that will be soon, so that the agents answer
 // together and the entry wakes for all of them at once.
-func (c *core) due(now time.Time) []*link {
+func (c *entryActor) linksDue(now time.Time) []*agentLink {
 	if c.scheduler.EarlyHeartbeatDue() {
-		return c.quietFor(0, now)
+		return c.linksWithoutHeartbeatFor(0, now)
 	}
-	if len(c.quietFor(messenger.HeartbeatInterval, now)) == 0 {
+	if len(c.linksWithoutHeartbeatFor(messenger.HeartbeatInterval, now)) == 0 {
 		return nil
 	}
-	return c.quietFor(beatTogether, now)
+	return c.linksWithoutHeartbeatFor(heartbeatBatchWindow, now)
 }
 
-// quietFor returns the links on which no heartbeat went out for a time.
-func (c *core) quietFor(d time.Duration, now time.Time) []*link {
-	var out []*link
+// linksWithoutHeartbeatFor returns the links on which no heartbeat went out for a time.
+func (c *entryActor) linksWithoutHeartbeatFor(d time.Duration, now time.Time) []*agentLink {
+	var out []*agentLink
 	for _, l := range c.links {
-		if now.Sub(l.beatAt) >= d {
+		if now.Sub(l.heartbeatAt) >= d {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-func (c *core) opened(m linkOpened) {
+func (c *entryActor) handleLinkOpened(m linkOpened) {
 	if old := c.links[m.agent]; old != nil {
-		c.closed(old.Link)
+		c.handleLinkClosed(old.Link)
 		old.Close()
 	}
 	if m.link.Ended() {
@@ -91,9 +91,9 @@
 	// The scheduler must not date the entry's stamps later than they are.
 	c.scheduler.LinkOpened(m.agent)
 	now := c.acceptor.deps.Clock.Now()
-	c.links[m.agent] = &link{Link: m.link, openedAt: now, beatAt: now}
-	c.names[m.link] = m.agent
-	c.acceptor.connected.Store(true)
+	c.links[m.agent] = &agentLink{Link: m.link, openedAt: now, heartbeatAt: now}
+	c.agentByLink[m.link] = m.agent
+	c.acceptor.hasLinks.Store(true)
 	c.acceptor.deps.Log.WithField("agent", m.agent).Info("agent in touch")
 	m.link.Send(messenger.Hello{
 		Entry:       c.acceptor.cfg.ID,
@@ -102,20 +102,20 @@
 	})
 }
 
-func (c *core) closed(l *messenger.Link) {
-	name, ok := c.names[l]
+func (c *entryActor) handleLinkClosed(l *messenger.Link) {
+	name, ok := c.agentByLink[l]
 	if !ok {
 		return
 	}
-	delete(c.names, l)
+	delete(c.agentByLink, l)
 	delete(c.links, name)
-	c.acceptor.connected.Store(len(c.links) > 0)
+	c.acceptor.hasLinks.Store(len(c.links) > 0)
 	c.scheduler.LinkClosed(name)
 }
 
-// release ends the links to agents at which the entry has no runs, and returns
+// releaseIdleLinks ends the links to agents at which the entry has no runs, and returns
 // the names of those that are not linked any more.
-func (c *core) release(agents []string) []string {
+func (c *entryActor) releaseIdleLinks(agents []string) []string {
 	var out []string
 	for _, name := range agents {
 		if !c.scheduler.Idle(name) {
@@ -124,7 +124,7 @@
 		out = append(out, name)
 		if l := c.links[name]; l != nil {
 			c.acceptor.deps.Log.WithField("agent", name).Info("link not needed any more")
-			c.closed(l.Link)
+			c.handleLinkClosed(l.Link)
 			l.Close()
 		}
 	}
--- a/acceptor/link_test.go
+++ b/acceptor/link_test.go
@@ -14,38 +14,38 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// deaf takes no messages.
-type deaf struct{}
+// discardHandler takes no messages.
+type discardHandler struct{}
 
-func (deaf) Receive(*messenger.Link, any) {}
-func (deaf) Closed(*messenger.Link)       {}
+func (discardHandler) Receive(*messenger.Link, any) {}
+func (discardHandler) Closed(*messenger.Link)       {}
 
 func newTestLink(t *testing.T) *messenger.Link {
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { _ = theirs.Close() })
 	go func() { _, _ = io.Copy(io.Discard, theirs) }()
-	l := messenger.NewLink(ours, deaf{})
+	l := messenger.NewLink(ours, discardHandler{})
 	t.Cleanup(l.Close)
 	return l
 }
 
 func TestLinkThatEndedBeforeItWasTakenInLeavesNoOldOneBehind(t *testing.T) {
-	c := newCore(&Acceptor{deps: provider.NewDeps(io.Discard)})
+	c := newEntryActor(&Acceptor{deps: provider.NewDeps(io.Discard)})
 	first, second := newTestLink(t), newTestLink(t)
-	c.opened(linkOpened{agent: "a", link: first})
+	c.handleLinkOpened(linkOpened{agent: "a", link: first})
 	require.Len(t, c.links, 1)
 	second.Close()
-	c.opened(linkOpened{agent: "a", link: second})
+	c.handleLinkOpened(linkOpened{agent: "a", link: second})
 	require.Empty(t, c.links)
 	require.True(t, first.Ended())
 }
 
 func TestLinkIsNotReleasedWhileTasksRunAtItsAgent(t *testing.T) {
 	a := &Acceptor{deps: provider.NewDeps(io.Discard), cfg: Config{DataCentre: "dc"}}
-	c := newCore(a)
+	c := newEntryActor(a)
 	up := messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: messenger.Resources{CPU: 1000}}
 	for _, name := range []string{"busy", "idle"} {
-		c.opened(linkOpened{agent: name, link: newTestLink(t)})
+		c.handleLinkOpened(linkOpened{agent: name, link: newTestLink(t)})
 		c.scheduler.HandleReport(messenger.Report{Agent: name, Incarnation: 1, RunsComplete: true})
 	}
 	queue := scheduler.Queue{Name: "q", Service: "quotes", MaxAttempts: 1}
@@ -55,20 +55,20 @@
 		Steps: []scheduler.Step{{Count: 1, Demand: messenger.Resources{CPU: 1000}}},
 	})
 	c.scheduler.HandleReport(messenger.Report{Agent: "busy", Incarnation: 1, Upstream: &up, Free: up.Capacity})
-	require.Equal(t, []string{"idle"}, c.release([]string{"busy", "idle"}))
+	require.Equal(t, []string{"idle"}, c.releaseIdleLinks([]string{"busy", "idle"}))
 	require.Contains(t, c.links, "busy")
 	require.NotContains(t, c.links, "idle")
 }
 
 func TestHeartbeatsThatWillBeDueSoonGoOutTogether(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	c := newCore(&Acceptor{deps: provider.NewDeps(io.Discard).WithClock(clock)})
+	c := newEntryActor(&Acceptor{deps: provider.NewDeps(io.Discard).WithClock(clock)})
 	for _, name := range []string{"first", "second"} {
-		c.opened(linkOpened{agent: name, link: newTestLink(t)})
-		clock.Advance(beatTogether / 2)
+		c.handleLinkOpened(linkOpened{agent: name, link: newTestLink(t)})
+		clock.Advance(heartbeatBatchWindow / 2)
 	}
-	clock.Advance(messenger.HeartbeatInterval - beatTogether)
-	c.beat()
-	require.Equal(t, c.links["first"].beatAt, c.links["second"].beatAt)
-	require.Equal(t, clock.Now(), c.links["first"].beatAt)
+	clock.Advance(messenger.HeartbeatInterval - heartbeatBatchWindow)
+	c.sendHeartbeats()
+	require.Equal(t, c.links["first"].heartbeatAt, c.links["second"].heartbeatAt)
+	require.Equal(t, clock.Now(), c.links["first"].heartbeatAt)
 }
--- a/acceptor/linkset.go
+++ b/acceptor/linkset.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	// redialBase and redialMost bound the pause before a link is opened again;
-	// the pause doubles after each redialRound failures and is jittered. Agents
+	// minRedialDelay and maxRedialDelay bound the pause before a link is opened again;
+	// the pause doubles after each redialsPerDoubling failures and is jittered. Agents
 	// that return together with their entry are found within a few base pauses.
-	redialBase  = 20 * time.Millisecond
-	redialMost  = 500 * time.Millisecond
-	redialRound = 5
-	// directoryWait is how long one watch of the directory waits.
-	directoryWait = 2 * time.Second
-	// directoryPause is the pause after a watch that was answered. Agents that
+	minRedialDelay     = 20 * time.Millisecond
+	maxRedialDelay     = 500 * time.Millisecond
+	redialsPerDoubling = 5
+	// directoryWatchTimeout is how long one watch of the directory waits.
+	directoryWatchTimeout = 2 * time.Second
+	// directoryBatchDelay is the pause after a watch that was answered. Agents that
 	// start together are then read together and not each by a call of its own.
-	directoryPause = 250 * time.Millisecond
-	// storePause is the pause after a failed call to the store. It doubles with
-	// each further failure up to storePauseMost, and is jittered.
-	storePause     = 150 * time.Millisecond
-	storePauseMost = 600 * time.Millisecond
-	// forgetAfter drops an agent that is out of touch and out of the directory
+	directoryBatchDelay = 250 * time.Millisecond
+	// minStoreBackoff is the pause after a failed call to the store. It doubles with
+	// each further failure up to maxStoreBackoff, and is jittered.
+	minStoreBackoff = 150 * time.Millisecond
+	maxStoreBackoff = 600 * time.Millisecond
+	// evictAfter drops an agent that is out of touch and out of the directory
 	// for so long.
-	forgetAfter = 20 * time.Second
+	evictAfter = 20 * time.Second
 	// reselectInterval is the time between two looks at which agents to link.
 	reselectInterval = 250 * time.Millisecond
-	// failuresMost is the number of dials that fail in a row before another
+	// maxDialFailures is the number of dials that fail in a row before another
 	// agent takes the place.
-	failuresMost = 3
+	maxDialFailures = 3
 )
 
-// target is an agent that may be linked.
-type target struct {
+// knownAgent is an agent that may be linked.
+type knownAgent struct {
 	registration platform.Registration
-	// listed is whether the directory holds it.
-	listed   bool
-	unlisted time.Time
+	// registered is whether the directory holds it.
+	registered     bool
+	unregisteredAt time.Time
 	// rank is the agent's place in the entry's ranking.
 	rank uint64
-	// failures counts the dials in a row that failed.
-	failures int
-	// cancel ends the goroutine that keeps the link; nil without one.
-	cancel context.CancelFunc
+	// dialFailures counts the dials in a row that failed.
+	dialFailures int
+	// stopLink ends the goroutine that keeps the link; nil without one.
+	stopLink context.CancelFunc
 }
 
 // linkSet follows the directory of agents and keeps links to those that choose
@@ -60,19 +60,19 @@
 type linkSet struct {
 	acceptor *Acceptor
 
-	mu      sync.Mutex
-	targets map[string]*target
-	budget  budget
-	// revision is that of the directives by which agents were last chosen.
-	revision int64
-	// dirty means that something has changed since agents were last chosen.
-	dirty bool
+	mu     sync.Mutex
+	agents map[string]*knownAgent
+	budget linkBudget
+	// selectedRevision is that of the directives by which agents were last chosen.
+	selectedRevision int64
+	// selectionStale means that something has changed since agents were last chosen.
+	selectionStale bool
 	// surplus lists the linked agents that were not chosen last.
 	surplus []string
 }
 
 func newLinkSet(a *Acceptor) *linkSet {
-	return &linkSet{acceptor: a, targets: make(map[string]*target), budget: newBudget()}
+	return &linkSet{acceptor: a, agents: make(map[string]*knownAgent), budget: newLinkBudget()}
 }
 
 // follow keeps the targets as the directory has them until ctx ends.
@@ -81,32 +81,32 @@
 	last := ""
 	go s.reselect(ctx)
 	revision := int64(0)
-	retry := storeRetry{clock: a.deps.Clock}
+	retry := storeBackoffTimer{clock: a.deps.Clock}
 	for ctx.Err() == nil {
 		var err error
 		if revision == 0 {
-			revision, err = s.list(ctx)
+			revision, err = s.loadDirectory(ctx)
 		} else {
-			revision, err = s.watch(ctx, revision)
+			revision, err = s.watchDirectory(ctx, revision)
 		}
 		if ctx.Err() != nil {
 			return nil
 		}
-		last = announcer.Dependency(a.deps, "directory", last, err)
-		retry.after(err)
+		last = announcer.LogDependency(a.deps, "directory", last, err)
+		retry.wait(err)
 	}
 	return nil
 }
 
-// storeRetry spaces the calls to the store that follow failed ones.
-type storeRetry struct {
+// storeBackoffTimer spaces the calls to the store that follow failed ones.
+type storeBackoffTimer struct {
 	clock clockwork.Clock
 	// failures counts the calls in a row that failed.
 	failures int
 }
 
-// after waits after a call that failed.
-func (r *storeRetry) after(err error) {
+// wait waits after a call that failed.
+func (r *storeBackoffTimer) wait(err error) {
 	if err == nil {
 		r.failures = 0
 		return
@@ -118,7 +118,7 @@
 // storeBackoff is the pause after some calls to the store that failed in a row,
 // without jitter.
 func storeBackoff(failures int) time.Duration {
-	return min(storePause<<min(max(failures-1, 0), 2), storePauseMost)
+	return min(minStoreBackoff<<min(max(failures-1, 0), 2), maxStoreBackoff)
 }
 
 // jittered returns a pause of half to one and a half times d.
@@ -126,73 +126,73 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
-// list reads the whole directory.
-func (s *linkSet) list(ctx context.Context) (int64, error) {
+// loadDirectory reads the whole directory.
+func (s *linkSet) loadDirectory(ctx context.Context) (int64, error) {
 	items, revision, err := s.acceptor.store.List(ctx, platform.AgentPrefix)
 	if err != nil {
 		return 0, err
 	}
 	listed := make(map[string]bool, len(items))
 	for _, i := range items {
-		listed[s.take(i)] = true
+		listed[s.register(i)] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, t := range s.targets {
+	for name, t := range s.agents {
 		if !listed[name] {
-			s.unlist(t)
+			s.markUnregistered(t)
 		}
 	}
-	s.link(ctx)
+	s.updateLinks(ctx)
 	return revision, nil
 }
 
-// watch waits for changes of the directory. Any error but a lost answer asks
+// watchDirectory waits for changes of the directory. Any error but a lost answer asks
 // for a new list.
-func (s *linkSet) watch(ctx context.Context, revision int64) (int64, error) {
-	items, next, err := s.acceptor.store.Watch(ctx, platform.AgentPrefix, revision, directoryWait)
+func (s *linkSet) watchDirectory(ctx context.Context, revision int64) (int64, error) {
+	items, next, err := s.acceptor.store.Watch(ctx, platform.AgentPrefix, revision, directoryWatchTimeout)
 	if err != nil || len(items) == 0 {
 		return next, err
 	}
-	s.takeAll(ctx, items)
-	s.acceptor.deps.Clock.Sleep(directoryPause)
+	s.applyChanges(ctx, items)
+	s.acceptor.deps.Clock.Sleep(directoryBatchDelay)
 	return next, nil
 }
 
-// takeAll takes in changes of the directory.
-func (s *linkSet) takeAll(ctx context.Context, items []platform.Item) {
+// applyChanges takes in changes of the directory.
+func (s *linkSet) applyChanges(ctx context.Context, items []platform.Item) {
 	for _, i := range items {
 		if i.Deleted {
-			s.drop(i.Key[len(platform.AgentPrefix):])
+			s.handleDeletion(i.Key[len(platform.AgentPrefix):])
 			continue
 		}
-		s.take(i)
+		s.register(i)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.link(ctx)
+	s.updateLinks(ctx)
 }
 
-// take notes a registered agent and returns its name.
-func (s *linkSet) take(i platform.Item) string {
-	r, err := platform.ReadRegistration(i)
+// register notes a registered agent and returns its name.
+func (s *linkSet) register(i platform.Item) string {
+	r, err := platform.ParseRegistration(i)
 	if err != nil {
 		s.acceptor.deps.Log.WithError(err).WithField("key", i.Key).Warn("registration passed over")
 		return ""
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.targets[r.Agent]; t != nil {
-		t.listed = true
-		if t.registration.Same(r) {
+	if t := s.agents[r.Agent]; t != nil {
+		t.registered = true
+		if t.registration.SameEndpoint(r) {
 			return r.Agent
 		}
-		if t.cancel != nil {
-			t.cancel()
+		if t.stopLink != nil {
+			t.stopLink()
 		}
 	}
-	s.targets[r.Agent] = &target{registration: r, listed: true, rank: rankOf(s.acceptor.cfg.ID, r.Agent)}
-	s.dirty = true
+	s.agents[r.Agent] = &knownAgent{registration: r, registered: true, rank: rankOf(s.acceptor.cfg.ID, r.Agent)}
+	s.selectionStale = true
 	return r.Agent
 }
 
@@ -201,154 +201,154 @@
 func (s *linkSet) reselect(ctx context.Context) {
 	// Tick ends with ctx and has no other error.
 	_ = announcer.Tick(ctx, s.acceptor.deps.Clock, reselectInterval, func() {
-		need := ask[scheduler.CapacityNeed](s.acceptor, needQuestion{})
-		if s.acceptor.lag.behind() > lagMost/2 {
+		need := ask[scheduler.CapacityNeed](s.acceptor, needQuery{})
+		if s.acceptor.lag.current() > maxLag/2 {
 			// What this entry lacks is processor time, which more links cost.
 			need = scheduler.CapacityNeed{}
 		}
-		s.release(s.adjust(ctx, need))
+		s.releaseSurplus(s.reselectOnce(ctx, need))
 	})
 }
 
-// adjust chooses the agents by the present need and returns the linked ones that
+// reselectOnce chooses the agents by the present need and returns the linked ones that
 // are not needed any more.
-func (s *linkSet) adjust(ctx context.Context, need scheduler.CapacityNeed) []string {
+func (s *linkSet) reselectOnce(ctx context.Context, need scheduler.CapacityNeed) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.budget.adjust(need, len(s.targets), s.acceptor.deps.Clock.Now()) {
-		s.dirty = true
-		s.acceptor.deps.Log.WithField("links", s.budget.most).WithField("short", need.Shortage).WithField("workers", need.Workers).Info("number of links changed")
+	if s.budget.adjust(need, len(s.agents), s.acceptor.deps.Clock.Now()) {
+		s.selectionStale = true
+		s.acceptor.deps.Log.WithField("links", s.budget.limit).WithField("short", need.Shortage).WithField("workers", need.Workers).Info("number of links changed")
 	}
-	s.link(ctx)
+	s.updateLinks(ctx)
 	return slices.Clone(s.surplus)
 }
 
-// release ends the links to agents on which nothing depends.
-func (s *linkSet) release(names []string) {
+// releaseSurplus ends the links to agents on which nothing depends.
+func (s *linkSet) releaseSurplus(names []string) {
 	if len(names) == 0 {
 		return
 	}
-	idle := ask[[]string](s.acceptor, releaseQuestion{agents: names})
+	idle := ask[[]string](s.acceptor, releaseLinks{agents: names})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, name := range idle {
-		if t := s.targets[name]; t != nil && t.cancel != nil {
-			t.cancel()
-			t.cancel = nil
+		if t := s.agents[name]; t != nil && t.stopLink != nil {
+			t.stopLink()
+			t.stopLink = nil
 			// Agents are chosen once more: it may have been chosen again meanwhile.
-			s.dirty = true
+			s.selectionStale = true
 		}
 	}
 }
 
-// link opens links to the chosen agents, if something has changed since they
+// updateLinks opens links to the chosen agents, if something has changed since they
 // were last chosen. The caller holds mu.
-func (s *linkSet) link(ctx context.Context) {
+func (s *linkSet) updateLinks(ctx context.Context) {
 	c, _ := s.acceptor.Configuration()
-	if !s.dirty && c.Revision == s.revision {
+	if !s.selectionStale && c.Revision == s.selectedRevision {
 		return
 	}
-	s.dirty = false
-	s.revision = c.Revision
-	list := make([]candidate, 0, len(s.targets))
-	for name, t := range s.targets {
+	s.selectionStale = false
+	s.selectedRevision = c.Revision
+	list := make([]candidate, 0, len(s.agents))
+	for name, t := range s.agents {
 		dc := t.registration.DataCentre
-		reached := t.failures < failuresMost
+		reached := t.dialFailures < maxDialFailures
 		list = append(list, candidate{
 			agent:      name,
 			dataCentre: dc,
 			rank:       t.rank,
-			reached:    reached,
+			reachable:  reached,
 			usable:     reached && !c.Evacuated[dc],
 		})
 	}
-	wanted := s.wanted(list)
+	wanted := s.selectAll(list)
 	for name := range wanted {
-		t := s.targets[name]
-		if t.cancel != nil {
+		t := s.agents[name]
+		if t.stopLink != nil {
 			continue
 		}
 		var inner context.Context
-		inner, t.cancel = context.WithCancel(ctx)
-		go s.keep(inner, t.registration)
+		inner, t.stopLink = context.WithCancel(ctx)
+		go s.maintainLink(inner, t.registration)
 	}
 	s.surplus = nil
-	for name, t := range s.targets {
-		if t.cancel != nil && !wanted[name] {
+	for name, t := range s.agents {
+		if t.stopLink != nil && !wanted[name] {
 			s.surplus = append(s.surplus, name)
 		}
 	}
 }
 
-// wanted returns the agents to link: those for the entry's tasks, and those at
+// selectAll returns the agents to link: those for the entry's tasks, and those at
 // which it meets the other entries.
-func (s *linkSet) wanted(list []candidate) map[string]bool {
+func (s *linkSet) selectAll(list []candidate) map[string]bool {
 	id, dc := s.acceptor.cfg.ID, s.acceptor.cfg.DataCentre
 	out := make(map[string]bool)
-	for _, name := range slices.Concat(choose(dc, list, s.budget.most), meetingAgents(id, list)) {
+	for _, name := range slices.Concat(selectAgents(dc, list, s.budget.limit), gridAgents(id, list)) {
 		out[name] = true
 	}
 	return out
 }
 
-// dialled notes the outcome of a dial.
-func (s *linkSet) dialled(name string, good bool) {
+// recordDial notes the outcome of a dial.
+func (s *linkSet) recordDial(name string, good bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.targets[name]
+	t := s.agents[name]
 	switch {
 	case t == nil:
 	case good:
-		s.dirty = s.dirty || t.failures >= failuresMost
-		t.failures = 0
+		s.selectionStale = s.selectionStale || t.dialFailures >= maxDialFailures
+		t.dialFailures = 0
 	default:
-		t.failures++
-		s.dirty = s.dirty || t.failures == failuresMost
+		t.dialFailures++
+		s.selectionStale = s.selectionStale || t.dialFailures == maxDialFailures
 	}
 }
 
-func (s *linkSet) drop(name string) {
+func (s *linkSet) handleDeletion(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.targets[name]; t != nil {
-		s.unlist(t)
+	if t := s.agents[name]; t != nil {
+		s.markUnregistered(t)
 	}
 }
 
-// unlist notes that the directory no longer holds a target. It is kept as long
+// markUnregistered notes that the directory no longer holds a target. It is kept as long
 // as it can be reached, since an entry of the directory may lapse while its
 // agent lives.
-func (s *linkSet) unlist(t *target) {
-	if t.listed {
-		t.listed = false
-		t.unlisted = s.acceptor.deps.Clock.Now()
+func (s *linkSet) markUnregistered(t *knownAgent) {
+	if t.registered {
+		t.registered = false
+		t.unregisteredAt = s.acceptor.deps.Clock.Now()
 	}
 }
 
-// forgotten reports whether an agent that cannot be reached is to be dropped.
-func (s *linkSet) forgotten(name string) bool {
+// evictIfExpired reports whether an agent that cannot be reached is to be dropped.
+func (s *linkSet) evictIfExpired(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.targets[name]
+	t := s.agents[name]
 	if t == nil {
 		return true
 	}
-	if t.listed || s.acceptor.deps.Clock.Since(t.unlisted) < forgetAfter {
+	if t.registered || s.acceptor.deps.Clock.Since(t.unregisteredAt) < evictAfter {
 		return false
 	}
-	delete(s.targets, name)
-	s.dirty = true
+	delete(s.agents, name)
+	s.selectionStale = true
 	return true
 }
 
-// keep holds one link to an agent open until ctx ends or the agent is
+// maintainLink holds one link to an agent open until ctx ends or the agent is
 // forgotten.
-func (s *linkSet) keep(ctx context.Context, r platform.Registration) {
+func (s *linkSet) maintainLink(ctx context.Context, r platform.Registration) {
 	a := s.acceptor
 	failures := 0
 	for ctx.Err() == nil {
 		l, err := messenger.Dial(ctx, r.Link, a)
-		s.dialled(r.Agent, err == nil)
+		s.recordDial(r.Agent, err == nil)
 		if err == nil {
 			failures = 0
 			a.post(linkOpened{agent: r.Agent, link: l})
@@ -357,18 +357,18 @@
 			case <-ctx.Done():
 				l.Close()
 			}
-		} else if s.forgotten(r.Agent) {
+		} else if s.evictIfExpired(r.Agent) {
 			a.deps.Log.WithField("agent", r.Agent).Info("agent forgotten")
 			return
 		}
-		pause := redialPause(failures)
+		pause := redialDelay(failures)
 		failures++
 		a.deps.Clock.Sleep(jittered(pause))
 	}
 }
 
-// redialPause is the pause after some dials that failed, without jitter.
-func redialPause(failures int) time.Duration {
+// redialDelay is the pause after some dials that failed, without jitter.
+func redialDelay(failures int) time.Duration {
 	const doublings = 10
-	return min(redialBase<<min(failures/redialRound, doublings), redialMost)
+	return min(minRedialDelay<<min(failures/redialsPerDoubling, doublings), maxRedialDelay)
 }
--- a/acceptor/linkset_test.go
+++ b/acceptor/linkset_test.go
@@ -17,48 +17,48 @@
 	var first time.Duration
 	const early = 10
 	for i := range early {
-		first += redialPause(i)
+		first += redialDelay(i)
 	}
 	// Machines that return from an outage start within 300 ms of each other.
 	require.LessOrEqual(t, first, 300*time.Millisecond)
-	require.Equal(t, redialMost, redialPause(100))
-	require.Equal(t, redialMost, redialPause(1_000_000))
+	require.Equal(t, maxRedialDelay, redialDelay(100))
+	require.Equal(t, maxRedialDelay, redialDelay(1_000_000))
 }
 
-// trickle is a store that tells of one more agent each time that it is asked.
-type trickle struct{ calls int }
+// growingStore is a store that tells of one more agent each time that it is asked.
+type growingStore struct{ calls int }
 
-func (s *trickle) List(context.Context, string) ([]platform.Item, int64, error) {
+func (s *growingStore) List(context.Context, string) ([]platform.Item, int64, error) {
 	return nil, 1, nil
 }
 
-func (s *trickle) Watch(_ context.Context, _ string, revision int64, _ time.Duration) ([]platform.Item, int64, error) {
+func (s *growingStore) Watch(_ context.Context, _ string, revision int64, _ time.Duration) ([]platform.Item, int64, error) {
 	s.calls++
 	value := fmt.Sprintf(`{"Agent":"agent-%d","DataCentre":"dc","Link":"127.0.0.1:1"}`, s.calls)
 	return []platform.Item{{Key: platform.AgentPrefix + "agent", Value: []byte(value)}}, revision + 1, nil
 }
 
 func TestAgentsThatRegisterTogetherDoNotCostTheStoreACallEach(t *testing.T) {
-	store := &trickle{}
+	store := &growingStore{}
 	a := &Acceptor{deps: provider.NewDeps(io.Discard), cfg: Config{ID: "entry", DataCentre: "dc"}, store: store}
 	s := newLinkSet(a)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	for revision := int64(1); ctx.Err() == nil; {
 		var err error
-		revision, err = s.watch(ctx, revision)
+		revision, err = s.watchDirectory(ctx, revision)
 		require.NoError(t, err)
 	}
 	// Hundreds of entries share the store's two thousand reads a second.
 	require.LessOrEqual(t, store.calls, 5)
 }
 
-func TestStoreThatTurnsAnEntryAwayIsAskedLessAndLess(t *testing.T) {
+func TestFailedCallsToTheStoreAreSpacedByBackoff(t *testing.T) {
 	var span time.Duration
 	const tries = 10
 	for i := range tries {
 		span += storeBackoff(i + 1)
 	}
 	require.GreaterOrEqual(t, span, 5*time.Second)
-	require.LessOrEqual(t, storeBackoff(1_000_000), storePauseMost)
+	require.LessOrEqual(t, storeBackoff(1_000_000), maxStoreBackoff)
 }
--- a/acceptor/selection.go
+++ b/acceptor/selection.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// localShare is the share of an entry's links that is in its own data centre,
+// localLinkShare is the share of an entry's links that is in its own data centre,
 // if there are as many agents.
-const localShare = 0.6
+const localLinkShare = 0.6
 
 // candidate is an agent that may be linked.
 type candidate struct {
@@ -17,8 +17,8 @@
 	dataCentre string
 	// rank is the place of the agent among all for this entry; see rankOf.
 	rank uint64
-	// reached is whether the agent is linked, or has not failed to be.
-	reached bool
+	// reachable is whether the agent is linked, or has not failed to be.
+	reachable bool
 	// usable is whether tasks may be placed there: it is reached and its data
 	// centre is not evacuated.
 	usable bool
@@ -28,10 +28,10 @@
 // entries share the agents out evenly without a word between them.
 func rankOf(entry, agent string) uint64 { return xxhash.Sum64String(entry + "/" + agent) }
 
-// choose returns the agents at which an entry has its tasks run: the first most
+// selectAgents returns the agents at which an entry has its tasks run: the first most
 // of its own ranking. Agents that are not usable are passed over in the count, so
 // that others take their place.
-func choose(dataCentre string, list []candidate, most int) []string {
+func selectAgents(dataCentre string, list []candidate, most int) []string {
 	sorted := slices.Clone(list)
 	slices.SortFunc(sorted, func(a, b candidate) int {
 		if c := cmp.Compare(a.rank, b.rank); c != 0 {
@@ -40,8 +40,8 @@
 		return cmp.Compare(a.agent, b.agent)
 	})
 	chosen := make(map[string]bool)
-	count := take(chosen, sorted, int(localShare*float64(most)), func(c candidate) bool { return c.dataCentre == dataCentre })
-	take(chosen, sorted, most-count, func(candidate) bool { return true })
+	count := selectMatching(chosen, sorted, int(localLinkShare*float64(most)), func(c candidate) bool { return c.dataCentre == dataCentre })
+	selectMatching(chosen, sorted, most-count, func(candidate) bool { return true })
 	var out []string
 	for _, c := range sorted {
 		if chosen[c.agent] {
@@ -51,9 +51,9 @@
 	return out
 }
 
-// take adds the first candidates that suit until most usable ones have been
+// selectMatching adds the first candidates that suit until most usable ones have been
 // added, and returns how many were.
-func take(chosen map[string]bool, list []candidate, most int, suits func(candidate) bool) int {
+func selectMatching(chosen map[string]bool, list []candidate, most int, suits func(candidate) bool) int {
 	n := 0
 	for _, c := range list {
 		if n >= most {
--- a/acceptor/selection_test.go
+++ b/acceptor/selection_test.go
@@ -11,19 +11,19 @@
 	var list []candidate
 	for i := range n {
 		agent := fmt.Sprintf("agent-%d", i)
-		list = append(list, candidate{agent: agent, dataCentre: fmt.Sprintf("dc-%d", i%3), rank: rankOf(entry, agent), reached: true, usable: true})
+		list = append(list, candidate{agent: agent, dataCentre: fmt.Sprintf("dc-%d", i%3), rank: rankOf(entry, agent), reachable: true, usable: true})
 	}
 	return list
 }
 
 func TestSmallFleetIsLinkedWhole(t *testing.T) {
-	require.Len(t, choose("dc-0", fleet("entry-1", 11), linksBase), 11)
+	require.Len(t, selectAgents("dc-0", fleet("entry-1", 11), baseLinks), 11)
 }
 
 func TestLinksAreBoundedAndMostlyLocal(t *testing.T) {
 	list := fleet("entry-1", 300)
-	chosen := choose("dc-0", list, linksBase)
-	require.Len(t, chosen, linksBase)
+	chosen := selectAgents("dc-0", list, baseLinks)
+	require.Len(t, chosen, baseLinks)
 	local := 0
 	for _, name := range chosen {
 		var i int
@@ -33,14 +33,14 @@
 			local++
 		}
 	}
-	require.GreaterOrEqual(t, float64(local), localShare*linksBase-1)
+	require.GreaterOrEqual(t, float64(local), localLinkShare*baseLinks-1)
 }
 
 func TestEveryAgentOfAGrownFleetIsLinked(t *testing.T) {
 	links := make(map[string]int)
 	for e := range 12 {
 		list := fleet(fmt.Sprintf("entry-%d", e), 68)
-		for _, name := range choose(fmt.Sprintf("dc-%d", e%3), list, linksBase) {
+		for _, name := range selectAgents(fmt.Sprintf("dc-%d", e%3), list, baseLinks) {
 			links[name]++
 		}
 	}
@@ -49,11 +49,11 @@
 
 func TestAgentsThatAreNotUsableAreReplaced(t *testing.T) {
 	list := fleet("entry-1", 68)
-	before := choose("dc-0", list, linksBase)
+	before := selectAgents("dc-0", list, baseLinks)
 	for i := range list {
 		list[i].usable = list[i].dataCentre != "dc-0"
 	}
-	after := choose("dc-0", list, linksBase)
+	after := selectAgents("dc-0", list, baseLinks)
 	usable := 0
 	for _, name := range after {
 		for _, c := range list {
@@ -62,14 +62,14 @@
 			}
 		}
 	}
-	require.Equal(t, linksBase, usable)
+	require.Equal(t, baseLinks, usable)
 	require.Subset(t, after, before)
 }
 
 func TestEntryShortOfRoomLinksMoreAgentsAndKeepsThoseThatItHas(t *testing.T) {
 	list := fleet("entry-1", 68)
-	before := choose("dc-0", list, linksBase)
-	after := choose("dc-0", list, linksBase+linksStep)
-	require.Len(t, after, linksBase+linksStep)
+	before := selectAgents("dc-0", list, baseLinks)
+	after := selectAgents("dc-0", list, baseLinks+linkShrinkStep)
+	require.Len(t, after, baseLinks+linkShrinkStep)
 	require.Subset(t, after, before)
 }
--- a/agent/actor.go
+++ b/agent/actor.go
@@ -19,9 +19,9 @@
 	tick struct{}
 	// drain begins a planned stop.
 	drain struct{}
-	// idleQuestion asks whether the ledger is idle.
+	// idleQuery asks whether the ledger is idle.
 	idleQuestion struct{}
-	// dumpQuestion asks for a starter.Dump.
+	// dumpQuery asks for a starter.Dump.
 	dumpQuestion struct{}
 	// linkOpened tells of a new link to an entry.
 	linkOpened struct {
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -79,7 +79,7 @@
 			DataCentre:  cfg.DataCentre,
 			Rack:        cfg.Rack,
 		},
-		system: announcer.NewSystem(deps),
+		system: announcer.NewActorSystem(deps),
 		stop:   make(chan struct{}),
 	}
 	a.runner = newRunner(deps, a.post)
@@ -111,7 +111,7 @@
 	return err
 }
 
-// drainAfter waits for the planned stop and then for an idle ledger.
+// drainOnShutdown waits for the planned stop and then for an idle ledger.
 func (a *Agent) drainAfter(ctx, inner context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/agent/link.go
+++ b/agent/link.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// redialBase and redialMost bound the pause before a link is opened
+	// minRedialDelay and maxRedialDelay bound the pause before a link is opened
 	// again; the pause doubles with each failure and is jittered.
 	redialBase = 50 * time.Millisecond
 	redialMost = 2 * time.Second
-	// forgetAfter drops an address that nobody has named for so long.
+	// evictAfter drops an address that nobody has named for so long.
 	forgetAfter = time.Minute
 )
 
--- a/announcer/announcer.go
+++ b/announcer/announcer.go
@@ -18,8 +18,8 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// NewSystem returns an actor system that logs to the process's log.
-func NewSystem(deps provider.Deps) *actor.ActorSystem {
+// NewActorSystem returns an actor system that logs to the process's log.
+func NewActorSystem(deps provider.Deps) *actor.ActorSystem {
 	handler := slog.NewJSONHandler(deps.Log.Logger.Out, &slog.HandlerOptions{Level: slog.LevelError})
 	return actor.NewActorSystem(actor.WithLoggerFactory(func(*actor.ActorSystem) *slog.Logger {
 		return slog.New(handler)
@@ -31,8 +31,8 @@
 	Dump() (any, error)
 }
 
-// ServeDump returns a handler that writes the state of d as JSON.
-func ServeDump(d Dumper) http.Handler {
+// NewDumpHandler returns a handler that writes the state of d as JSON.
+func NewDumpHandler(d Dumper) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		dump, err := d.Dump()
 		if err != nil {
@@ -76,20 +76,20 @@
 	deps.Log.WithField("dump", json.RawMessage(raw)).Info("state dump")
 }
 
-// ServeMetrics returns a handler of a process's metrics and state dump.
-func ServeMetrics(deps provider.Deps, d Dumper) http.Handler {
+// NewMetricsHandler returns a handler of a process's metrics and state dump.
+func NewMetricsHandler(deps provider.Deps, d Dumper) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		deps.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	mux.Handle("GET /dump", ServeDump(d))
+	mux.Handle("GET /dump", NewDumpHandler(d))
 	return mux
 }
 
-// Dependency logs when a dependency of the process is lost, fails in another
+// LogDependency logs when a dependency of the process is lost, fails in another
 // way or is regained. It returns the text to pass as last to the next call.
-func Dependency(deps provider.Deps, name, last string, err error) string {
+func LogDependency(deps provider.Deps, name, last string, err error) string {
 	now := ""
 	if err != nil {
 		now = err.Error()
--- a/announcer/conn.go
+++ b/announcer/conn.go
@@ -9,16 +9,16 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// WithConn keeps a connection for Gone. It is a ConnContext hook of a server.
-func WithConn(ctx context.Context, c net.Conn) context.Context {
+// ContextWithConn keeps a connection for Gone. It is a ConnContext hook of a server.
+func ContextWithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// Gone reports whether the peer of a request's connection has closed or reset
+// PeerClosed reports whether the peer of a request's connection has closed or reset
 // it. The context of a request ends with its connection, but only once the
 // library has come to read from it: a process that has been kept from running
 // would begin a request whose caller has long sent it elsewhere.
-func Gone(ctx context.Context) bool {
+func PeerClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(syscall.Conn)
 	if !ok {
 		return false
--- a/announcer/conn_test.go
+++ b/announcer/conn_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomeloferry/pomeloferry/announcer"
 )
 
-func TestGoneTellsOfACallerThatHasLeft(t *testing.T) {
+func TestPeerClosedReportsACallerThatHasDisconnected(t *testing.T) {
 	tests := []struct {
 		name  string
 		leave func(t *testing.T, c *net.TCPConn)
@@ -31,11 +31,11 @@
 			require.NoError(t, err)
 			s := &http.Server{
 				ReadHeaderTimeout: time.Second,
-				ConnContext:       announcer.WithConn,
+				ConnContext:       announcer.ContextWithConn,
 				Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 					arrived <- true
 					<-proceed
-					gone <- announcer.Gone(r.Context())
+					gone <- announcer.PeerClosed(r.Context())
 				}),
 			}
 			go func() { _ = s.Serve(l) }()
--- a/announcer/dispatcher.go
+++ b/announcer/dispatcher.go
@@ -11,29 +11,29 @@
 // others go on.
 const dispatcherThroughput = 300
 
-// dispatcher runs one actor on a goroutine that it keeps. A goroutine for each
+// singleGoroutineDispatcher runs one actor on a goroutine that it keeps. A goroutine for each
 // batch of messages would have to grow its stack each time.
-type dispatcher struct {
+type singleGoroutineDispatcher struct {
 	work chan func()
 
 	mu sync.Mutex
-	// ended means that the goroutine takes nothing more.
-	ended bool
+	// stopped means that the goroutine takes nothing more.
+	stopped bool
 }
 
 // NewDispatcher returns a dispatcher for one actor. Its goroutine ends with ctx.
 func NewDispatcher(ctx context.Context) actor.Dispatcher {
 	// An actor schedules itself at most once while it runs.
-	d := &dispatcher{work: make(chan func(), 1)}
+	d := &singleGoroutineDispatcher{work: make(chan func(), 1)}
 	go d.run(ctx)
 	return d
 }
 
-func (d *dispatcher) run(ctx context.Context) {
+func (d *singleGoroutineDispatcher) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
-			d.end()
+			d.stop()
 			return
 		case f := <-d.work:
 			f()
@@ -41,11 +41,11 @@
 	}
 }
 
-// end lets what is scheduled go on elsewhere.
-func (d *dispatcher) end() {
+// stop lets what is scheduled go on elsewhere.
+func (d *singleGoroutineDispatcher) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ended = true
+	d.stopped = true
 	select {
 	case f := <-d.work:
 		go f()
@@ -55,10 +55,10 @@
 
 // Schedule implements actor.Dispatcher. After the end of the context the actor
 // still takes in what tells it to stop.
-func (d *dispatcher) Schedule(f func()) {
+func (d *singleGoroutineDispatcher) Schedule(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.ended {
+	if d.stopped {
 		go f()
 		return
 	}
@@ -66,4 +66,4 @@
 }
 
 // Throughput implements actor.Dispatcher.
-func (d *dispatcher) Throughput() int { return dispatcherThroughput }
+func (d *singleGoroutineDispatcher) Throughput() int { return dispatcherThroughput }
--- a/announcer/front_test.go
+++ b/announcer/graceful_test.go
@@ -15,11 +15,11 @@
 )
 
 // startFront serves a handler on loopback until the test ends.
-func startFront(t *testing.T, h http.HandlerFunc) (*announcer.Front, string, chan error) {
+func startFront(t *testing.T, h http.HandlerFunc) (*announcer.GracefulServer, string, chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := announcer.NewFront(clockwork.NewRealClock(), &http.Server{Handler: h, ReadHeaderTimeout: time.Second}, l)
+	f := announcer.NewGracefulServer(clockwork.NewRealClock(), &http.Server{Handler: h, ReadHeaderTimeout: time.Second}, l)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(ctx) }()
--- a/attendant/core.go
+++ b/attendant/actor.go
@@ -13,12 +13,12 @@
 type (
 	// tick asks for a look at what has come due.
 	tick struct{}
-	// leaving begins a planned stop.
-	leaving struct{}
-	// idleQuestion asks whether nothing runs.
-	idleQuestion struct{}
-	// dumpQuestion asks for an executor.Dump.
-	dumpQuestion struct{}
+	// shutdown begins a planned stop.
+	shutdown struct{}
+	// idleQuery asks whether nothing runs.
+	idleQuery struct{}
+	// dumpQuery asks for an executor.Dump.
+	dumpQuery struct{}
 	// linkMessage carries a message from an entry.
 	linkMessage struct {
 		link *messenger.Link
@@ -28,92 +28,92 @@
 	linkClosed struct{ link *messenger.Link }
 	// heartbeat carries the worker's word on itself.
 	heartbeat struct{ platform.Heartbeat }
-	// recalled carries the worker that an earlier incarnation knew.
-	recalled struct{ upstream messenger.Upstream }
-	// departed tells that the worker has left.
-	departed struct{ id string }
-	// started carries the outcome of a start.
-	started struct {
-		order executor.Start
-		out   executor.CallResult
-	}
-	// looked carries the answer to a look.
-	looked struct {
-		seen executor.PollResult
-		out  executor.CallResult
+	// upstreamRestored carries the worker that an earlier incarnation knew.
+	upstreamRestored struct{ upstream messenger.Upstream }
+	// workerDeparted tells that the worker has left.
+	workerDeparted struct{ id string }
+	// startResult carries the outcome of a start.
+	startResult struct {
+		start  executor.Start
+		result executor.CallResult
+	}
+	// pollResult carries the answer to a look.
+	pollResult struct {
+		result     executor.PollResult
+		callResult executor.CallResult
 	}
 )
 
-// core owns the executor.
-type core struct {
+// agentActor owns the executor.
+type agentActor struct {
 	attendant *Attendant
 	executor  *executor.Executor
 	// links maps the name of an entry to its newest link.
-	links map[string]*messenger.Link
-	names map[*messenger.Link]string
-	// last is the last heartbeat that was taken in.
-	last   platform.Heartbeat
-	calls  *calls
-	meters meters
+	links       map[string]*messenger.Link
+	entryByLink map[*messenger.Link]string
+	// lastHeartbeat is the last heartbeat that was taken in.
+	lastHeartbeat platform.Heartbeat
+	callPool      *callPool
+	metrics       agentMetrics
 }
 
-func newCore(a *Attendant) *core {
-	return &core{
+func newAgentActor(a *Attendant) *agentActor {
+	return &agentActor{
 		attendant: a,
 		executor: executor.NewExecutor(a.deps.Clock, a.identity, executor.Config{
-			DrainTimeout: a.cfg.DrainWithin,
+			DrainTimeout: a.cfg.DrainTimeout,
 		}),
-		links:  make(map[string]*messenger.Link),
-		names:  make(map[*messenger.Link]string),
-		calls:  newCalls(a.ctx),
-		meters: newMeters(a.deps.Metrics),
+		links:       make(map[string]*messenger.Link),
+		entryByLink: make(map[*messenger.Link]string),
+		callPool:    newCallPool(a.ctx),
+		metrics:     newAgentMetrics(a.deps.Metrics),
 	}
 }
 
 // Receive implements actor.Actor.
-func (c *core) Receive(ctx actor.Context) {
+func (c *agentActor) Receive(ctx actor.Context) {
 	switch m := ctx.Message().(type) {
 	case tick:
 		c.executor.Tick()
-	case leaving:
+	case shutdown:
 		c.executor.BeginShutdown()
-	case idleQuestion:
+	case idleQuery:
 		ctx.Respond(c.executor.Idle())
-	case dumpQuestion:
+	case dumpQuery:
 		ctx.Respond(c.executor.Dump())
 	case linkMessage:
-		c.receive(m)
+		c.handleLinkMessage(m)
 	case linkClosed:
-		c.closed(m.link)
+		c.handleLinkClosed(m.link)
 	case heartbeat:
-		c.heartbeat(m.Heartbeat)
+		c.handleHeartbeat(m.Heartbeat)
 		ctx.Respond(true)
-	case recalled:
-		c.recall(m.upstream)
-	case departed:
+	case upstreamRestored:
+		c.restoreUpstream(m.upstream)
+	case workerDeparted:
 		c.attendant.deps.Log.WithField("worker", m.id).Info("worker left")
 		c.executor.HandleWorkerDeparture(m.id)
-	case started:
-		c.executor.HandleStartResult(m.order.Run, m.order.Token, m.out)
-	case looked:
-		c.looked(m)
+	case startResult:
+		c.executor.HandleStartResult(m.start.Run, m.start.Token, m.result)
+	case pollResult:
+		c.handlePollResult(m)
 	}
-	c.carryOut()
+	c.applyEffects()
 }
 
-func (c *core) looked(m looked) {
-	if m.out == executor.Accepted {
-		c.executor.HandlePollResult(m.seen)
+func (c *agentActor) handlePollResult(m pollResult) {
+	if m.callResult == executor.Accepted {
+		c.executor.HandlePollResult(m.result)
 		return
 	}
-	c.executor.HandlePollFailure(m.seen.Number, m.out)
+	c.executor.HandlePollFailure(m.result.Number, m.callResult)
 }
 
-// heartbeat takes in the worker's word, unless a later one has come before.
-func (c *core) heartbeat(h platform.Heartbeat) {
+// handleHeartbeat takes in the worker's word, unless a later one has come before.
+func (c *agentActor) handleHeartbeat(h platform.Heartbeat) {
 	up := c.executor.Upstream()
 	same := h.ID == up.ID && h.Born == up.Born
-	late := h.ID == c.last.ID && h.Born == c.last.Born && h.Sequence < c.last.Sequence
+	late := h.ID == c.lastHeartbeat.ID && h.Born == c.lastHeartbeat.Born && h.Sequence < c.lastHeartbeat.Sequence
 	if h.Born < up.Born || late {
 		c.attendant.deps.Log.WithField("worker", h.ID).WithField("sequence", h.Sequence).Info("late heartbeat passed over")
 		return
@@ -125,17 +125,17 @@
 			"draining": h.Draining,
 			"cpu":      h.Capacity.CPU,
 		}).Info("worker changed")
-		c.attendant.describe(h.Upstream)
+		c.attendant.publishUpstream(h.Upstream)
 	}
-	c.last = h
-	c.attendant.worker.Sample(h.ID, h.Born, h.ClockMillis)
+	c.lastHeartbeat = h
+	c.attendant.worker.ObserveClock(h.ID, h.Born, h.ClockMillis)
 	c.executor.SetUpstream(h.Upstream)
 }
 
-// recall uses what an earlier incarnation knew of the worker, unless the
+// restoreUpstream uses what an earlier incarnation knew of the worker, unless the
 // worker has announced itself already. Its first look shows whether it still
 // holds, since each call names the incarnation that it is meant for.
-func (c *core) recall(u messenger.Upstream) {
+func (c *agentActor) restoreUpstream(u messenger.Upstream) {
 	if up := c.executor.Upstream(); up.ID != "" {
 		return
 	}
@@ -143,12 +143,12 @@
 	c.executor.SetUpstream(u)
 }
 
-func (c *core) receive(m linkMessage) {
+func (c *agentActor) handleLinkMessage(m linkMessage) {
 	if h, ok := m.msg.(*messenger.Hello); ok {
-		c.hello(m.link, *h)
+		c.handleHello(m.link, *h)
 		return
 	}
-	name, ok := c.names[m.link]
+	name, ok := c.entryByLink[m.link]
 	if !ok {
 		return // A link that another one of the same entry has replaced.
 	}
@@ -164,55 +164,55 @@
 	}
 }
 
-func (c *core) hello(l *messenger.Link, h messenger.Hello) {
+func (c *agentActor) handleHello(l *messenger.Link, h messenger.Hello) {
 	if old := c.links[h.Entry]; old != nil {
-		delete(c.names, old)
+		delete(c.entryByLink, old)
 		old.Close()
 	}
 	c.links[h.Entry] = l
-	c.names[l] = h.Entry
+	c.entryByLink[l] = h.Entry
 	c.attendant.deps.Log.WithField("entry", h.Entry).Info("entry in touch")
 	c.executor.HandleHello(h)
 }
 
-func (c *core) closed(l *messenger.Link) {
-	name, ok := c.names[l]
+func (c *agentActor) handleLinkClosed(l *messenger.Link) {
+	name, ok := c.entryByLink[l]
 	if !ok {
 		return
 	}
-	delete(c.names, l)
+	delete(c.entryByLink, l)
 	delete(c.links, name)
 	c.attendant.deps.Log.WithField("entry", name).Info("entry out of touch")
 	c.executor.HandleLinkClosed(name)
 }
 
 // applyEffects does what the executor decided.
-func (c *core) carryOut() {
+func (c *agentActor) applyEffects() {
 	a := c.attendant
 	for _, e := range c.executor.TakeEffects() {
 		switch e := e.(type) {
 		case executor.Start:
-			c.meters.starts.Inc()
-			c.calls.do(func() { a.start(e) })
+			c.metrics.starts.Inc()
+			c.callPool.run(func() { a.start(e) })
 		case executor.Stop:
-			c.meters.stops.Inc()
-			c.calls.do(func() { a.stop(e) })
+			c.metrics.stops.Inc()
+			c.callPool.run(func() { a.stop(e) })
 		case executor.Poll:
-			c.meters.looks.Inc()
-			c.calls.do(func() { a.look(e) })
+			c.metrics.polls.Inc()
+			c.callPool.run(func() { a.poll(e) })
 		case executor.SendReport:
-			c.meters.reports.Inc()
+			c.metrics.reports.Inc()
 			if l := c.links[e.Entry]; l != nil {
 				l.Send(e.Report)
 			}
 		case executor.TickAfter:
 			a.deps.Clock.AfterFunc(e.Delay, func() { a.post(tick{}) })
 		case executor.Note:
-			c.meters.decided(e.What)
-			a.note(e)
+			c.metrics.countDecision(e.What)
+			a.logNote(e)
 		}
 	}
-	c.meters.reserved.Set(float64(c.executor.ReservedCapacity().CPU))
+	c.metrics.reservedMillicores.Set(float64(c.executor.ReservedCapacity().CPU))
 }
 
 func (a *Attendant) start(s executor.Start) {
@@ -220,7 +220,7 @@
 	if err != nil {
 		a.deps.Log.WithError(err).WithField("task", s.Run.Task).WithField("run", s.Run.Number).WithField("token", s.Token).Warn("start failed")
 	}
-	a.post(started{order: s, out: out})
+	a.post(startResult{start: s, result: out})
 }
 
 func (a *Attendant) stop(s executor.Stop) {
@@ -229,15 +229,15 @@
 	}
 }
 
-func (a *Attendant) look(l executor.Poll) {
-	seen, out, err := a.worker.Look(a.ctx, l)
+func (a *Attendant) poll(l executor.Poll) {
+	seen, out, err := a.worker.Poll(a.ctx, l)
 	if err != nil && a.ctx.Err() == nil {
 		a.deps.Log.WithError(err).WithField("worker", l.Upstream.ID).WithField("token", l.Token).Warn("look failed")
 	}
-	a.post(looked{seen: seen, out: out})
+	a.post(pollResult{result: seen, callResult: out})
 }
 
-func (a *Attendant) note(n executor.Note) {
+func (a *Attendant) logNote(n executor.Note) {
 	a.deps.Log.WithFields(logrus.Fields{
 		"task":   n.Run.Task,
 		"run":    n.Run.Number,
--- a/attendant/core_test.go
+++ b/attendant/actor_test.go
@@ -25,21 +25,21 @@
 	return executor.NotSent, nil
 }
 
-func (noWorker) Look(context.Context, executor.Poll) (executor.PollResult, executor.CallResult, error) {
+func (noWorker) Poll(context.Context, executor.Poll) (executor.PollResult, executor.CallResult, error) {
 	return executor.PollResult{}, executor.NotSent, nil
 }
 
-func (noWorker) Sample(string, int64, float64) {}
+func (noWorker) ObserveClock(string, int64, float64) {}
 
-func TestNoticeOfAWorkerIsHeardAfterTheHeartbeatOfAnother(t *testing.T) {
-	c := newCore(&Attendant{
-		deps:      provider.NewDeps(io.Discard),
-		cfg:       Config{DrainWithin: 2 * time.Second},
-		worker:    noWorker{},
-		described: make(chan messenger.Upstream, 1),
+func TestDrainingWorkerIsHandledAfterAHeartbeatOfAnotherWorker(t *testing.T) {
+	c := newAgentActor(&Attendant{
+		deps:            provider.NewDeps(io.Discard),
+		cfg:             Config{DrainTimeout: 2 * time.Second},
+		worker:          noWorker{},
+		upstreamUpdates: make(chan messenger.Upstream, 1),
 	})
 	beat := func(id string, born, sequence int64, draining bool) {
-		c.heartbeat(platform.Heartbeat{
+		c.handleHeartbeat(platform.Heartbeat{
 			Upstream: messenger.Upstream{ID: id, Born: born, Service: "quotes", Draining: draining},
 			Sequence: sequence,
 		})
@@ -58,16 +58,16 @@
 
 // TestReserveReachesTheExecutor guards against a core that drops the message.
 func TestReserveReachesTheExecutor(t *testing.T) {
-	c := newCore(&Attendant{
-		deps:      provider.NewDeps(io.Discard),
-		worker:    noWorker{},
-		described: make(chan messenger.Upstream, 1),
+	c := newAgentActor(&Attendant{
+		deps:            provider.NewDeps(io.Discard),
+		worker:          noWorker{},
+		upstreamUpdates: make(chan messenger.Upstream, 1),
 	})
 	room := messenger.Resources{CPU: 8000}
-	c.heartbeat(platform.Heartbeat{Upstream: messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: room}, Sequence: 1})
+	c.handleHeartbeat(platform.Heartbeat{Upstream: messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: room}, Sequence: 1})
 	link := new(messenger.Link)
-	c.receive(linkMessage{link: link, msg: &messenger.Hello{Entry: "e", Incarnation: 1}})
+	c.handleLinkMessage(linkMessage{link: link, msg: &messenger.Hello{Entry: "e", Incarnation: 1}})
 	want := messenger.Resources{CPU: 4000}
-	c.receive(linkMessage{link: link, msg: &messenger.Reserve{Number: 1, Demand: want, TTL: time.Second}})
+	c.handleLinkMessage(linkMessage{link: link, msg: &messenger.Reserve{Number: 1, Demand: want, TTL: time.Second}})
 	require.Equal(t, want, c.executor.ReservedCapacity())
 }
--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -27,92 +27,92 @@
 	mailboxSize = 8192
 	// askTimeout bounds the wait for the actor's answer to a question.
 	askTimeout = time.Second
-	// stopReserve is what a planned stop leaves of the time it has.
-	stopReserve = 1500 * time.Millisecond
-	// handOver is the time for the last reports to reach the entries.
-	handOver = 50 * time.Millisecond
-	// tokensPerMilli spaces the fencing tokens of incarnations, so that each
+	// gracePeriodMargin is what a planned stop leaves of the time it has.
+	gracePeriodMargin = 1500 * time.Millisecond
+	// reportFlushDelay is the time for the last reports to reach the entries.
+	reportFlushDelay = 50 * time.Millisecond
+	// tokensPerMillisecond spaces the fencing tokens of incarnations, so that each
 	// starts above all that an earlier one has used.
-	tokensPerMilli = 1000
+	tokensPerMillisecond = 1000
 )
 
-// Worker is what an agent needs of the worker beside it.
-type Worker interface {
+// WorkerClient is what an agent needs of the worker beside it.
+type WorkerClient interface {
 	Start(ctx context.Context, s executor.Start) (executor.CallResult, error)
 	Stop(ctx context.Context, s executor.Stop) (executor.CallResult, error)
-	Look(ctx context.Context, l executor.Poll) (executor.PollResult, executor.CallResult, error)
-	Sample(id string, born int64, clockMillis float64)
+	Poll(ctx context.Context, l executor.Poll) (executor.PollResult, executor.CallResult, error)
+	ObserveClock(id string, born int64, clockMillis float64)
 }
 
 // Directory registers the agent where entries find it.
 type Directory interface {
-	// Recall returns the worker that an earlier incarnation registered.
-	Recall(ctx context.Context) (messenger.Upstream, error)
-	// Describe changes the worker that the next Renew registers.
-	Describe(u messenger.Upstream)
+	// LastUpstream returns the worker that an earlier incarnation registered.
+	LastUpstream(ctx context.Context) (messenger.Upstream, error)
+	// SetUpstream changes the worker that the next Renew registers.
+	SetUpstream(u messenger.Upstream)
 	// Renew returns when to call it again.
 	Renew(ctx context.Context) (time.Duration, error)
-	Leave(ctx context.Context) error
+	Deregister(ctx context.Context) error
 }
 
 // Config describes one agent.
 type Config struct {
 	ID         string
 	DataCentre string
-	// Link is where entries reach the agent.
-	Link string
-	// Control is where the worker announces itself.
-	Control string
-	// Metrics is where metrics and the state dump are served.
-	Metrics string
-	// Grace bounds a planned stop.
-	Grace time.Duration
+	// LinkAddr is where entries reach the agent.
+	LinkAddr string
+	// ControlAddr is where the worker announces itself.
+	ControlAddr string
+	// MetricsAddr is where metrics and the state dump are served.
+	MetricsAddr string
+	// GracePeriod bounds a planned stop.
+	GracePeriod time.Duration
 	// DrainTimeout is how long after the worker's notice to leave tasks may
 	// still start on it.
-	DrainWithin time.Duration
+	DrainTimeout time.Duration
 }
 
 // Attendant is one agent process.
 type Attendant struct {
 	deps      provider.Deps
 	cfg       Config
-	worker    Worker
+	worker    WorkerClient
 	directory Directory
 	listeners struct{ link, control, metrics net.Listener }
 	system    *actor.ActorSystem
 	pid       *actor.PID
 	identity  executor.Identity
 	ctx       context.Context
-	// described carries the newest worker to the directory.
-	described chan messenger.Upstream
+	// upstreamUpdates carries the newest worker to the directory.
+	upstreamUpdates chan messenger.Upstream
 }
 
 // NewAttendant returns an agent that listens already.
-func NewAttendant(deps provider.Deps, cfg Config, w Worker, d Directory) (*Attendant, error) {
+func NewAttendant(deps provider.Deps, cfg Config, w WorkerClient, d Directory) (*Attendant, error) {
 	now := deps.Clock.Now()
 	a := &Attendant{
-		deps:      deps.WithField("agent", cfg.ID).WithField("data_centre", cfg.DataCentre),
-		cfg:       cfg,
-		worker:    w,
-		directory: d,
-		described: make(chan messenger.Upstream, 1),
+		deps:            deps.WithField("agent", cfg.ID).WithField("data_centre", cfg.DataCentre),
+		cfg:             cfg,
+		worker:          w,
+		directory:       d,
+		upstreamUpdates: make(chan messenger.Upstream, 1),
 		identity: executor.Identity{
 			Agent:       cfg.ID,
 			DataCentre:  cfg.DataCentre,
 			Incarnation: now.UnixMilli(),
-			Token:       uint64(now.UnixMilli()) * tokensPerMilli,
+			Token:       uint64(now.UnixMilli()) * tokensPerMillisecond,
 		},
 	}
 	list, err := announcer.Listen(
-		announcer.Address{Setting: "Link", Addr: cfg.Link},
-		announcer.Address{Setting: "Control", Addr: cfg.Control},
-		announcer.Address{Setting: "Metrics", Addr: cfg.Metrics},
+		announcer.Address{Setting: "Link", Addr: cfg.LinkAddr},
+		announcer.Address{Setting: "Control", Addr: cfg.ControlAddr},
+		announcer.Address{Setting: "Metrics", Addr: cfg.MetricsAddr},
 	)
 	if err != nil {
 		return nil, err
 	}
 	a.listeners.link, a.listeners.control, a.listeners.metrics = list[0], list[1], list[2]
-	a.system = announcer.NewSystem(a.deps)
+	a.system = announcer.NewActorSystem(a.deps)
 	return a, nil
 }
 
@@ -122,47 +122,47 @@
 	defer cancel()
 	a.ctx = inner
 	a.pid = a.system.Root.Spawn(actor.PropsFromProducer(
-		func() actor.Actor { return newCore(a) },
+		func() actor.Actor { return newAgentActor(a) },
 		actor.WithMailbox(actor.Bounded(mailboxSize)),
 		actor.WithDispatcher(announcer.NewDispatcher(inner)),
 	))
 	defer a.system.Shutdown()
-	control := &http.Server{Handler: platform.NewHeartbeatServer(a), ReadHeaderTimeout: time.Second}
-	metrics := &http.Server{Handler: announcer.ServeMetrics(a.deps, a), ReadHeaderTimeout: time.Second}
+	control := &http.Server{Handler: platform.NewHeartbeatHandler(a), ReadHeaderTimeout: time.Second}
+	metrics := &http.Server{Handler: announcer.NewMetricsHandler(a.deps, a), ReadHeaderTimeout: time.Second}
 
 	var g run.Group
-	g.Add(func() error { return a.drainAfter(ctx, inner) }, func(error) { cancel() })
+	g.Add(func() error { return a.drainOnShutdown(ctx, inner) }, func(error) { cancel() })
 	g.Add(func() error { return announcer.Serve(control, a.listeners.control) }, func(error) { _ = control.Close() })
 	g.Add(func() error { return announcer.Serve(metrics, a.listeners.metrics) }, func(error) { _ = metrics.Close() })
 	g.Add(func() error { return a.acceptLinks(inner) }, func(error) { _ = a.listeners.link.Close() })
 	g.Add(func() error { return a.tick(inner) }, func(error) { cancel() })
-	g.Add(func() error { return a.register(inner) }, func(error) { cancel() })
-	a.deps.Log.WithField("link", a.cfg.Link).WithField("token", a.identity.Token).Info("agent started")
+	g.Add(func() error { return a.keepRegistered(inner) }, func(error) { cancel() })
+	a.deps.Log.WithField("link", a.cfg.LinkAddr).WithField("token", a.identity.Token).Info("agent started")
 	err := g.Run()
 	a.deps.Log.Info("agent stopped")
 	return err
 }
 
-// drainAfter waits for the planned stop, refuses what is new and waits for
+// drainOnShutdown waits for the planned stop, refuses what is new and waits for
 // what runs.
-func (a *Attendant) drainAfter(ctx, inner context.Context) error {
+func (a *Attendant) drainOnShutdown(ctx, inner context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-inner.Done():
 		return nil
 	}
 	a.deps.Log.Info("agent draining")
-	a.post(leaving{})
-	limit, cancel := context.WithTimeout(inner, a.cfg.Grace-stopReserve)
+	a.post(shutdown{})
+	limit, cancel := context.WithTimeout(inner, a.cfg.GracePeriod-gracePeriodMargin)
 	defer cancel()
 	for limit.Err() == nil {
-		if answer, err := a.ask(idleQuestion{}); err == nil && answer == true {
+		if answer, err := a.ask(idleQuery{}); err == nil && answer == true {
 			break
 		}
 		a.deps.Clock.Sleep(tickInterval)
 	}
-	a.deps.Clock.Sleep(handOver)
-	if err := a.directory.Leave(inner); err != nil {
+	a.deps.Clock.Sleep(reportFlushDelay)
+	if err := a.directory.Deregister(inner); err != nil {
 		a.deps.Log.WithError(err).Warn("registration not removed")
 	}
 	return nil
@@ -187,34 +187,34 @@
 	return announcer.Tick(ctx, a.deps.Clock, tickInterval, func() { a.post(tick{}) })
 }
 
-// register keeps the agent in the directory.
-func (a *Attendant) register(ctx context.Context) error {
-	up, err := a.directory.Recall(ctx)
-	last := announcer.Dependency(a.deps, "store", "", err)
+// keepRegistered keeps the agent in the directory.
+func (a *Attendant) keepRegistered(ctx context.Context) error {
+	up, err := a.directory.LastUpstream(ctx)
+	last := announcer.LogDependency(a.deps, "store", "", err)
 	if up.Born != 0 {
-		a.post(recalled{upstream: up})
-		a.directory.Describe(up)
+		a.post(upstreamRestored{upstream: up})
+		a.directory.SetUpstream(up)
 	}
 	for {
 		pause, err := a.directory.Renew(ctx)
-		last = announcer.Dependency(a.deps, "store", last, err)
+		last = announcer.LogDependency(a.deps, "store", last, err)
 		select {
 		case <-ctx.Done():
 			return nil
-		case up := <-a.described:
-			a.directory.Describe(up)
+		case up := <-a.upstreamUpdates:
+			a.directory.SetUpstream(up)
 		case <-a.deps.Clock.After(pause):
 		}
 	}
 }
 
-// describe has the newest worker registered.
-func (a *Attendant) describe(u messenger.Upstream) {
+// publishUpstream has the newest worker registered.
+func (a *Attendant) publishUpstream(u messenger.Upstream) {
 	select {
-	case <-a.described:
+	case <-a.upstreamUpdates:
 	default:
 	}
-	a.described <- u
+	a.upstreamUpdates <- u
 }
 
 // post sends msg to the actor. It waits while the mailbox is full.
@@ -225,7 +225,7 @@
 }
 
 // Dump implements announcer.Dumper.
-func (a *Attendant) Dump() (any, error) { return a.ask(dumpQuestion{}) }
+func (a *Attendant) Dump() (any, error) { return a.ask(dumpQuery{}) }
 
 // Receive implements messenger.Handler.
 func (a *Attendant) Receive(l *messenger.Link, msg any) { a.post(linkMessage{link: l, msg: msg}) }
@@ -233,18 +233,18 @@
 // Closed implements messenger.Handler.
 func (a *Attendant) Closed(l *messenger.Link) { a.post(linkClosed{link: l}) }
 
-// Heartbeat implements platform.HeartbeatHandler.
-func (a *Attendant) Heartbeat(h platform.Heartbeat) {
+// HandleHeartbeat implements platform.HeartbeatReceiver.
+func (a *Attendant) HandleHeartbeat(h platform.Heartbeat) {
 	// The acknowledgement must not be sent before the state is in force.
 	if _, err := a.ask(heartbeat{h}); err != nil {
 		a.deps.Log.WithError(err).Warn("heartbeat not taken in")
 	}
 }
 
-// Leave implements platform.HeartbeatHandler.
-func (a *Attendant) Leave(id string) { a.post(departed{id: id}) }
+// HandleDeparture implements platform.HeartbeatReceiver.
+func (a *Attendant) HandleDeparture(id string) { a.post(workerDeparted{id: id}) }
 
-// Unreadable implements platform.HeartbeatHandler.
-func (a *Attendant) Unreadable(err error) {
+// HandleInvalid implements platform.HeartbeatReceiver.
+func (a *Attendant) HandleInvalid(err error) {
 	a.deps.Log.WithError(err).Warn("heartbeat passed over")
 }
--- a/attendant/calls_test.go
+++ b/attendant/callpool_test.go
@@ -9,15 +9,15 @@
 )
 
 func TestCallsDoNotWaitForEachOther(t *testing.T) {
-	const many = 5 * callersKept
-	c := newCalls(t.Context())
+	const many = 5 * pooledGoroutines
+	c := newCallPool(t.Context())
 	for range 3 {
 		var began, ended sync.WaitGroup
 		release := make(chan struct{})
 		began.Add(many)
 		ended.Add(many)
 		for range many {
-			c.do(func() {
+			c.run(func() {
 				began.Done()
 				<-release
 				ended.Done()
@@ -36,5 +36,5 @@
 		close(release)
 		ended.Wait()
 	}
-	require.LessOrEqual(t, len(c.kept), callersKept)
+	require.LessOrEqual(t, len(c.idleSlots), pooledGoroutines)
 }
--- a/checker/configuration.go
+++ b/checker/configuration.go
@@ -14,7 +14,7 @@
 // checkConfiguration judges the operators' configuration, and against the
 // settings of a machine if they are given.
 func (d document) checkConfiguration(deployment *File) ([]Finding, error) {
-	read := decode(d, platform.ReadConfiguration)
+	read := decode(d, platform.ParseConfiguration)
 	out := read.findings
 	if hasFault(out) {
 		return out, nil
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, &Error{Op: "read settings", Kind: Unreadable, File: deployment.Name, Err: err}
 	}
-	return append(out, d.resendRules(read.value.Queues, s.Resend)...), nil
+	return append(out, d.resendRules(read.value.Queues, s.MinResendDelay)...), nil
 }
 
 // place is where a queue takes requests.
--- a/checker/configuration_test.go
+++ b/checker/configuration_test.go
@@ -37,7 +37,7 @@
 		}
 		raw, err := json.Marshal(map[string]any{"version": 1, "routes": routes})
 		require.NoError(t, err)
-		c, err := platform.ReadConfiguration(raw)
+		c, err := platform.ParseConfiguration(raw)
 		require.NoError(t, err)
 		reached := make(map[string]bool)
 		for _, host := range []string{"a", "b"} {
--- a/checker/difference.go
+++ b/checker/difference.go
@@ -250,12 +250,12 @@
 }
 
 func (d document) configurationVersion(old document) ([]Finding, error) {
-	before, err := platform.ReadConfiguration(old.raw)
+	before, err := platform.ParseConfiguration(old.raw)
 	if err != nil {
 		return nil, err
 	}
 	// checkConfiguration reports a file that cannot be decoded.
-	after, err := platform.ReadConfiguration(d.raw)
+	after, err := platform.ParseConfiguration(d.raw)
 	if err != nil || after.Version >= before.Version {
 		return nil, nil
 	}
--- a/checker/machine.go
+++ b/checker/machine.go
@@ -14,7 +14,7 @@
 	told := make(map[string]bool)
 	for _, f := range faults {
 		if !told[f.Key] {
-			out = append(out, d.finding(Fault, f.Key, f.Text))
+			out = append(out, d.finding(Fault, f.Key, f.Problem))
 		}
 		told[f.Key] = true
 	}
@@ -27,17 +27,17 @@
 // machineRules finds the times that contradict each other.
 func (d document) machineRules(s platform.Settings) []Finding {
 	var out []Finding
-	if s.DrainWithin > s.Grace {
-		out = append(out, d.finding(Contradiction, platform.DrainWithinKey,
-			fmt.Sprintf("tasks may start for %s, longer than %s: the process is killed after %s", s.DrainWithin, platform.GraceKey, s.Grace)))
+	if s.DrainTimeout > s.GracePeriod {
+		out = append(out, d.finding(Contradiction, platform.DrainTimeoutKey,
+			fmt.Sprintf("tasks may start for %s, longer than %s: the process is killed after %s", s.DrainTimeout, platform.GracePeriodKey, s.GracePeriod)))
 	}
-	if s.Resend < scheduler.AgentLossTimeout {
-		out = append(out, d.finding(Contradiction, platform.ResendKey,
-			fmt.Sprintf("callers send a job again after %s; the runs of a lost entry are over after %s", s.Resend, scheduler.AgentLossTimeout)))
+	if s.MinResendDelay < scheduler.AgentLossTimeout {
+		out = append(out, d.finding(Contradiction, platform.MinResendDelayKey,
+			fmt.Sprintf("callers send a job again after %s; the runs of a lost entry are over after %s", s.MinResendDelay, scheduler.AgentLossTimeout)))
 	}
-	if s.LastPort < s.InternalPort {
+	if s.LastInternalPort < s.FirstInternalPort {
 		out = append(out, d.finding(Contradiction, platform.InternalPortsKey,
-			fmt.Sprintf("the last port, %d, is below the first, %d", s.LastPort, s.InternalPort)))
+			fmt.Sprintf("the last port, %d, is below the first, %d", s.LastInternalPort, s.FirstInternalPort)))
 	}
 	return out
 }
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -25,7 +25,7 @@
 // standard output without ever blocking, and time counts while the machine is
 // suspended. The returned function writes out what is left of the log.
 func onPlatform(env *environment) (provider.Deps, func()) {
-	ring := provider.NewRingWriter(env.out)
+	ring := provider.NewNonBlockingWriter(env.out)
 	deps := provider.NewDeps(ring).WithClock(provider.NewBootClock())
 	deps.Log.Logger.SetLevel(env.deps.Log.Logger.GetLevel())
 	return deps, ring.Close
@@ -66,17 +66,17 @@
 	}
 	reloadOnHangup(env, deps, s)
 	a, err := acceptor.NewAcceptor(deps, acceptor.Config{
-		ID:         s.Node,
-		DataCentre: s.DataCentre,
-		Front:      s.Front,
-		Ready:      s.Ready,
-		Metrics:    portAt(s.IP, s.LastPort),
-		Grace:      s.Grace,
-		Resend:     s.Resend,
-		FarFactor:  s.FarFactor,
-	}, platform.NewStore(s.Store))
+		ID:             s.NodeName,
+		DataCentre:     s.DataCentre,
+		FrontAddr:      s.FrontAddr,
+		ReadyAddr:      s.ReadyAddr,
+		MetricsAddr:    portAt(s.IP, s.LastInternalPort),
+		GracePeriod:    s.GracePeriod,
+		MinResendDelay: s.MinResendDelay,
+		FarFactor:      s.FarFactor,
+	}, platform.NewStore(s.StoreAddr))
 	if err != nil {
-		return errors.Wrapf(err, "entry %s", s.Node)
+		return errors.Wrapf(err, "entry %s", s.NodeName)
 	}
 	go announcer.DumpOnSignal(env.ctx, deps, a)
 	return a.Run(env.ctx)
@@ -94,23 +94,23 @@
 	}
 	debug.SetMemoryLimit(agentMemoryLimit)
 	reloadOnHangup(env, deps, s)
-	link := portAt(s.IP, s.InternalPort)
-	directory := platform.NewRegistrar(platform.NewStore(s.Store), platform.Registration{
-		Agent:      s.Node,
+	link := portAt(s.IP, s.FirstInternalPort)
+	directory := platform.NewRegistrar(platform.NewStore(s.StoreAddr), platform.Registration{
+		Agent:      s.NodeName,
 		DataCentre: s.DataCentre,
 		Link:       link,
 	})
 	a, err := attendant.NewAttendant(deps, attendant.Config{
-		ID:          s.Node,
-		DataCentre:  s.DataCentre,
-		Link:        link,
-		Control:     s.Control,
-		Metrics:     portAt(s.IP, s.LastPort),
-		Grace:       s.Grace,
-		DrainWithin: s.DrainWithin,
-	}, platform.NewUpstream(deps.Clock, s.Upstream), directory)
+		ID:           s.NodeName,
+		DataCentre:   s.DataCentre,
+		LinkAddr:     link,
+		ControlAddr:  s.ControlAddr,
+		MetricsAddr:  portAt(s.IP, s.LastInternalPort),
+		GracePeriod:  s.GracePeriod,
+		DrainTimeout: s.DrainTimeout,
+	}, platform.NewWorkerClient(deps.Clock, s.UpstreamAddr), directory)
 	if err != nil {
-		return errors.Wrapf(err, "agent %s", s.Node)
+		return errors.Wrapf(err, "agent %s", s.NodeName)
 	}
 	go announcer.DumpOnSignal(env.ctx, deps, a)
 	return a.Run(env.ctx)
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -111,7 +111,7 @@
 	lastTick time.Time
 	// nextAgentCheck is when to look at the agents again.
 	nextAgentCheck time.Time
-	// wokeAt is when the process started or was last seen to wake up.
+	// resumedAt is when the process started or was last seen to wake up.
 	wokeAt time.Time
 
 	bundle     approver.Bundle
--- a/provider/clock.go
+++ b/provider/clock.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// bootRefresh is the longest time for which the time since boot is reckoned
+	// maxBootAge is the longest time for which the time since boot is reckoned
 	// from the steady clock.
-	bootRefresh = 50 * time.Millisecond
-	// bootTolerance is the least difference between the ways of the steady clock
+	maxBootAge = 50 * time.Millisecond
+	// clockTolerance is the least difference between the ways of the steady clock
 	// and the time of day that may be a suspension.
-	bootTolerance = time.Millisecond
+	clockTolerance = time.Millisecond
 )
 
 // BootClock is a clock whose time also counts while the machine is suspended
@@ -27,24 +27,24 @@
 // which the steady clock does not count and the time of day does, it is read anew.
 type BootClock struct {
 	clockwork.Clock
-	base time.Time
-	read clockReader
+	startTime time.Time
+	read      clockReader
 
 	mu sync.Mutex
 	// wall, steady and boot are the readings when the time since boot was last
 	// read.
-	wall, steady, boot time.Duration
-	// booted is the time since boot at base.
-	booted time.Duration
-	// last is the last time that was told. Time does not go back.
-	last time.Time
+	wall, monotonic, boot time.Duration
+	// startBoot is the time since boot at base.
+	startBoot time.Duration
+	// lastTime is the last time that was told. Time does not go back.
+	lastTime time.Time
 }
 
 // clockReader reads the machine's clocks.
 type clockReader struct {
-	// cheap returns the time of day and the steady clock, each from a start of
+	// wallAndMonotonic returns the time of day and the steady clock, each from a start of
 	// its own.
-	cheap func() (wall, steady time.Duration)
+	wallAndMonotonic func() (wall, steady time.Duration)
 	// boot returns the time since boot.
 	boot func() time.Duration
 }
@@ -53,7 +53,7 @@
 func NewBootClock() *BootClock {
 	start := time.Now()
 	return newBootClock(start, clockReader{
-		cheap: func() (time.Duration, time.Duration) {
+		wallAndMonotonic: func() (time.Duration, time.Duration) {
 			now := time.Now()
 			return time.Duration(now.UnixNano()), now.Sub(start)
 		},
@@ -62,9 +62,9 @@
 }
 
 func newBootClock(start time.Time, read clockReader) *BootClock {
-	c := &BootClock{Clock: clockwork.NewRealClock(), base: start.Round(0), read: read}
+	c := &BootClock{Clock: clockwork.NewRealClock(), startTime: start.Round(0), read: read}
 	c.refresh()
-	c.booted = c.boot
+	c.startBoot = c.boot
 	return c
 }
 
@@ -72,27 +72,27 @@
 func (c *BootClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wall, steady := c.read.cheap()
-	passed := steady - c.steady
+	wall, steady := c.read.wallAndMonotonic()
+	passed := steady - c.monotonic
 	drift := (wall - c.wall) - passed
-	if passed >= bootRefresh || drift.Abs() >= bootTolerance {
+	if passed >= maxBootAge || drift.Abs() >= clockTolerance {
 		c.refresh()
 		passed = 0
 	}
-	if now := c.base.Add(c.boot + passed - c.booted); now.After(c.last) {
-		c.last = now
+	if now := c.startTime.Add(c.boot + passed - c.startBoot); now.After(c.lastTime) {
+		c.lastTime = now
 	}
-	return c.last
+	return c.lastTime
 }
 
 // refresh reads all clocks, once more when the process was held up meanwhile.
 func (c *BootClock) refresh() {
 	const tries = 3
 	for range tries {
-		_, before := c.read.cheap()
+		_, before := c.read.wallAndMonotonic()
 		c.boot = c.read.boot()
-		c.wall, c.steady = c.read.cheap()
-		if c.steady-before < bootTolerance {
+		c.wall, c.monotonic = c.read.wallAndMonotonic()
+		if c.monotonic-before < clockTolerance {
 			return
 		}
 	}
--- a/provider/clock_test.go
+++ b/provider/clock_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machine has clocks that the test moves.
-type machine struct {
-	wall, steady, boot time.Duration
+// fakeMachine has clocks that the test moves.
+type fakeMachine struct {
+	wall, monotonic, boot time.Duration
 	// reads counts the readings of the time since boot.
 	reads int
 }
 
-func (m *machine) reader() clockReader {
+func (m *fakeMachine) reader() clockReader {
 	return clockReader{
-		cheap: func() (time.Duration, time.Duration) { return m.wall, m.steady },
+		wallAndMonotonic: func() (time.Duration, time.Duration) { return m.wall, m.monotonic },
 		boot: func() time.Duration {
 			m.reads++
 			return m.boot
@@ -24,14 +24,14 @@
 	}
 }
 
-func (m *machine) run(d time.Duration) {
+func (m *fakeMachine) run(d time.Duration) {
 	m.wall += d
-	m.steady += d
+	m.monotonic += d
 	m.boot += d
 }
 
 func TestSuspensionCountsAndStepsOfTheTimeOfDayDoNot(t *testing.T) {
-	m := &machine{wall: time.Hour, steady: time.Minute, boot: time.Second}
+	m := &fakeMachine{wall: time.Hour, monotonic: time.Minute, boot: time.Second}
 	c := newBootClock(time.Unix(0, 0), m.reader())
 	m.run(10 * time.Millisecond)
 	require.Equal(t, 10*time.Millisecond, c.Since(time.Unix(0, 0)))
@@ -48,12 +48,12 @@
 	// A time of day that is set back by as much as the machine slept hides that
 	// for a moment only.
 	m.boot += suspended
-	m.run(bootRefresh)
-	require.Equal(t, 2*suspended+30*time.Millisecond+bootRefresh, c.Since(time.Unix(0, 0)))
+	m.run(maxBootAge)
+	require.Equal(t, 2*suspended+30*time.Millisecond+maxBootAge, c.Since(time.Unix(0, 0)))
 }
 
 func TestReadingTheTimeSeldomCostsASystemCall(t *testing.T) {
-	m := &machine{}
+	m := &fakeMachine{}
 	c := newBootClock(time.Unix(0, 0), m.reader())
 	const readings = 10_000
 	for range readings {
--- a/provider/writer_test.go
+++ b/provider/writer_test.go
@@ -11,20 +11,20 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// stuckWriter is a reader's end that does not read until it is released.
-type stuckWriter struct {
+// blockedWriter is a reader's end that does not read until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	got     bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	return w.got.Write(p)
 }
 
 func TestLogNeverBlocksAndTellsOfWhatItDropped(t *testing.T) {
-	w := &stuckWriter{release: make(chan struct{})}
-	ring := provider.NewRingWriter(w)
+	w := &blockedWriter{release: make(chan struct{})}
+	ring := provider.NewNonBlockingWriter(w)
 	deps := provider.NewDeps(ring)
 	const lines = 20_000
 	done := make(chan struct{})
--- a/receiver/core.go
+++ b/receiver/core.go
@@ -21,9 +21,9 @@
 	tick struct{}
 	// leaving begins a planned stop.
 	leaving struct{}
-	// idleQuestion asks whether every job here is finished.
+	// idleQuery asks whether every job here is finished.
 	idleQuestion struct{}
-	// dumpQuestion asks for a Dump.
+	// dumpQuery asks for a Dump.
 	dumpQuestion struct{}
 	// helloQuestion asks for the heartbeat to send to another entry, whose
 	// name may not be known yet.
--- a/receiver/http.go
+++ b/receiver/http.go
@@ -46,7 +46,7 @@
 	mux.HandleFunc("DELETE /v1/jobs/{team}/{key}", func(w http.ResponseWriter, req *http.Request) {
 		r.serveQuery(w, req, true)
 	})
-	mux.Handle("GET /dump", announcer.ServeDump(r))
+	mux.Handle("GET /dump", announcer.NewDumpHandler(r))
 	mux.HandleFunc("GET /metrics", r.serveMetrics)
 	return mux
 }
--- a/receiver/peer.go
+++ b/receiver/peer.go
@@ -12,7 +12,7 @@
 	"github.com/pomeloferry/pomeloferry/registrar"
 )
 
-// redialPause is the pause before a link to another entry is opened again.
+// redialDelay is the pause before a link to another entry is opened again.
 const redialPause = 100 * time.Millisecond
 
 // peer is another entry, reached over a link that this entry opens.
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -98,7 +98,7 @@
 		links:    links,
 		info:     courier.EntryInfo{ID: cfg.ID, Link: links.Addr().String()},
 	}
-	r.system = announcer.NewSystem(r.deps)
+	r.system = announcer.NewActorSystem(r.deps)
 	r.peers = newPeerSet(r)
 	return r, nil
 }
@@ -114,7 +114,7 @@
 	defer r.system.Shutdown()
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	front := announcer.NewFront(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
+	front := announcer.NewGracefulServer(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
 
 	f := &follower{receiver: r}
 
@@ -138,9 +138,9 @@
 // LinkAddr returns where agents and other entries reach the entry.
 func (r *Receiver) LinkAddr() string { return r.info.Link }
 
-// drainAfter waits for the planned stop, gives the partitions to the other
+// drainOnShutdown waits for the planned stop, gives the partitions to the other
 // entries and waits until every request has been answered.
-func (r *Receiver) drainAfter(ctx, inner context.Context, front *announcer.Front, f *follower) error {
+func (r *Receiver) drainAfter(ctx, inner context.Context, front *announcer.GracefulServer, f *follower) error {
 	select {
 	case <-ctx.Done():
 	case <-inner.Done():
--- a/soaker/callers_test.go
+++ b/soaker/callers_test.go
@@ -59,7 +59,7 @@
 	return resp, nil
 }
 
-// newCaller returns a client that keeps connections. One that sends again at
+// newHTTPClient returns a client that keeps connections. One that sends again at
 // once does so when a connection breaks that it had used before.
 func newCaller(fronts []string, again bool) *http.Client {
 	c := &http.Client{
--- a/soaker/deployment_test.go
+++ b/soaker/deployment_test.go
@@ -178,7 +178,7 @@
 		ctx: ctx, cancel: cancel, centres: max(entries, 2), direct: direct, lastRuns: make(map[string]lastRun),
 	}
 	d.address = serve(t, d.store.Handler())
-	d.store.Rewrite = d.throughProxy
+	d.store.RewriteValue = d.throughProxy
 	d.configure()
 	for range agents {
 		d.addAgent()
@@ -252,9 +252,9 @@
 	site *site
 }
 
-// Began implements emulator.Observer.
-func (o observer) Began(l emulator.Life, task string, run int) {
-	o.watcher.Began(l, task, run)
+// RunStarted implements emulator.Observer.
+func (o observer) RunStarted(l emulator.Incarnation, task string, run int) {
+	o.watcher.RunStarted(l, task, run)
 	o.d.noteRun(l.ID, task, run)
 	o.d.hookMu.Lock()
 	defer o.d.hookMu.Unlock()
@@ -309,13 +309,13 @@
 	d.watch.mu.Unlock()
 	s.worker = emulator.NewWorker(emulator.WorkerConfig{
 		ID: s.id, Service: service, DataCentre: dc, CPU: workerCPU,
-		Agent: s.control, Heartbeat: heartbeatInterval, Observer: observer{d.watch, d, s}, Work: d.watch.work, TaskCPU: taskCPU,
+		AgentAddr: s.control, HeartbeatInterval: heartbeatInterval, Observer: observer{d.watch, d, s}, TaskResult: d.watch.work, TaskCPU: taskCPU,
 	})
 	s.links = newProxy(d.t, fmt.Sprintf("127.0.0.1:%d", ports[1]))
 	ctx, cancel := context.WithCancel(d.ctx)
 	s.leave = func() {
 		cancel()
-		s.worker.End()
+		s.worker.Shutdown()
 	}
 	app := serveWorker(ctx, d.t, s.worker)
 	s.calls = newProxy(d.t, app)
--- a/soaker/load_test.go
+++ b/soaker/load_test.go
@@ -43,9 +43,9 @@
 	}},
 	{"worker slow", func(d *deployment, rng *rand.Rand, span time.Duration) {
 		w := pick(rng, d.all()).worker
-		w.SetSlowness(8)
+		w.SetSlowdown(8)
 		time.Sleep(span)
-		w.SetSlowness(1)
+		w.SetSlowdown(1)
 	}},
 }
 
@@ -70,7 +70,7 @@
 func (d *deployment) slowDown(times float64) {
 	for i, s := range d.all() {
 		if i%3 == 0 {
-			s.worker.SetSlowness(times)
+			s.worker.SetSlowdown(times)
 		}
 	}
 }
--- a/soaker/soak_test.go
+++ b/soaker/soak_test.go
@@ -190,9 +190,9 @@
 	}},
 	{"worker mute", func(d *deployment, rng *rand.Rand, span time.Duration) {
 		w := pick(rng, d.all()).worker
-		w.SetMute(true)
+		w.SetUnresponsive(true)
 		time.Sleep(span)
-		w.SetMute(false)
+		w.SetUnresponsive(false)
 	}},
 	{"worker draining", func(d *deployment, rng *rand.Rand, span time.Duration) {
 		w := pick(rng, d.all()).worker
@@ -202,7 +202,7 @@
 	}},
 	{"store misbehaves", func(d *deployment, rng *rand.Rand, span time.Duration) {
 		d.store.SetFaults([]emulator.StoreFaults{
-			{Down: true}, {Silent: true}, {Delay: 300 * time.Millisecond}, {LoseWrites: true},
+			{Down: true}, {Unresponsive: true}, {Delay: 300 * time.Millisecond}, {DropWriteReplies: true},
 		}[rng.IntN(4)])
 		time.Sleep(span)
 		d.store.SetFaults(emulator.StoreFaults{})
--- a/soaker/watcher_test.go
+++ b/soaker/watcher_test.go
@@ -64,7 +64,7 @@
 
 // seenRun is a run as its worker tells of it.
 type seenRun struct {
-	life   emulator.Life
+	life   emulator.Incarnation
 	number int
 	began  time.Time
 	// joined is whether another run of the task began while this one went on.
@@ -112,8 +112,8 @@
 	w.broken = append(w.broken, fmt.Sprintf(format, args...))
 }
 
-// Began implements emulator.Observer.
-func (w *watcher) Began(l emulator.Life, task string, run int) {
+// RunStarted implements emulator.Observer.
+func (w *watcher) RunStarted(l emulator.Incarnation, task string, run int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -152,8 +152,8 @@
 		task, r, d, r.began.Sub(d.began)))
 }
 
-// Ended implements emulator.Observer.
-func (w *watcher) Ended(l emulator.Life, task string, run int, how string) {
+// RunEnded implements emulator.Observer.
+func (w *watcher) RunEnded(l emulator.Incarnation, task string, run int, how string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := slices.IndexFunc(w.runs[task], func(r *seenRun) bool { return r.life == l && r.number == run })
@@ -171,14 +171,14 @@
 		w.done[task] = *r
 	case "failed":
 		w.failures[task]++
-	case emulator.Lost:
+	case emulator.RunLost:
 		work, _ := w.work(task)
 		w.lost[task] = r.began.Add(work)
 	}
 }
 
-// Noted implements emulator.Observer.
-func (w *watcher) Noted(l emulator.Life, task string, run int, how string) {
+// RunEndAcknowledged implements emulator.Observer.
+func (w *watcher) RunEndAcknowledged(l emulator.Incarnation, task string, run int, how string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if d, ok := w.done[task]; ok && how == "done" && d.life == l && d.number == run {
--- a/soaker/worker_test.go
+++ b/soaker/worker_test.go
@@ -143,7 +143,7 @@
 
 func TestHeartbeatOfStrangerStartsNoSecondRun(t *testing.T) {
 	strikeWorkers(t, 400*time.Millisecond, func(d *deployment, s *site) {
-		s.worker.AnnounceStranger(t.Context(), "stranger")
+		s.worker.SendForeignHeartbeat(t.Context(), "stranger")
 	})
 }
 
@@ -154,14 +154,14 @@
 		cut, end func(w *emulator.Worker)
 	}{
 		{
-			"refused", (*emulator.Worker).Refuse, (*emulator.Worker).Accept,
+			"refused", (*emulator.Worker).Disconnect, (*emulator.Worker).Reconnect,
 		},
 		{
 			"reset",
 			func(w *emulator.Worker) {
-				w.Treat(emulator.Treatments{Starts: emulator.ResetBefore, Stops: emulator.ResetBefore, Looks: emulator.ResetBefore, Share: 1})
+				w.SetCallFaults(emulator.CallFaults{Starts: emulator.ResetBefore, Stops: emulator.ResetBefore, Polls: emulator.ResetBefore, Share: 1})
 			},
-			func(w *emulator.Worker) { w.Treat(emulator.Treatments{}) },
+			func(w *emulator.Worker) { w.SetCallFaults(emulator.CallFaults{}) },
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -180,20 +180,20 @@
 	const lasts = 1500 * time.Millisecond
 	for _, c := range []struct {
 		name       string
-		treatments emulator.Treatments
+		treatments emulator.CallFaults
 	}{
-		{"starts reset after they took effect", emulator.Treatments{Starts: emulator.ResetAfter, Share: 1}},
-		{"some starts and looks reset after they took effect", emulator.Treatments{Starts: emulator.ResetAfter, Looks: emulator.ResetAfter, Share: 0.5}},
-		{"starts reset after, looks before they took effect", emulator.Treatments{Starts: emulator.ResetAfter, Looks: emulator.ResetBefore, Share: 0.7}},
-		{"some starts and looks reset before they took effect", emulator.Treatments{Starts: emulator.ResetBefore, Looks: emulator.ResetBefore, Share: 0.5}},
-		{"orders held back", emulator.Treatments{Starts: emulator.HeldBack, Stops: emulator.HeldBack, Share: 1}},
-		{"some orders and looks held back", emulator.Treatments{Starts: emulator.HeldBack, Stops: emulator.HeldBack, Looks: emulator.HeldBack, Share: 0.5}},
+		{"starts reset after they took effect", emulator.CallFaults{Starts: emulator.ResetAfter, Share: 1}},
+		{"some starts and looks reset after they took effect", emulator.CallFaults{Starts: emulator.ResetAfter, Polls: emulator.ResetAfter, Share: 0.5}},
+		{"starts reset after, looks before they took effect", emulator.CallFaults{Starts: emulator.ResetAfter, Polls: emulator.ResetBefore, Share: 0.7}},
+		{"some starts and looks reset before they took effect", emulator.CallFaults{Starts: emulator.ResetBefore, Polls: emulator.ResetBefore, Share: 0.5}},
+		{"orders held back", emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Share: 1}},
+		{"some orders and looks held back", emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Polls: emulator.Delayed, Share: 0.5}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			strikeWorkers(t, 300*time.Millisecond, func(_ *deployment, s *site) {
-				s.worker.Treat(c.treatments)
+				s.worker.SetCallFaults(c.treatments)
 				time.Sleep(lasts)
-				s.worker.Treat(emulator.Treatments{})
+				s.worker.SetCallFaults(emulator.CallFaults{})
 			})
 		})
 	}
@@ -217,11 +217,11 @@
 				w := s.worker
 				id := w.ID()
 				if !sameID {
-					id = w.FreshID()
+					id = w.UnusedID()
 				}
 				w.Crash(t.Context(), 0, id)
 				d.awaitRun(w)
-				require.True(t, w.AnnounceEarlier(t.Context()))
+				require.True(t, w.ResendOldHeartbeat(t.Context()))
 			})
 		})
 	}
@@ -232,8 +232,8 @@
 		t.Run(runsOn.String(), func(t *testing.T) {
 			strikeWorkers(t, 400*time.Millisecond, func(d *deployment, s *site) {
 				w := s.worker
-				w.Leave(t.Context(), emulator.Leaving{
-					Notice: time.Duration(50+rand.IntN(300)) * time.Millisecond, RunsOn: runsOn, NextID: w.FreshID(),
+				w.Depart(t.Context(), emulator.Departure{
+					NoticePeriod: time.Duration(50+rand.IntN(300)) * time.Millisecond, Linger: runsOn, NextID: w.UnusedID(),
 				})
 			})
 		})
@@ -243,9 +243,9 @@
 func TestWorkerCutOffThatRunsOnStartsNoSecondRun(t *testing.T) {
 	const lasts = 500 * time.Millisecond
 	strikeWorkers(t, 500*time.Millisecond, func(d *deployment, s *site) {
-		s.worker.Refuse()
+		s.worker.Disconnect()
 		time.Sleep(lasts)
-		s.worker.Accept()
+		s.worker.Reconnect()
 	})
 }
 
@@ -262,16 +262,16 @@
 	if rng.IntN(2) == 0 {
 		return w.ID()
 	}
-	return w.FreshID()
+	return w.UnusedID()
 }
 
 // treatFor spoils the calls to a worker for a while.
-func (d *deployment) treatFor(rng *rand.Rand, span time.Duration, t emulator.Treatments) {
+func (d *deployment) treatFor(rng *rand.Rand, span time.Duration, t emulator.CallFaults) {
 	t.Share = 0.2 + 0.8*rng.Float64()
 	strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
-		w.Treat(t)
+		w.SetCallFaults(t)
 		time.Sleep(span)
-		w.Treat(emulator.Treatments{})
+		w.SetCallFaults(emulator.CallFaults{})
 	})
 }
 
@@ -282,8 +282,8 @@
 var workerFaults = []fault{
 	{"worker leaves", func(d *deployment, rng *rand.Rand, span time.Duration) {
 		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
-			w.Leave(d.ctx, emulator.Leaving{
-				Notice: span, RunsOn: between(rng, 0, longestRest), Down: between(rng, 0, span), NextID: nextID(rng, w),
+			w.Depart(d.ctx, emulator.Departure{
+				NoticePeriod: span, Linger: between(rng, 0, longestRest), Downtime: between(rng, 0, span), NextID: nextID(rng, w),
 			})
 		})
 	}},
@@ -302,33 +302,33 @@
 		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
 			w.Crash(d.ctx, 0, nextID(rng, w))
 			time.Sleep(span)
-			w.AnnounceEarlier(d.ctx)
+			w.ResendOldHeartbeat(d.ctx)
 		})
 	}},
 	{"heartbeat of a stranger", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		pick(rng, d.all()).worker.AnnounceStranger(d.ctx, fmt.Sprintf("stranger-%d", rng.IntN(1000)))
+		pick(rng, d.all()).worker.SendForeignHeartbeat(d.ctx, fmt.Sprintf("stranger-%d", rng.IntN(1000)))
 	}},
 	{"worker sends no heartbeats", func(d *deployment, rng *rand.Rand, span time.Duration) {
 		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
-			w.SetSilent(true)
+			w.SuppressHeartbeats(true)
 			time.Sleep(span)
-			w.SetSilent(false)
+			w.SuppressHeartbeats(false)
 		})
 	}},
 	{"worker cut off", func(d *deployment, rng *rand.Rand, span time.Duration) {
 		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
-			w.Refuse()
+			w.Disconnect()
 			time.Sleep(span)
-			w.Accept()
+			w.Reconnect()
 		})
 	}},
 	{"orders carried out and reset", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.treatFor(rng, span, emulator.Treatments{Starts: emulator.ResetAfter, Stops: emulator.ResetAfter})
+		d.treatFor(rng, span, emulator.CallFaults{Starts: emulator.ResetAfter, Stops: emulator.ResetAfter})
 	}},
 	{"starts and looks reset", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.treatFor(rng, span, emulator.Treatments{Starts: emulator.ResetBefore, Looks: emulator.ResetBefore})
+		d.treatFor(rng, span, emulator.CallFaults{Starts: emulator.ResetBefore, Polls: emulator.ResetBefore})
 	}},
 	{"calls held back", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.treatFor(rng, span, emulator.Treatments{Starts: emulator.HeldBack, Stops: emulator.HeldBack, Looks: emulator.HeldBack})
+		d.treatFor(rng, span, emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Polls: emulator.Delayed})
 	}},
 }
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -162,7 +162,7 @@
 		}
 		s.SetFault(f)
 	})
-	mux.Handle("GET /dump", announcer.ServeDump(s))
+	mux.Handle("GET /dump", announcer.NewDumpHandler(s))
 	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) {
 		reads, writes := s.Calls()
 		_ = json.NewEncoder(w).Encode(map[string]int{"Reads": reads, "Writes": writes})
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -185,7 +185,7 @@
 	mux.HandleFunc("GET /starts", func(rw http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(rw).Encode(w.Starts())
 	})
-	mux.Handle("GET /dump", announcer.ServeDump(w))
+	mux.Handle("GET /dump", announcer.NewDumpHandler(w))
 	mux.HandleFunc("POST /behaviour", func(rw http.ResponseWriter, r *http.Request) {
 		var b Behaviour
 		if err := json.NewDecoder(r.Body).Decode(&b); err != nil {
