--- a/acceptor/link.go
+++ b/acceptor/link.go
@@ -85,7 +85,7 @@
 		c.handleLinkClosed(old.Link)
 		old.Close()
 	}
-	if m.link.Ended() {
+	if m.link.IsClosed() {
 		return
 	}
 	// The scheduler must not date the entry's stamps later than they are.
--- a/acceptor/link_test.go
+++ b/acceptor/link_test.go
@@ -37,7 +37,7 @@
 	second.Close()
 	c.handleLinkOpened(linkOpened{agent: "a", link: second})
 	require.Empty(t, c.links)
-	require.True(t, first.Ended())
+	require.True(t, first.IsClosed())
 }
 
 func TestLinkIsNotReleasedWhileTasksRunAtItsAgent(t *testing.T) {
--- a/agent/actor.go
+++ b/agent/actor.go
@@ -20,9 +20,9 @@
 	// drain begins a planned stop.
 	drain struct{}
 	// idleQuery asks whether the ledger is idle.
-	idleQuestion struct{}
+	idleQuery struct{}
 	// dumpQuery asks for a starter.Dump.
-	dumpQuestion struct{}
+	dumpQuery struct{}
 	// linkOpened tells of a new link to an entry.
 	linkOpened struct {
 		link   *courier.Link
@@ -59,30 +59,30 @@
 	links    map[*courier.Link]*entryLink
 	byEntry  map[string]*entryLink
 	upstream worker.Announcement
-	// upstreamAt is when the upstream last announced itself.
-	upstreamAt time.Time
-	beatAt     time.Time
-	// sent counts the messages to entries, by their type.
-	sent map[reflect.Type]*metrics.Counter
+	// upstreamSeenAt is when the upstream last announced itself.
+	upstreamSeenAt  time.Time
+	lastHeartbeatAt time.Time
+	// messagesSent counts the messages to entries, by their type.
+	messagesSent map[reflect.Type]*metrics.Counter
 }
 
 func newLedgerActor(a *Agent) *ledgerActor {
 	return &ledgerActor{
-		agent:   a,
-		ledger:  starter.NewLedger(a.deps.Clock, a.identity),
-		links:   make(map[*courier.Link]*entryLink),
-		byEntry: make(map[string]*entryLink),
-		sent:    make(map[reflect.Type]*metrics.Counter),
+		agent:        a,
+		ledger:       starter.NewLedger(a.deps.Clock, a.identity),
+		links:        make(map[*courier.Link]*entryLink),
+		byEntry:      make(map[string]*entryLink),
+		messagesSent: make(map[reflect.Type]*metrics.Counter),
 	}
 }
 
 func (s *ledgerActor) count(msg any) {
 	t := reflect.TypeOf(msg)
-	c := s.sent[t]
+	c := s.messagesSent[t]
 	if c == nil {
 		name := fmt.Sprintf("pomeloferry_agent_messages_out_total{type=%q}", t.Name())
 		c = s.agent.deps.Metrics.GetOrCreateCounter(name)
-		s.sent[t] = c
+		s.messagesSent[t] = c
 	}
 	c.Inc()
 }
@@ -95,12 +95,12 @@
 	case drain:
 		s.ledger.SetDraining()
 		s.announceAll()
-	case idleQuestion:
+	case idleQuery:
 		ctx.Respond(s.ledger.Idle())
-	case dumpQuestion:
+	case dumpQuery:
 		ctx.Respond(s.ledger.Dump())
 	case linkOpened:
-		if m.link.Ended() {
+		if m.link.IsClosed() {
 			break
 		}
 		s.links[m.link] = &entryLink{link: m.link, number: m.number}
@@ -114,23 +114,23 @@
 	case taskDone:
 		s.taskDone(m)
 	}
-	s.drain()
+	s.applyEffects()
 }
 
 func (s *ledgerActor) tick() {
 	now := s.agent.deps.Clock.Now()
 	s.ledger.Tick()
-	if s.upstream.Slots > 0 && now.Sub(s.upstreamAt) > UpstreamLapse {
+	if s.upstream.Slots > 0 && now.Sub(s.upstreamSeenAt) > UpstreamTimeout {
 		s.agent.deps.Log.Warn("upstream lapsed")
 		s.setUpstream(worker.Announcement{})
 	}
-	if now.Sub(s.beatAt) >= HeartbeatInterval {
+	if now.Sub(s.lastHeartbeatAt) >= HeartbeatInterval {
 		s.announceAll()
 	}
 }
 
 func (s *ledgerActor) announceAll() {
-	s.beatAt = s.agent.deps.Clock.Now()
+	s.lastHeartbeatAt = s.agent.deps.Clock.Now()
 	for _, l := range s.links {
 		s.announce(l)
 	}
@@ -148,7 +148,7 @@
 func (s *ledgerActor) setUpstream(u worker.Announcement) {
 	changed := u.Slots != s.upstream.Slots || u.Leaving != s.upstream.Leaving || u.Address != s.upstream.Address
 	s.upstream = u
-	s.upstreamAt = s.agent.deps.Clock.Now()
+	s.upstreamSeenAt = s.agent.deps.Clock.Now()
 	s.agent.runner.setUpstream(u.Address, u.Connections)
 	s.ledger.SetUpstream(starter.Upstream{
 		Address:  u.Address,
@@ -167,7 +167,7 @@
 		return
 	}
 	if r, ok := m.msg.(*courier.AnnounceReply); ok {
-		s.answered(l, *r)
+		s.handleAnnounceReply(l, *r)
 		return
 	}
 	if l.entry == "" || s.byEntry[l.entry] != l {
@@ -181,9 +181,9 @@
 	case *courier.Start:
 		s.ledger.Start(l.entry, *msg)
 	case *courier.Acked:
-		s.ledger.Acked(*msg)
+		s.ledger.Acknowledge(*msg)
 	case *courier.Demand:
-		s.ledger.Demand(l.entry, *msg)
+		s.ledger.SetDemand(l.entry, *msg)
 	case *courier.Decline:
 		s.ledger.Decline(l.entry, *msg)
 	case *courier.Stop:
@@ -191,9 +191,9 @@
 	}
 }
 
-// answered takes an entry's answer to an announcement. The first one on a link
+// handleAnnounceReply takes an entry's answer to an announcement. The first one on a link
 // names the entry; an older link to the same entry is closed.
-func (s *ledgerActor) answered(l *entryLink, r courier.AnnounceReply) {
+func (s *ledgerActor) handleAnnounceReply(l *entryLink, r courier.AnnounceReply) {
 	if l.entry == "" {
 		l.entry = r.Entry.ID
 		if old := s.byEntry[l.entry]; old != nil {
@@ -202,14 +202,14 @@
 		}
 		s.byEntry[l.entry] = l
 		s.ledger.LinkUp(l.entry, l.number)
-		s.agent.links.named(l.link, r.Entry)
-		s.ledger.Confirm(r)
+		s.agent.links.setEntry(l.link, r.Entry)
+		s.ledger.HandleAnnounceReply(r)
 		s.announceAll()
 	} else {
-		s.ledger.Confirm(r)
+		s.ledger.HandleAnnounceReply(r)
 	}
 	s.agent.deps.BundleVersion.Store(s.ledger.BundleVersion())
-	s.agent.links.learn(r.Entries)
+	s.agent.links.addAddresses(r.Entries)
 }
 
 func (s *ledgerActor) close(link *courier.Link) {
@@ -226,15 +226,15 @@
 
 func (s *ledgerActor) taskDone(m taskDone) {
 	if m.notStarted {
-		s.ledger.Refused(m.record.Task)
+		s.ledger.WithdrawStart(m.record.Task)
 		return
 	}
 	s.ledger.Finish(m.record)
 }
 
-// drain carries out what the ledger decided.
-func (s *ledgerActor) drain() {
-	for _, e := range s.ledger.Drain() {
+// applyEffects carries out what the ledger decided.
+func (s *ledgerActor) applyEffects() {
+	for _, e := range s.ledger.TakeEffects() {
 		switch e := e.(type) {
 		case starter.Send:
 			s.count(e.Msg)
@@ -243,8 +243,8 @@
 			}
 		case starter.Run:
 			s.agent.runner.start(e)
-		case starter.Halt:
-			s.agent.runner.halt(e.Task)
+		case starter.Stop:
+			s.agent.runner.stop(e.Task)
 		}
 	}
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -25,13 +25,13 @@
 	HeartbeatInterval = 500 * time.Millisecond
 	// TickInterval is the time between two looks at what has lapsed.
 	TickInterval = 100 * time.Millisecond
-	// UpstreamLapse is how long an upstream counts as present after its last
+	// UpstreamTimeout is how long an upstream counts as present after its last
 	// announcement.
-	UpstreamLapse = 2 * time.Second
-	// DrainLimit bounds the wait of a planned stop.
-	DrainLimit = 65 * time.Second
-	// drainPause is the time between two looks at whether a drain is over.
-	drainPause = 20 * time.Millisecond
+	UpstreamTimeout = 2 * time.Second
+	// DrainTimeout bounds the wait of a planned stop.
+	DrainTimeout = 65 * time.Second
+	// drainPollInterval is the time between two looks at whether a drain is over.
+	drainPollInterval = 20 * time.Millisecond
 	// mailboxSize bounds the messages that wait for the actor.
 	mailboxSize = 4096
 	// askTimeout bounds the wait for the actor's answer to a question.
@@ -120,16 +120,16 @@
 	}
 	a.deps.Log.Info("agent draining")
 	a.post(drain{})
-	limit := a.deps.Clock.After(DrainLimit)
+	limit := a.deps.Clock.After(DrainTimeout)
 	for {
-		answer, err := a.ask(idleQuestion{})
+		answer, err := a.ask(idleQuery{})
 		if idle, ok := answer.(bool); err == nil && ok && idle {
 			return nil
 		}
 		select {
 		case <-limit:
 			return nil
-		case <-a.deps.Clock.After(drainPause):
+		case <-a.deps.Clock.After(drainPollInterval):
 		}
 	}
 }
@@ -153,7 +153,7 @@
 // Closed implements courier.Handler.
 func (a *Agent) Closed(l *courier.Link) {
 	a.post(linkClosed{link: l})
-	a.links.closed(l)
+	a.links.linkClosed(l)
 }
 
 // Addr returns where the upstream and operators reach the agent.
--- a/agent/http.go
+++ b/agent/http.go
@@ -39,4 +39,4 @@
 }
 
 // Dump returns the state of the ledger, for operators.
-func (a *Agent) Dump() (any, error) { return a.ask(dumpQuestion{}) }
+func (a *Agent) Dump() (any, error) { return a.ask(dumpQuery{}) }
--- a/agent/link.go
+++ b/agent/link.go
@@ -13,24 +13,24 @@
 const (
 	// minRedialDelay and maxRedialDelay bound the pause before a link is opened
 	// again; the pause doubles with each failure and is jittered.
-	redialBase = 50 * time.Millisecond
-	redialMost = 2 * time.Second
+	redialBaseDelay = 50 * time.Millisecond
+	redialMaxDelay  = 2 * time.Second
 	// evictAfter drops an address that nobody has named for so long.
-	forgetAfter = time.Minute
+	addressTTL = time.Minute
 )
 
 // address is one place where an entry may be reached.
 type address struct {
-	target string
-	seed   bool
-	// named is when an entry last named the address.
-	named time.Time
-	link  *courier.Link
+	addr       string
+	configured bool
+	// lastAdvertisedAt is when an entry last named the address.
+	lastAdvertisedAt time.Time
+	link             *courier.Link
 	// entry is the entry last found there.
-	entry    string
-	dialing  bool
-	failures int
-	next     time.Time
+	entry      string
+	dialing    bool
+	failures   int
+	nextDialAt time.Time
 }
 
 // linkSet keeps one link open to each known entry.
@@ -46,7 +46,7 @@
 func newLinkSet(a *Agent) *linkSet {
 	s := &linkSet{agent: a, addresses: make(map[string]*address)}
 	for _, target := range a.cfg.Entries {
-		s.addresses[target] = &address{target: target, seed: true}
+		s.addresses[target] = &address{addr: target, configured: true}
 	}
 	return s
 }
@@ -56,7 +56,7 @@
 	t := s.agent.deps.Clock.NewTicker(TickInterval)
 	defer t.Stop()
 	for {
-		for _, a := range s.due() {
+		for _, a := range s.dueAddresses() {
 			go s.dial(ctx, a)
 		}
 		select {
@@ -68,18 +68,18 @@
 	}
 }
 
-// due returns the addresses to dial now.
-func (s *linkSet) due() []*address {
+// dueAddresses returns the addresses to dial now.
+func (s *linkSet) dueAddresses() []*address {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.agent.deps.Clock.Now()
 	var out []*address
 	for key, a := range s.addresses {
-		if !a.seed && a.link == nil && now.Sub(a.named) > forgetAfter {
+		if !a.configured && a.link == nil && now.Sub(a.lastAdvertisedAt) > addressTTL {
 			delete(s.addresses, key)
 			continue
 		}
-		if a.link != nil || a.dialing || now.Before(a.next) || s.linkedElsewhere(a) {
+		if a.link != nil || a.dialing || now.Before(a.nextDialAt) || s.linkedElsewhere(a) {
 			continue
 		}
 		a.dialing = true
@@ -103,18 +103,18 @@
 }
 
 func (s *linkSet) dial(ctx context.Context, a *address) {
-	link, err := courier.Dial(ctx, a.target, s.agent)
-	if number, ok := s.opened(a, link, err); ok {
+	link, err := courier.Dial(ctx, a.addr, s.agent)
+	if number, ok := s.recordDial(a, link, err); ok {
 		s.agent.post(linkOpened{link: link, number: number})
 	}
 }
 
-// opened notes the result of a dial and numbers the link.
-func (s *linkSet) opened(a *address, link *courier.Link, err error) (uint64, bool) {
+// recordDial notes the result of a dial and numbers the link.
+func (s *linkSet) recordDial(a *address, link *courier.Link, err error) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.dialing = false
-	if err != nil || link.Ended() {
+	if err != nil || link.IsClosed() {
 		s.backOff(a)
 		return 0, false
 	}
@@ -124,14 +124,14 @@
 }
 
 func (s *linkSet) backOff(a *address) {
-	pause := min(redialBase<<min(a.failures, 10), redialMost)
+	pause := min(redialBaseDelay<<min(a.failures, 10), redialMaxDelay)
 	a.failures++
 	jitter := time.Duration(rand.Int64N(int64(pause)))
-	a.next = s.agent.deps.Clock.Now().Add(pause/2 + jitter)
+	a.nextDialAt = s.agent.deps.Clock.Now().Add(pause/2 + jitter)
 }
 
-// named notes which entry answers on a link.
-func (s *linkSet) named(l *courier.Link, e courier.EntryInfo) {
+// setEntry notes which entry answers on a link.
+func (s *linkSet) setEntry(l *courier.Link, e courier.EntryInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.addresses {
@@ -142,21 +142,21 @@
 	}
 }
 
-// learn adds the link addresses of entries that another entry has named.
-func (s *linkSet) learn(entries []courier.EntryInfo) {
+// addAddresses adds the link addresses of entries that another entry has named.
+func (s *linkSet) addAddresses(entries []courier.EntryInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range entries {
 		a := s.addresses[e.Link]
 		if a == nil {
-			a = &address{target: e.Link, entry: e.ID}
+			a = &address{addr: e.Link, entry: e.ID}
 			s.addresses[e.Link] = a
 		}
-		a.named = s.agent.deps.Clock.Now()
+		a.lastAdvertisedAt = s.agent.deps.Clock.Now()
 	}
 }
 
-func (s *linkSet) closed(l *courier.Link) {
+func (s *linkSet) linkClosed(l *courier.Link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.addresses {
--- a/agent/runner.go
+++ b/agent/runner.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// runGrace is how long past the task's deadline the runner waits for the
+	// resultGrace is how long past the task's deadline the runner waits for the
 	// upstream before it gives the task up as lost.
-	runGrace = 5 * time.Second
+	resultGrace = 5 * time.Second
 	// stopTimeout bounds the call that stops a task.
 	stopTimeout = 2 * time.Second
 )
 
-// target is the upstream as the runner reaches it.
-type target struct {
+// upstreamTarget is the upstream as the runner reaches it.
+type upstreamTarget struct {
 	address     string
 	connections int
 	client      *http.Client
@@ -37,12 +37,12 @@
 type runner struct {
 	deps   provider.Deps
 	post   func(any)
-	target atomic.Pointer[target]
+	target atomic.Pointer[upstreamTarget]
 }
 
 func newRunner(deps provider.Deps, post func(any)) *runner {
 	r := &runner{deps: deps, post: post}
-	r.target.Store(&target{client: &http.Client{}})
+	r.target.Store(&upstreamTarget{client: &http.Client{}})
 	return r
 }
 
@@ -52,7 +52,7 @@
 	if old.address == address && old.connections == n {
 		return
 	}
-	r.target.Store(&target{address: address, connections: n, client: newClient(n)})
+	r.target.Store(&upstreamTarget{address: address, connections: n, client: newClient(n)})
 	old.client.CloseIdleConnections()
 }
 
@@ -73,10 +73,10 @@
 func (r *runner) run(s starter.Run) taskDone {
 	t := s.Task
 	done := taskDone{record: courier.Record{Task: t.Task, Digest: t.Digest}}
-	ctx, cancel := context.WithDeadline(context.Background(), t.Deadline.Add(runGrace))
+	ctx, cancel := context.WithDeadline(context.Background(), t.Deadline.Add(resultGrace))
 	defer cancel()
 	var result worker.RunResult
-	lapsed := func() bool { return !r.deps.Clock.Now().Before(s.Until) }
+	lapsed := func() bool { return !r.deps.Clock.Now().Before(s.ExpiresAt) }
 	err := r.call(ctx, "/run", worker.RunRequest{
 		Job:     t.Task.Job,
 		Index:   t.Task.Index,
@@ -84,7 +84,7 @@
 		Payload: t.Payload,
 	}, lapsed, &result)
 	switch {
-	case notDialed(err), errors.Is(err, errLapsed):
+	case dialFailed(err), errors.Is(err, errExpired):
 		done.notStarted = true
 	case err != nil:
 		r.deps.Log.WithError(err).WithField("job", t.Task.Job).Warn("task lost")
@@ -101,14 +101,14 @@
 	return done
 }
 
-// notDialed reports whether err means that no byte of the call was sent.
-func notDialed(err error) bool {
+// dialFailed reports whether err means that no byte of the call was sent.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// halt asks the upstream to stop a task.
-func (r *runner) halt(id courier.TaskID) {
+// stop asks the upstream to stop a task.
+func (r *runner) stop(id courier.TaskID) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
@@ -120,24 +120,24 @@
 	}()
 }
 
-// errLapsed means that a call lapsed before its body was sent, without which
+// errExpired means that a call lapsed before its body was sent, without which
 // the upstream can do nothing.
-var errLapsed = errors.New("lapsed before it was sent")
+var errExpired = errors.New("lapsed before it was sent")
 
 // callBody is the body of a call. It is no type that the client knows, so that
 // the client cannot send it again by itself, and it gives out nothing if the
 // call has lapsed by the time it is sent.
 type callBody struct {
-	rest   *bytes.Reader
-	lapsed func() bool
+	reader  *bytes.Reader
+	expired func() bool
 }
 
 // Read implements io.Reader.
 func (b *callBody) Read(p []byte) (int, error) {
-	if int64(b.rest.Len()) == b.rest.Size() && b.lapsed() {
-		return 0, errLapsed
+	if int64(b.reader.Len()) == b.reader.Size() && b.expired() {
+		return 0, errExpired
 	}
-	return b.rest.Read(p)
+	return b.reader.Read(p)
 }
 
 func (r *runner) call(ctx context.Context, path string, req worker.RunRequest, lapsed func() bool, reply any) error {
@@ -147,7 +147,7 @@
 		return errors.Wrap(err, "encode")
 	}
 	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.address+path,
-		&callBody{rest: bytes.NewReader(body), lapsed: lapsed})
+		&callBody{reader: bytes.NewReader(body), expired: lapsed})
 	if err != nil {
 		return errors.Wrap(err, "request")
 	}
--- a/agent/runner_test.go
+++ b/agent/runner_test.go
@@ -34,7 +34,7 @@
 			Deadline: now.Add(time.Minute),
 			Payload:  []byte(`{}`),
 		},
-		Until: now.Add(starter.FreshFor),
+		ExpiresAt: now.Add(starter.FreshnessLimit),
 	}
 }
 
@@ -76,7 +76,7 @@
 	<-entered
 	late := testRun(clock.Now(), 1)
 	go func() { second <- r.run(late) }()
-	clock.Advance(starter.FreshFor)
+	clock.Advance(starter.FreshnessLimit)
 	close(leave)
 	require.Equal(t, courier.Succeeded, (<-first).record.Outcome)
 	require.True(t, (<-second).notStarted)
--- a/commander/client.go
+++ b/commander/client.go
@@ -62,7 +62,7 @@
 	}
 	a, err := c.client(env).Submit(env.ctx, 0, s)
 	if err != nil {
-		return errors.Wrapf(err, "job %s, deadline %s", s.Job(), s.Deadline.Format(time.RFC3339Nano))
+		return errors.Wrapf(err, "job %s, deadline %s", s.JobID(), s.Deadline.Format(time.RFC3339Nano))
 	}
 	return printJSON(env.out, a)
 }
--- a/commander/process.go
+++ b/commander/process.go
@@ -72,19 +72,19 @@
 	case "deadline":
 		return dispatcher.EarliestDeadline{}
 	case "fewest":
-		return dispatcher.FewestLeft{}
+		return dispatcher.FewestTasksLeft{}
 	case "arrival":
-		return dispatcher.Arrival{}
+		return dispatcher.ArrivalOrder{}
 	}
-	return dispatcher.VirtualFinish{PerTask: dispatcher.FinishPerTask}
+	return dispatcher.VirtualFinish{PerTask: dispatcher.FinishTimePerTask}
 }
 
 func placement(name string) dispatcher.Placement {
 	switch name {
 	case "mixed":
-		return dispatcher.Mixed{}
+		return dispatcher.AnyFreeSlot{}
 	case "polling":
-		return dispatcher.Polling{}
+		return dispatcher.HeartbeatOnly{}
 	}
 	return dispatcher.LateBinding{}
 }
--- a/confirmer/confirmer.go
+++ b/confirmer/confirmer.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// OutageLimit is how long after its last read of the store an entry still
+	// WitnessTTL is how long after its last read of the store an entry still
 	// counts as a witness for others. A voter that has not written to the
-	// store for longer than LapseLimit can confirm nothing any more.
-	OutageLimit = 30 * time.Minute
-	// LapseLimit is OutageLimit and a margin for clocks that differ.
-	LapseLimit = OutageLimit + time.Minute
+	// store for longer than VoterTimeout can confirm nothing any more.
+	WitnessTTL = 30 * time.Minute
+	// VoterTimeout is WitnessTTL and a margin for clocks that differ.
+	VoterTimeout = WitnessTTL + time.Minute
 )
 
 // Voters is the list of registered entries, as the store holds it.
@@ -40,13 +40,13 @@
 	Previous []string `json:",omitempty"`
 }
 
-// Final returns the successor of v without the previous entries.
-func (v Voters) Final() Voters {
+// WithoutPrevious returns the successor of v without the previous entries.
+func (v Voters) WithoutPrevious() Voters {
 	return Voters{Version: v.Version + 1, Entries: v.Entries}
 }
 
-// With returns the successor of v with other entries.
-func (v Voters) With(entries []string) Voters {
+// WithEntries returns the successor of v with other entries.
+func (v Voters) WithEntries(entries []string) Voters {
 	list := slices.Clone(entries)
 	slices.Sort(list)
 	return Voters{Version: v.Version + 1, Entries: list, Previous: v.Entries}
@@ -68,12 +68,12 @@
 	return 2*n > len(list)
 }
 
-// Word is what another entry has said in a heartbeat.
-type Word struct {
+// Attestation is what another entry has said in a heartbeat.
+type Attestation struct {
 	// AsOf is a time of this entry's clock before which the word was given
 	// at the latest; it comes from a stamp that the other one echoed.
 	AsOf time.Time
-	// Witness means that the other one read the store within OutageLimit.
+	// Witness means that the other one read the store within WitnessTTL.
 	Witness       bool
 	BundleVersion uint64
 	VotersVersion uint64
@@ -88,14 +88,14 @@
 	bundle approver.Bundle
 	// voters is the newest known list; its version never falls.
 	voters Voters
-	// storeAt is when the last read of the store that succeeded began.
-	storeAt time.Time
-	words   map[string]Word
+	// storeReadAt is when the last read of the store that succeeded began.
+	storeReadAt  time.Time
+	attestations map[string]Attestation
 }
 
 // NewConfirmer returns a confirmer without a bundle.
 func NewConfirmer(clock clockwork.Clock, self string) *Confirmer {
-	return &Confirmer{clock: clock, self: self, words: make(map[string]Word)}
+	return &Confirmer{clock: clock, self: self, attestations: make(map[string]Attestation)}
 }
 
 // Bundle returns the bundle in force; its version is zero when there is none.
@@ -107,12 +107,12 @@
 // Voters returns the newest known list of registered entries.
 func (c *Confirmer) Voters() Voters { return c.voters }
 
-// StoreRead takes what a read of the store that began at a time returned.
-func (c *Confirmer) StoreRead(at time.Time, s approver.Signed, b approver.Bundle, v Voters) {
+// HandleStoreRead takes what a read of the store that began at a time returned.
+func (c *Confirmer) HandleStoreRead(at time.Time, s approver.Signed, b approver.Bundle, v Voters) {
 	c.Adopt(s, b)
 	c.AdoptVoters(v)
-	if b.Version == c.bundle.Version && at.After(c.storeAt) {
-		c.storeAt = at
+	if b.Version == c.bundle.Version && at.After(c.storeReadAt) {
+		c.storeReadAt = at
 	}
 }
 
@@ -134,62 +134,62 @@
 	}
 }
 
-// Heard takes another entry's word.
-func (c *Confirmer) Heard(entry string, w Word) { c.words[entry] = w }
+// SetAttestation takes another entry's word.
+func (c *Confirmer) SetAttestation(entry string, w Attestation) { c.attestations[entry] = w }
 
-// Witness reports whether this entry's word counts for others.
-func (c *Confirmer) Witness() bool {
-	return !c.storeAt.IsZero() && c.clock.Since(c.storeAt) < OutageLimit
+// IsWitness reports whether this entry's word counts for others.
+func (c *Confirmer) IsWitness() bool {
+	return !c.storeReadAt.IsZero() && c.clock.Since(c.storeReadAt) < WitnessTTL
 }
 
-// Confirmed returns the latest time at which the bundle in force is known to
+// ConfirmedAt returns the latest time at which the bundle in force is known to
 // have been the newest accepted one. It is zero when that is not known.
-func (c *Confirmer) Confirmed() time.Time {
+func (c *Confirmer) ConfirmedAt() time.Time {
 	if c.bundle.Version == 0 {
 		return time.Time{}
 	}
-	at := c.storeAt
-	if q := c.quorumAt(); q.After(at) {
+	at := c.storeReadAt
+	if q := c.quorumConfirmedAt(); q.After(at) {
 		at = q
 	}
 	return at
 }
 
-// quorumAt returns the time up to which a majority of the voters vouches for
+// quorumConfirmedAt returns the time up to which a majority of the voters vouches for
 // the bundle.
-func (c *Confirmer) quorumAt() time.Time {
+func (c *Confirmer) quorumConfirmedAt() time.Time {
 	if len(c.voters.Entries) == 0 {
 		return time.Time{}
 	}
-	at := c.majorityAt(c.voters.Entries)
+	at := c.majorityConfirmedAt(c.voters.Entries)
 	if len(c.voters.Previous) == 0 {
 		return at
 	}
-	if p := c.majorityAt(c.voters.Previous); p.Before(at) {
+	if p := c.majorityConfirmedAt(c.voters.Previous); p.Before(at) {
 		at = p
 	}
 	return at
 }
 
-// majorityAt returns the latest time for which more than half of list vouch.
-func (c *Confirmer) majorityAt(list []string) time.Time {
+// majorityConfirmedAt returns the latest time for which more than half of list vouch.
+func (c *Confirmer) majorityConfirmedAt(list []string) time.Time {
 	times := make([]time.Time, len(list))
 	for i, id := range list {
-		times[i] = c.vouchedAt(id)
+		times[i] = c.attestedAt(id)
 	}
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
 	return times[len(times)/2]
 }
 
-// vouchedAt returns the time for which one voter vouches, or zero.
-func (c *Confirmer) vouchedAt(id string) time.Time {
+// attestedAt returns the time for which one voter vouches, or zero.
+func (c *Confirmer) attestedAt(id string) time.Time {
 	if id == c.self {
-		if c.Witness() {
+		if c.IsWitness() {
 			return c.clock.Now()
 		}
 		return time.Time{}
 	}
-	w := c.words[id]
+	w := c.attestations[id]
 	if !w.Witness || w.BundleVersion > c.bundle.Version || w.VotersVersion > c.voters.Version {
 		return time.Time{}
 	}
--- a/courier/courier.go
+++ b/courier/courier.go
@@ -20,7 +20,7 @@
 const (
 	// IdleTimeout closes a link on which nothing arrived for so long. Both
 	// sides send a heartbeat several times in this span.
-	SilenceLimit = 1500 * time.Millisecond
+	IdleTimeout = 1500 * time.Millisecond
 	// DialTimeout bounds the opening of a link.
 	DialTimeout = 500 * time.Millisecond
 	// OutboxSize is the number of messages that wait for a slow receiver
@@ -56,27 +56,27 @@
 // Link is one connection to another process.
 type Link struct {
 	*Sender
-	conn *jsonrpc2.Conn
-	h    Handler
+	conn    *jsonrpc2.Conn
+	handler Handler
 }
 
 // NewLink starts a link over socket. The link closes socket in the end.
 func NewLink(ctx context.Context, socket net.Conn, h Handler) *Link {
-	l := &Link{h: h}
+	l := &Link{handler: h}
 	l.Sender = NewSender(func() {
 		_ = socket.Close()
 		_ = l.conn.Close()
 	})
 	ready := make(chan struct{})
-	stream := jsonrpc2.NewBufferedStream(LimitedConn{Conn: socket, Limit: SilenceLimit}, jsonrpc2.VarintObjectCodec{})
+	stream := jsonrpc2.NewBufferedStream(TimeoutConn{Conn: socket, Timeout: IdleTimeout}, jsonrpc2.VarintObjectCodec{})
 	receive := func(_ context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) {
 		<-ready
 		l.receive(r)
 	}
-	l.conn = jsonrpc2.NewConn(ctx, stream, handlerFunc(receive), jsonrpc2.SetLogger(quietLogger{}))
+	l.conn = jsonrpc2.NewConn(ctx, stream, handlerFunc(receive), jsonrpc2.SetLogger(discardLogger{}))
 	close(ready)
-	go l.write(ctx)
-	go l.watch()
+	go l.writeLoop(ctx)
+	go l.awaitDisconnect()
 	return l
 }
 
@@ -90,9 +90,9 @@
 	return NewLink(ctx, socket, h), nil
 }
 
-func (l *Link) write(ctx context.Context) {
+func (l *Link) writeLoop(ctx context.Context) {
 	for {
-		list, ok := l.Next()
+		list, ok := l.NextBatch()
 		if !ok {
 			return
 		}
@@ -117,10 +117,10 @@
 	return l.conn.Notify(ctx, reflect.TypeOf(msg).Name(), raw.String())
 }
 
-func (l *Link) watch() {
+func (l *Link) awaitDisconnect() {
 	<-l.conn.DisconnectNotify()
 	l.Close()
-	l.h.Closed(l)
+	l.handler.Closed(l)
 }
 
 func (l *Link) receive(r *jsonrpc2.Request) {
@@ -133,7 +133,7 @@
 		l.Close()
 		return
 	}
-	l.h.Receive(l, msg)
+	l.handler.Receive(l, msg)
 }
 
 func decode(params json.RawMessage, msg any) error {
@@ -149,8 +149,8 @@
 // Handle implements jsonrpc2.Handler.
 func (f handlerFunc) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) { f(ctx, c, r) }
 
-// quietLogger drops the library's notes on closed connections.
-type quietLogger struct{}
+// discardLogger drops the library's notes on closed connections.
+type discardLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
-func (quietLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/courier/courier_test.go
+++ b/courier/courier_test.go
@@ -67,7 +67,7 @@
 	far.Close()
 	<-nearBox.closed
 	<-farBox.closed
-	require.True(t, near.Ended())
+	require.True(t, near.IsClosed())
 }
 
 // countingConn counts the bytes that are written.
--- a/courier/message.go
+++ b/courier/message.go
@@ -57,20 +57,20 @@
 	Result  json.RawMessage `json:",omitempty"`
 }
 
-// Refusal is the reason why an agent did not start a task. A refused task has
+// RefuseReason is the reason why an agent did not start a task. A refused task has
 // not started and cannot start from that message any more.
-type Refusal string
+type RefuseReason string
 
 // The reasons of an agent's refusal.
 const (
-	RefusedBusy     Refusal = "Busy"
-	RefusedDraining Refusal = "Draining"
-	RefusedNotFresh Refusal = "NotFresh"
-	RefusedTakenOut Refusal = "TakenOut"
-	RefusedTerm     Refusal = "StaleTerm"
-	RefusedLink     Refusal = "StaleLink"
-	RefusedDeadline Refusal = "DeadlinePassed"
-	RefusedUpstream Refusal = "NotStartedByUpstream"
+	RefusedBusy           RefuseReason = "Busy"
+	RefusedDraining       RefuseReason = "Draining"
+	RefusedNotFresh       RefuseReason = "NotFresh"
+	RefusedTakenOut       RefuseReason = "TakenOut"
+	RefusedStaleTerm      RefuseReason = "StaleTerm"
+	RefusedStaleLink      RefuseReason = "StaleLink"
+	RefusedDeadlinePassed RefuseReason = "DeadlinePassed"
+	RefusedByUpstream     RefuseReason = "NotStartedByUpstream"
 )
 
 // EntryInfo names an entry and where other processes reach it.
@@ -217,8 +217,8 @@
 	// Number is the Number of the refused StartTask.
 	Number uint64
 	Task   TaskID
-	Reason Refusal
-	// Term is the higher term when Reason is RefusedTerm.
+	Reason RefuseReason
+	// Term is the higher term when Reason is RefusedStaleTerm.
 	Term Term
 	Load Load
 }
--- a/courier/outbox.go
+++ b/courier/outbox.go
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Take returns all queued messages in order and empties the queue.
-func (o *Outbox) Take() []any {
+// TakeAll returns all queued messages in order and empties the queue.
+func (o *Outbox) TakeAll() []any {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	list := o.list
--- a/courier/peer.go
+++ b/courier/peer.go
@@ -40,8 +40,8 @@
 	EchoOf string `json:",omitempty"`
 }
 
-// EchoTo returns the echoed stamp, or zero when it is not of incarnation.
-func (h PeerHello) EchoTo(incarnation string) time.Duration {
+// EchoFor returns the echoed stamp, or zero when it is not of incarnation.
+func (h PeerHello) EchoFor(incarnation string) time.Duration {
 	if h.EchoOf != incarnation {
 		return 0
 	}
--- a/courier/sender.go
+++ b/courier/sender.go
@@ -12,13 +12,13 @@
 	outbox *Outbox
 	closed chan struct{}
 	once   sync.Once
-	// end closes what the link is made of.
-	end func()
+	// onClose closes what the link is made of.
+	onClose func()
 }
 
 // NewSender returns a sender of a link that end closes.
 func NewSender(end func()) *Sender {
-	return &Sender{outbox: NewOutbox(), closed: make(chan struct{}), end: end}
+	return &Sender{outbox: NewOutbox(), closed: make(chan struct{}), onClose: end}
 }
 
 // Send queues msg, a value of a message type. It never blocks: a link whose
@@ -29,14 +29,14 @@
 	}
 }
 
-// Next waits for messages and returns all that are queued, in order. It returns
+// NextBatch waits for messages and returns all that are queued, in order. It returns
 // false when the link has ended.
-func (s *Sender) Next() ([]any, bool) {
+func (s *Sender) NextBatch() ([]any, bool) {
 	select {
 	case <-s.closed:
 		return nil, false
 	case <-s.outbox.Ready:
-		return s.outbox.Take(), true
+		return s.outbox.TakeAll(), true
 	}
 }
 
@@ -44,15 +44,15 @@
 func (s *Sender) Close() {
 	s.once.Do(func() {
 		close(s.closed)
-		s.end()
+		s.onClose()
 	})
 }
 
 // Done is closed when the link has ended.
 func (s *Sender) Done() <-chan struct{} { return s.closed }
 
-// Ended reports whether the link has ended.
-func (s *Sender) Ended() bool {
+// IsClosed reports whether the link has ended.
+func (s *Sender) IsClosed() bool {
 	select {
 	case <-s.closed:
 		return true
@@ -61,23 +61,23 @@
 	}
 }
 
-// LimitedConn ends reads and writes that wait longer than Limit.
-type LimitedConn struct {
+// TimeoutConn ends reads and writes that wait longer than Limit.
+type TimeoutConn struct {
 	net.Conn
-	Limit time.Duration
+	Timeout time.Duration
 }
 
 // Read implements io.Reader.
-func (c LimitedConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.Limit)); err != nil {
+func (c TimeoutConn) Read(p []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(c.Timeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
 // Write implements io.Writer.
-func (c LimitedConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(c.Limit)); err != nil {
+func (c TimeoutConn) Write(p []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(c.Timeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
--- a/courier/submission.go
+++ b/courier/submission.go
@@ -28,8 +28,8 @@
 	Tasks    []Task
 }
 
-// Job returns the identity of the submission.
-func (s Submission) Job() string { return s.Team + "/" + s.Key }
+// JobID returns the identity of the submission.
+func (s Submission) JobID() string { return s.Team + "/" + s.Key }
 
 // State is the state of a job as its caller sees it.
 type State string
@@ -59,17 +59,17 @@
 
 // The reasons in answers.
 const (
-	ReasonOverload       Reason = "Overload"
-	ReasonQuota          Reason = "TeamQuota"
-	ReasonDeadline       Reason = "DeadlinePassed"
-	ReasonCancelled      Reason = "Cancelled"
-	ReasonTaskFailed     Reason = "TaskFailed"
-	ReasonOutcomeUnknown Reason = "OutcomeUnknown"
-	ReasonNoWorker       Reason = "NoWorkerForService"
-	ReasonUnknownService Reason = "UnknownService"
-	ReasonNoBundle       Reason = "ConfigurationNotConfirmed"
-	ReasonOtherBody      Reason = "KeyUsedByAnotherBody"
-	ReasonRefusedBefore  Reason = "AttemptRefusedBefore"
+	ReasonOverload           Reason = "Overload"
+	ReasonTeamQuota          Reason = "TeamQuota"
+	ReasonDeadline           Reason = "DeadlinePassed"
+	ReasonCancelled          Reason = "Cancelled"
+	ReasonTaskFailed         Reason = "TaskFailed"
+	ReasonOutcomeUnknown     Reason = "OutcomeUnknown"
+	ReasonNoWorker           Reason = "NoWorkerForService"
+	ReasonUnknownService     Reason = "UnknownService"
+	ReasonBundleNotConfirmed Reason = "ConfigurationNotConfirmed"
+	ReasonKeyReused          Reason = "KeyUsedByAnotherBody"
+	ReasonAttemptRefused     Reason = "AttemptRefusedBefore"
 )
 
 // Answer is the one answer to a submission.
--- a/dispatcher/admission.go
+++ b/dispatcher/admission.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// learnFirst is the number of run times to learn before they are used in
+	// minRunTimeSamples is the number of run times to learn before they are used in
 	// place of the bundle's hint.
-	learnFirst = 20
-	// learnWindow is the number of run times after which older ones fade.
-	learnWindow = 2000
-	// missedShare is the share of jobs that may take longer than expected.
-	missedShare = 0.02
+	minRunTimeSamples = 20
+	// runTimeWindow is the number of run times after which older ones fade.
+	runTimeWindow = 2000
+	// overrunShare is the share of jobs that may take longer than expected.
+	overrunShare = 0.02
 	// maxRunMillis is the longest run time that is told apart.
-	maxRunMillis = 60_000
-	runDigits    = 2
+	maxRunMillis  = 60_000
+	runTimeDigits = 2
 	// maxRetryAfter bounds the advice on when to come back.
 	maxRetryAfter = 60 * time.Second
 	// minRetryAfter keeps refused callers from coming back at once.
@@ -33,44 +33,44 @@
 	runTimes map[string]*runTimes
 	// teamTasks counts the unfinished tasks of each team's jobs.
 	teamTasks map[string]int
-	// promised is when the refused callers told so far will have been
+	// nextRetryAt is when the refused callers told so far will have been
 	// served; the next one is told a later time, so that a refused burst
 	// does not come back as one.
-	promised time.Time
+	nextRetryAt time.Time
 }
 
 // runTimes holds the run times of a service: a full window of recent ones, and
 // the window before it.
 type runTimes struct {
-	recent *hdrhistogram.Histogram
-	before *hdrhistogram.Histogram
+	recent   *hdrhistogram.Histogram
+	previous *hdrhistogram.Histogram
 }
 
 func newRunTimes() *runTimes {
-	return &runTimes{recent: newRunHistogram(), before: newRunHistogram()}
+	return &runTimes{recent: newRunHistogram(), previous: newRunHistogram()}
 }
 
 func newRunHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxRunMillis, runDigits)
+	return hdrhistogram.New(1, maxRunMillis, runTimeDigits)
 }
 
 func (t *runTimes) add(d time.Duration) {
 	_ = t.recent.RecordValue(min(max(d.Milliseconds(), 1), maxRunMillis))
-	if t.recent.TotalCount() >= learnWindow {
-		t.before, t.recent = t.recent, t.before
+	if t.recent.TotalCount() >= runTimeWindow {
+		t.previous, t.recent = t.recent, t.previous
 		t.recent.Reset()
 	}
 }
 
-// larger returns the window with more run times.
-func (t *runTimes) larger() *hdrhistogram.Histogram {
-	if t.before.TotalCount() > t.recent.TotalCount() {
-		return t.before
+// largerWindow returns the window with more run times.
+func (t *runTimes) largerWindow() *hdrhistogram.Histogram {
+	if t.previous.TotalCount() > t.recent.TotalCount() {
+		return t.previous
 	}
 	return t.recent
 }
 
-func (m *admission) learn(service string, d time.Duration) {
+func (m *admission) recordRunTime(service string, d time.Duration) {
 	if m.runTimes == nil {
 		m.runTimes = make(map[string]*runTimes)
 	}
@@ -82,93 +82,93 @@
 	t.add(d)
 }
 
-// learned returns the run times of a service, or nil while too few are known.
-func (m *admission) learned(service string) *hdrhistogram.Histogram {
+// learnedRunTimes returns the run times of a service, or nil while too few are known.
+func (m *admission) learnedRunTimes(service string) *hdrhistogram.Histogram {
 	t := m.runTimes[service]
-	if t == nil || t.larger().TotalCount() < learnFirst {
+	if t == nil || t.largerWindow().TotalCount() < minRunTimeSamples {
 		return nil
 	}
-	return t.larger()
+	return t.largerWindow()
 }
 
 // runTime returns the mean run time of a service's tasks.
-func (m *admission) runTime(o *Owner, service string) time.Duration {
-	if h := m.learned(service); h != nil {
+func (m *admission) runTime(o *Dispatcher, service string) time.Duration {
+	if h := m.learnedRunTimes(service); h != nil {
 		return time.Duration(h.Mean() * float64(time.Millisecond))
 	}
 	s, _ := o.bundle.Service(service)
 	return time.Duration(s.ExpectedRunMillis) * time.Millisecond
 }
 
-// longestOf returns a run time that the longest of n tasks seldom exceeds.
-func (m *admission) longestOf(o *Owner, service string, n int) time.Duration {
-	h := m.learned(service)
+// longestRunTime returns a run time that the longest of n tasks seldom exceeds.
+func (m *admission) longestRunTime(o *Dispatcher, service string, n int) time.Duration {
+	h := m.learnedRunTimes(service)
 	if h == nil {
 		return m.runTime(o, service)
 	}
-	q := 100 * (1 - missedShare/float64(n))
+	q := 100 * (1 - overrunShare/float64(n))
 	return time.Duration(h.ValueAtQuantile(q)) * time.Millisecond
 }
 
-// hopeless reports whether a waiting task of j that starts now is more likely
+// likelyToMissDeadline reports whether a waiting task of j that starts now is more likely
 // than not to miss the deadline.
-func (o *Owner) hopeless(j *job) bool {
-	h := o.admission.learned(j.sub.Service)
+func (o *Dispatcher) likelyToMissDeadline(j *job) bool {
+	h := o.admission.learnedRunTimes(j.submission.Service)
 	if h == nil {
 		return false
 	}
 	usual := time.Duration(h.ValueAtQuantile(50)) * time.Millisecond
-	return o.clock.Now().Add(usual).After(j.sub.Deadline)
+	return o.clock.Now().Add(usual).After(j.submission.Deadline)
 }
 
-func (m *admission) admitted(j *job) {
+func (m *admission) addTasks(j *job) {
 	if m.teamTasks == nil {
 		m.teamTasks = make(map[string]int)
 	}
-	m.teamTasks[j.sub.Team] += len(j.tasks)
+	m.teamTasks[j.submission.Team] += len(j.tasks)
 }
 
-func (m *admission) ended(j *job) {
-	m.teamTasks[j.sub.Team] -= len(j.tasks)
-	if m.teamTasks[j.sub.Team] <= 0 {
-		delete(m.teamTasks, j.sub.Team)
+func (m *admission) removeTasks(j *job) {
+	m.teamTasks[j.submission.Team] -= len(j.tasks)
+	if m.teamTasks[j.submission.Team] <= 0 {
+		delete(m.teamTasks, j.submission.Team)
 	}
 }
 
 // check returns why r cannot be taken now, and when to come back.
-func (m *admission) check(o *Owner, r Request) (courier.Reason, time.Duration) {
+func (m *admission) check(o *Dispatcher, r Request) (courier.Reason, time.Duration) {
 	s := r.Submission
 	n := len(s.Tasks)
 	if team, ok := o.bundle.Team(s.Team); !ok || m.teamTasks[s.Team]+n > team.TaskLimit {
-		return courier.ReasonQuota, m.comeBack(o, n)
+		return courier.ReasonTeamQuota, m.retryAfter(o, n)
 	}
 	if o.queue.tasks+n > o.bundle.Limits.WaitingTaskLimit {
-		return courier.ReasonOverload, m.comeBack(o, n)
+		return courier.ReasonOverload, m.retryAfter(o, n)
 	}
 	left := s.Deadline.Sub(o.clock.Now())
-	if m.wait(o, n)+m.longestOf(o, s.Service, n) > left {
-		return courier.ReasonOverload, m.comeBack(o, n)
+	if m.estimateWait(o, n)+m.longestRunTime(o, s.Service, n) > left {
+		return courier.ReasonOverload, m.retryAfter(o, n)
 	}
 	return "", 0
 }
 
 // slotShare estimates the slots that work for this owner.
-func (o *Owner) slotShare() int {
+func (o *Dispatcher) slotShare() int {
 	t := o.fleet.totals
 	return max(1, t.tasks, t.slots/max(1, len(o.view)))
 }
 
-// wait estimates the time until the last of n more tasks starts.
-func (m *admission) wait(o *Owner, n int) time.Duration {
+// estimateWait estimates the time until the last of n more tasks starts.
+func (m *admission) estimateWait(o *Dispatcher, n int) time.Duration {
 	ahead := o.queue.tasks + n - o.fleet.totals.free
 	if ahead <= 0 {
 		return 0
 	}
-	return time.Duration(ahead) * m.meanRun(o) / time.Duration(o.slotShare())
+	return time.Duration(ahead) * m.meanRunTime(o) / time.Duration(o.slotShare())
 }
 
-// meanRun returns the mean learned run time over the services.
-func (m *admission) meanRun(o *Owner) time.Duration {
+// meanRunTime returns the mean learned run time over the services.
+func (m *admission) meanRunTime(o *Dispatcher) time.Duration {
 	var sum time.Duration
 	for _, s := range o.bundle.Services {
 		sum += m.runTime(o, s.Name)
@@ -176,18 +176,18 @@
 	return sum / time.Duration(max(1, len(o.bundle.Services)))
 }
 
-// comeBack returns when a refused job of n tasks should be sent again: after
+// retryAfter returns when a refused job of n tasks should be sent again: after
 // the present backlog and after the refused jobs that were told before it.
-func (m *admission) comeBack(o *Owner, n int) time.Duration {
+func (m *admission) retryAfter(o *Dispatcher, n int) time.Duration {
 	now := o.clock.Now()
-	own := time.Duration(n) * m.meanRun(o) / time.Duration(o.slotShare())
-	at := now.Add(m.wait(o, 0))
-	if m.promised.After(at) {
-		at = m.promised
+	own := time.Duration(n) * m.meanRunTime(o) / time.Duration(o.slotShare())
+	at := now.Add(m.estimateWait(o, 0))
+	if m.nextRetryAt.After(at) {
+		at = m.nextRetryAt
 	}
-	m.promised = at.Add(own)
-	if limit := now.Add(maxRetryAfter); m.promised.After(limit) {
-		m.promised = limit
+	m.nextRetryAt = at.Add(own)
+	if limit := now.Add(maxRetryAfter); m.nextRetryAt.After(limit) {
+		m.nextRetryAt = limit
 	}
 	jitter := 1 + 0.2*o.rng.Float64()
 	after := time.Duration(float64(at.Sub(now)) * jitter)
@@ -198,16 +198,16 @@
 // retries cannot multiply the load of an outage.
 type retryBudget struct {
 	// tokens counts hundredths of a retry.
-	tokens  int
-	pending int
+	tokens           int
+	uncreditedStarts int
 }
 
-func (b *retryBudget) started() { b.pending++ }
+func (b *retryBudget) recordStart() { b.uncreditedStarts++ }
 
 // spend takes one retry out of the budget and reports whether it was there.
 func (b *retryBudget) spend(percent int) bool {
-	b.tokens = min(b.tokens+b.pending*percent, retryBurst*100)
-	b.pending = 0
+	b.tokens = min(b.tokens+b.uncreditedStarts*percent, retryBurst*100)
+	b.uncreditedStarts = 0
 	if b.tokens < 100 {
 		return false
 	}
--- a/dispatcher/agent.go
+++ b/dispatcher/agent.go
@@ -7,36 +7,36 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// AgentUp takes the first announcement on a new link to an agent.
-func (o *Owner) AgentUp(an courier.Announce) {
-	o.wake()
+// AgentLinkUp takes the first announcement on a new link to an agent.
+func (o *Dispatcher) AgentLinkUp(an courier.Announce) {
+	o.detectPause()
 	ref := courier.AgentRef{Agent: an.Agent, Incarnation: an.Incarnation}
 	a := o.fleet.agents[an.Agent]
 	if a != nil && a.ref != ref {
-		o.loseAgent(a, RecordHorizon)
+		o.removeAgent(a, RecordRetention)
 		a = nil
 	}
 	if a == nil {
 		a = &agent{ref: ref, tasks: make(map[courier.TaskID]struct{})}
 		o.fleet.agents[an.Agent] = a
-		delete(o.fleet.gone, ref)
+		delete(o.fleet.unreachable, ref)
 	}
 	a.linked = true
 	a.link = an.LinkNumber
-	a.sentTasks = 0
-	a.acks = nil
+	a.sentTaskCount = 0
+	a.pendingAcks = nil
 	a.lastClaim = 0
 	a.answeredClaim = 0
-	o.claimFrom(a)
-	o.AgentSeen(an)
+	o.sendClaims(a)
+	o.AgentHeartbeat(an)
 }
 
-// claimFrom sends one claim for each term held here.
-func (o *Owner) claimFrom(a *agent) {
+// sendClaims sends one claim for each term held here.
+func (o *Dispatcher) sendClaims(a *agent) {
 	var claims []courier.Claim
 	for i := range o.partitions {
 		part := &o.partitions[i]
-		if part.state == foreign || !part.retryAt.IsZero() {
+		if part.state == partitionNotOwned || !part.claimRetryAt.IsZero() {
 			continue
 		}
 		claims = addToClaim(claims, part.term, i)
@@ -46,10 +46,10 @@
 	}
 }
 
-// AgentSeen takes a later announcement.
-func (o *Owner) AgentSeen(an courier.Announce) {
-	o.wake()
-	a := o.fleet.linked(an.Agent, an.LinkNumber)
+// AgentHeartbeat takes a later announcement.
+func (o *Dispatcher) AgentHeartbeat(an courier.Announce) {
+	o.detectPause()
+	a := o.fleet.linkedAgent(an.Agent, an.LinkNumber)
 	if a == nil || a.ref.Incarnation != an.Incarnation {
 		return
 	}
@@ -58,9 +58,9 @@
 	a.slots = an.Slots
 	a.draining = an.Draining
 	a.stopping = an.Stopping
-	a.out = slices.Contains(o.fleet.out, a.dataCentre)
-	if !a.admitted {
-		a.admitted = containsAll(an.Acked, o.peers)
+	a.dataCentreOut = slices.Contains(o.fleet.outDataCentres, a.dataCentre)
+	if !a.inAllRosters {
+		a.inAllRosters = containsAll(an.Acked, o.peers)
 	}
 	o.setLoad(a, an.Load)
 	o.dispatch()
@@ -75,56 +75,56 @@
 	return true
 }
 
-// AgentDown notes that the link to an agent has ended.
-func (o *Owner) AgentDown(name string, link uint64) {
-	o.wake()
-	a := o.fleet.linked(name, link)
+// AgentLinkDown notes that the link to an agent has ended.
+func (o *Dispatcher) AgentLinkDown(name string, link uint64) {
+	o.detectPause()
+	a := o.fleet.linkedAgent(name, link)
 	if a == nil {
 		return
 	}
 	a.linked = false
-	a.lostAt = o.clock.Now()
+	a.unlinkedAt = o.clock.Now()
 	o.fleet.update(a)
-	o.retryRefusals(a)
+	o.resendForbids(a)
 	if a.stopping && len(a.tasks) == 0 {
-		o.loseAgent(a, RecordHorizon)
+		o.removeAgent(a, RecordRetention)
 	}
 }
 
 // checkAgents acknowledges results, gives up agents that have been out of
 // touch too long, and lets ejected ones have a probe. It looks at every agent,
 // and so only seldom.
-func (o *Owner) checkAgents(now time.Time) {
+func (o *Dispatcher) checkAgents(now time.Time) {
 	if now.Before(o.nextAgentCheck) {
 		return
 	}
 	o.nextAgentCheck = now.Add(agentCheckInterval)
 	o.fleet.tick(now)
 	o.sendAcks()
-	for _, a := range o.fleet.lapsed(now.Add(-AgentLapse)) {
-		o.loseAgent(a, SilentHorizon)
+	for _, a := range o.fleet.unlinkedSince(now.Add(-AgentTimeout)) {
+		o.removeAgent(a, UnreachableAgentRetention)
 	}
 }
 
-// loseAgent settles the tasks that ran at an agent that will not answer.
-func (o *Owner) loseAgent(a *agent, horizon time.Duration) {
+// removeAgent settles the tasks that ran at an agent that will not answer.
+func (o *Dispatcher) removeAgent(a *agent, horizon time.Duration) {
 	o.fleet.remove(a, o.clock.Now().Add(horizon))
-	o.retryRefusals(a)
+	o.resendForbids(a)
 	for _, id := range a.sortedTasks() {
 		if j := o.jobs[id.Job]; j != nil && !j.done {
-			o.settle(j, id.Index, courier.Record{Task: id, Outcome: courier.Lost})
+			o.recordOutcome(j, id.Index, courier.Record{Task: id, Outcome: courier.Lost})
 		}
 	}
-	o.releaseHeld()
+	o.retryBlocked()
 }
 
 // sendAcks acknowledges the results that have arrived since the last time.
 // Agents wait for this only when they drain, so it need not be at once.
-func (o *Owner) sendAcks() {
+func (o *Dispatcher) sendAcks() {
 	for _, a := range o.fleet.sorted() {
-		if a.linked && len(a.acks) > 0 {
-			o.send(a.ref.Agent, courier.Acked{Tasks: a.acks})
-			a.acks = nil
+		if a.linked && len(a.pendingAcks) > 0 {
+			o.send(a.ref.Agent, courier.Acked{Tasks: a.pendingAcks})
+			a.pendingAcks = nil
 		}
 	}
 }
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	// PauseLimit is the longest span between two ticks after which an owner
+	// PauseThreshold is the longest span between two ticks after which an owner
 	// still trusts its terms. It is shorter than the time that the others
 	// need to miss its heartbeats.
-	PauseLimit = 1500 * time.Millisecond
-	// FreshWait is how long after a pause requests wait for the bundle to be
+	PauseThreshold = 1500 * time.Millisecond
+	// FreshnessTimeout is how long after a pause requests wait for the bundle to be
 	// confirmed, in place of being refused.
-	FreshWait = 2 * time.Second
+	FreshnessTimeout = 2 * time.Second
 	// ClaimTimeout bounds the wait for agents in a take-over. Agents that
 	// answer later close the gap that they left.
 	ClaimTimeout = time.Second
-	// ReclaimDelay spaces the claims of rivals for one partition.
-	ReclaimDelay = 200 * time.Millisecond
-	// AgentLapse is how long an agent may be out of touch before its running
+	// ClaimRetryDelay spaces the claims of rivals for one partition.
+	ClaimRetryDelay = 200 * time.Millisecond
+	// AgentTimeout is how long an agent may be out of touch before its running
 	// tasks are given up.
-	AgentLapse = 10 * time.Second
-	// RecordHorizon is how long a started task can matter: the longest
+	AgentTimeout = 10 * time.Second
+	// RecordRetention is how long a started task can matter: the longest
 	// deadline and the grace for clocks that differ.
-	RecordHorizon = 65 * time.Second
-	// SilentHorizon is how long an agent that fell silent counts as one that
+	RecordRetention = 65 * time.Second
+	// UnreachableAgentRetention is how long an agent that fell silent counts as one that
 	// may still be starting tasks for an earlier owner.
-	SilentHorizon = 10 * time.Minute
-	// AnswerGrace keeps answers beyond the deadline of their submission.
-	AnswerGrace = 5 * time.Second
-	// LeaveGrace is how long a job runs on without a caller, so that a
+	UnreachableAgentRetention = 10 * time.Minute
+	// AnswerRetention keeps answers beyond the deadline of their submission.
+	AnswerRetention = 5 * time.Second
+	// OrphanGrace is how long a job runs on without a caller, so that a
 	// resubmission finds it.
-	LeaveGrace = 2 * time.Second
-	// FinishPerTask is the time that a waiting task adds in the order of the
+	OrphanGrace = 2 * time.Second
+	// FinishTimePerTask is the time that a waiting task adds in the order of the
 	// queue. It lets small jobs overtake large ones, and bounds for how long.
-	FinishPerTask = 100 * time.Millisecond
-	// DemandInterval spaces the repeated reports of waiting tasks.
-	DemandInterval = 500 * time.Millisecond
+	FinishTimePerTask = 100 * time.Millisecond
+	// DemandReportInterval spaces the repeated reports of waiting tasks.
+	DemandReportInterval = 500 * time.Millisecond
 )
 
 // agentCheckInterval is the time between two looks at every agent.
@@ -98,54 +98,54 @@
 	Waiter Waiter
 }
 
-// first reports whether no other copy can have reached an owner before.
-func (r Request) first() bool { return r.Submission.Attempt == 1 && !r.Resent }
+// isFirstCopy reports whether no other copy can have reached an owner before.
+func (r Request) isFirstCopy() bool { return r.Submission.Attempt == 1 && !r.Resent }
 
-// Owner is the aggregate of one entry's submissions.
-type Owner struct {
+// Dispatcher is the aggregate of one entry's submissions.
+type Dispatcher struct {
 	clock clockwork.Clock
 	cfg   Config
 	rng   *rand.Rand
-	// lastTick is when the owner last ran; a longer gap than PauseLimit
+	// lastTick is when the owner last ran; a longer gap than PauseThreshold
 	// means that others may have taken over.
 	lastTick time.Time
 	// nextAgentCheck is when to look at the agents again.
 	nextAgentCheck time.Time
 	// resumedAt is when the process started or was last seen to wake up.
-	wokeAt time.Time
+	resumedAt time.Time
 
 	bundle     approver.Bundle
 	freshUntil time.Time
 	stopping   bool
-	// rosterCertainAt is when the roster counts as complete without a peer's
+	// rosterCompleteAt is when the roster counts as complete without a peer's
 	// word: until then, earlier owners may have used agents unknown here.
-	rosterCertainAt time.Time
+	rosterCompleteAt time.Time
 	// peers lists the other entries that are alive or may be; view lists the
 	// live entries that own partitions, this one among them when it does.
 	peers      []string
 	view       []string
 	partitions [router.Partitions]partition
-	// highest holds the highest term seen for each partition.
-	highest [router.Partitions]courier.Term
+	// highestTerms holds the highest term seen for each partition.
+	highestTerms [router.Partitions]courier.Term
 
 	// jobs holds unfinished jobs, and finished ones until they expire.
 	jobs    map[string]*job
 	expiry  expiryQueue
 	waiters map[Waiter]*job
-	// refused holds the highest attempt answered NotRun for each job.
-	refused map[string]refusedAttempt
-	// refusals holds the NotRun answers that wait for an agent.
-	refusals map[string]*refusal
-	// inherited holds what agents report of jobs without a body here.
-	inherited map[string]*inheritance
-	queue     *queue
-	fleet     *fleet
-	admission admission
-	budget    retryBudget
-	demand    demandState
-	counts    Counts
-	// refusedFor counts the refused starts by reason.
-	refusedFor map[courier.Refusal]uint64
+	// forbiddenAttempts holds the highest attempt answered NotRun for each job.
+	forbiddenAttempts map[string]forbiddenAttempt
+	// pendingForbids holds the NotRun answers that wait for an agent.
+	pendingForbids map[string]*pendingForbid
+	// recoveredJobs holds what agents report of jobs without a body here.
+	recoveredJobs map[string]*recoveredJob
+	queue         *queue
+	fleet         *fleet
+	admission     admission
+	retryBudget   retryBudget
+	demand        demandState
+	counts        Counts
+	// refuseReasons counts the refused starts by reason.
+	refuseReasons map[courier.RefuseReason]uint64
 
 	effects []Effect
 }
@@ -165,47 +165,47 @@
 	Claims    uint64
 }
 
-// NewOwner returns an owner without partitions.
-func NewOwner(clock clockwork.Clock, cfg Config) *Owner {
+// NewDispatcher returns an owner without partitions.
+func NewDispatcher(clock clockwork.Clock, cfg Config) *Dispatcher {
 	if cfg.Placement == nil {
 		cfg.Placement = LateBinding{}
 	}
 	if cfg.Order == nil {
-		cfg.Order = VirtualFinish{PerTask: FinishPerTask}
+		cfg.Order = VirtualFinish{PerTask: FinishTimePerTask}
 	}
 	now := clock.Now()
-	return &Owner{
-		clock:           clock,
-		cfg:             cfg,
-		rng:             rand.New(rand.NewPCG(cfg.Seed, uint64(len(cfg.Entry)))),
-		lastTick:        now,
-		wokeAt:          now,
-		rosterCertainAt: now.Add(RecordHorizon),
-		jobs:            make(map[string]*job),
-		waiters:         make(map[Waiter]*job),
-		refused:         make(map[string]refusedAttempt),
-		refusals:        make(map[string]*refusal),
-		refusedFor:      make(map[courier.Refusal]uint64),
-		inherited:       make(map[string]*inheritance),
-		queue:           newQueue(cfg.Order),
-		fleet:           newFleet(),
+	return &Dispatcher{
+		clock:             clock,
+		cfg:               cfg,
+		rng:               rand.New(rand.NewPCG(cfg.Seed, uint64(len(cfg.Entry)))),
+		lastTick:          now,
+		resumedAt:         now,
+		rosterCompleteAt:  now.Add(RecordRetention),
+		jobs:              make(map[string]*job),
+		waiters:           make(map[Waiter]*job),
+		forbiddenAttempts: make(map[string]forbiddenAttempt),
+		pendingForbids:    make(map[string]*pendingForbid),
+		refuseReasons:     make(map[courier.RefuseReason]uint64),
+		recoveredJobs:     make(map[string]*recoveredJob),
+		queue:             newQueue(cfg.Order),
+		fleet:             newFleet(),
 	}
 }
 
-// Drain returns the effects since the last call.
-func (o *Owner) Drain() []Effect {
+// TakeEffects returns the effects since the last call.
+func (o *Dispatcher) TakeEffects() []Effect {
 	out := o.effects
 	o.effects = nil
 	return out
 }
 
 // Counts returns the totals so far.
-func (o *Owner) Counts() Counts { return o.counts }
+func (o *Dispatcher) Counts() Counts { return o.counts }
 
 // SetBundle puts a bundle in force, and notes until when it may be used
 // without another confirmation. Older versions are ignored.
-func (o *Owner) SetBundle(b approver.Bundle, freshUntil time.Time) {
-	o.wake()
+func (o *Dispatcher) SetBundle(b approver.Bundle, freshUntil time.Time) {
+	o.detectPause()
 	if b.Version < o.bundle.Version {
 		return
 	}
@@ -214,20 +214,20 @@
 	wasFresh := o.fresh()
 	o.freshUntil = freshUntil
 	if !wasFresh && o.fresh() {
-		o.releaseHeld()
+		o.retryBlocked()
 	}
 	if changed {
-		o.fleet.setOut(b.OutDataCentres())
+		o.fleet.setOutDataCentres(b.OutDataCentres())
 		o.dispatch()
 	}
 }
 
 // SetStopping makes the owner give up its partitions to the others: new
 // submissions are passed on, and the ones here go on until they are claimed.
-func (o *Owner) SetStopping() { o.stopping = true }
+func (o *Dispatcher) SetStopping() { o.stopping = true }
 
 // Idle reports whether no job is unfinished.
-func (o *Owner) Idle() bool {
+func (o *Dispatcher) Idle() bool {
 	for _, j := range o.jobs {
 		if !j.done {
 			return false
@@ -237,52 +237,52 @@
 }
 
 // Tick does what has come due. It is called every few milliseconds.
-func (o *Owner) Tick() {
-	o.wake()
+func (o *Dispatcher) Tick() {
+	o.detectPause()
 	now := o.clock.Now()
 	o.expireJobs(now)
 	o.finishClaims(now)
 	o.retryClaims(now)
-	o.dropInheritances(now)
-	o.refuseStale(now)
+	o.expireRecovered(now)
+	o.expireFreshnessWait(now)
 	o.checkAgents(now)
 	o.dispatch()
 	o.reportDemand(now)
 }
 
-// wake notices that the process was paused for so long that others may have
+// detectPause notices that the process was paused for so long that others may have
 // taken over, and gives up all terms before anything else happens.
-func (o *Owner) wake() {
+func (o *Dispatcher) detectPause() {
 	now := o.clock.Now()
-	paused := now.Sub(o.lastTick) > PauseLimit
+	paused := now.Sub(o.lastTick) > PauseThreshold
 	o.lastTick = now
 	if !paused {
 		return
 	}
-	o.wokeAt = now
+	o.resumedAt = now
 	if len(o.peers) > 0 {
-		o.rosterCertainAt = now.Add(RecordHorizon)
+		o.rosterCompleteAt = now.Add(RecordRetention)
 	}
-	o.reclaimAll()
+	o.reclaimPartitions()
 }
 
-// refuseStale lets go of what waited in vain for the bundle to be confirmed.
-func (o *Owner) refuseStale(now time.Time) {
-	if !o.fresh() && now.Sub(o.wokeAt) >= FreshWait {
-		o.releaseHeld()
+// expireFreshnessWait lets go of what waited in vain for the bundle to be confirmed.
+func (o *Dispatcher) expireFreshnessWait(now time.Time) {
+	if !o.fresh() && now.Sub(o.resumedAt) >= FreshnessTimeout {
+		o.retryBlocked()
 	}
 }
 
-func (o *Owner) fresh() bool {
+func (o *Dispatcher) fresh() bool {
 	return o.bundle.Version > 0 && o.clock.Now().Before(o.freshUntil)
 }
 
-func (o *Owner) send(agent string, msg any) {
+func (o *Dispatcher) send(agent string, msg any) {
 	o.counts.Messages++
 	o.effects = append(o.effects, Send{To: agent, Msg: msg})
 }
 
-func (o *Owner) reply(w Waiter, a courier.Answer) {
+func (o *Dispatcher) reply(w Waiter, a courier.Answer) {
 	if w == 0 {
 		return
 	}
--- a/dispatcher/dump.go
+++ b/dispatcher/dump.go
@@ -9,7 +9,7 @@
 // Dump is an owner's state as operators see it.
 type Dump struct {
 	Counts        Counts
-	RefusedFor    map[courier.Refusal]uint64
+	RefusedFor    map[courier.RefuseReason]uint64
 	Serving       int
 	Jobs          int
 	Unfinished    int
@@ -36,15 +36,15 @@
 }
 
 // Dump returns the state of the owner.
-func (o *Owner) Dump() Dump {
+func (o *Dispatcher) Dump() Dump {
 	d := Dump{
 		Counts:        o.counts,
-		RefusedFor:    maps.Clone(o.refusedFor),
-		Serving:       o.Serves(),
+		RefusedFor:    maps.Clone(o.refuseReasons),
+		Serving:       o.ServedPartitions(),
 		Jobs:          len(o.jobs),
 		WaitingTasks:  o.queue.tasks,
 		Slots:         o.fleet.totals.slots,
-		RosterCertain: !o.rosterCertainAt.After(o.clock.Now()),
+		RosterCertain: !o.rosterCompleteAt.After(o.clock.Now()),
 	}
 	for _, j := range o.jobs {
 		if !j.done {
@@ -56,17 +56,17 @@
 			Agent:      a.ref.Agent,
 			DataCentre: a.dataCentre,
 			Linked:     a.linked,
-			Admitted:   a.admitted,
-			Claimed:    a.claimed(),
+			Admitted:   a.inAllRosters,
+			Claimed:    a.claimsAnswered(),
 			Draining:   a.draining,
-			Out:        a.out,
+			Out:        a.dataCentreOut,
 			Ejected:    a.health.ejected,
 			Slots:      a.slots,
 			Free:       a.free(),
 			Tasks:      len(a.tasks),
 		})
 	}
-	for ref := range o.fleet.gone {
+	for ref := range o.fleet.unreachable {
 		d.Gone = append(d.Gone, ref)
 	}
 	return d
--- a/dispatcher/fleet.go
+++ b/dispatcher/fleet.go
@@ -17,48 +17,48 @@
 	services   []string
 	slots      int
 	// linked is false while there is no link; link numbers the last one.
-	linked bool
-	link   uint64
-	lostAt time.Time
+	linked     bool
+	link       uint64
+	unlinkedAt time.Time
 	// lastClaim and answeredClaim number the claims on this link.
 	lastClaim     uint64
 	answeredClaim uint64
-	// admitted means that every other entry has the agent in its roster; it
+	// inAllRosters means that every other entry has the agent in its roster; it
 	// stays true for the life of the incarnation.
-	admitted bool
-	draining bool
+	inAllRosters bool
+	draining     bool
 	// stopping means that the incarnation will start nothing any more.
-	stopping bool
-	out      bool
-	// sentTasks counts the tasks sent on this link.
-	sentTasks uint64
-	load      courier.Load
-	health    health
+	stopping      bool
+	dataCentreOut bool
+	// sentTaskCount counts the tasks sent on this link.
+	sentTaskCount uint64
+	load          courier.Load
+	health        health
 	// tasks holds the tasks that may be running there for this owner.
 	tasks map[courier.TaskID]struct{}
-	// acks holds the tasks whose results have arrived since the last Acked.
-	acks []courier.TaskID
-	// counted is what the agent has added to the totals of the fleet.
-	counted agentCounts
+	// pendingAcks holds the tasks whose results have arrived since the last Acked.
+	pendingAcks []courier.TaskID
+	// countedInTotals is what the agent has added to the totals of the fleet.
+	countedInTotals agentCounts
 }
 
 // free returns the slots that should be free when a message arrives now.
 func (a *agent) free() int {
-	return a.load.Free - int(a.sentTasks-a.load.Seen)
+	return a.load.Free - int(a.sentTaskCount-a.load.Seen)
 }
 
-// mine returns the free slots that other owners leave to this one.
-func (a *agent) mine() int {
-	return min(a.free(), a.load.Mine-int(a.sentTasks-a.load.Seen))
+// preferredFree returns the free slots that other owners leave to this one.
+func (a *agent) preferredFree() int {
+	return min(a.free(), a.load.Mine-int(a.sentTaskCount-a.load.Seen))
 }
 
-// startable reports whether new tasks may be sent to the agent.
-func (a *agent) startable() bool {
-	return a.linked && a.claimed() && a.admitted && !a.draining && !a.out
+// acceptsTasks reports whether new tasks may be sent to the agent.
+func (a *agent) acceptsTasks() bool {
+	return a.linked && a.claimsAnswered() && a.inAllRosters && !a.draining && !a.dataCentreOut
 }
 
-// claimed reports whether the agent has answered every claim on this link.
-func (a *agent) claimed() bool { return a.answeredClaim == a.lastClaim }
+// claimsAnswered reports whether the agent has answered every claim on this link.
+func (a *agent) claimsAnswered() bool { return a.answeredClaim == a.lastClaim }
 
 // sortedTasks returns the tasks that may be running there, in order.
 func (a *agent) sortedTasks() []courier.TaskID {
@@ -77,14 +77,14 @@
 // the cost of a choice does not grow with their number.
 type fleet struct {
 	agents map[string]*agent
-	// idle holds the agents with free slots; own holds those among them whose
+	// withFreeSlots holds the agents with free slots; own holds those among them whose
 	// free slots other owners leave to this one.
-	idle agentSet
-	own  agentSet
-	// gone holds agents that may keep records but cannot be asked, with the
+	withFreeSlots      agentSet
+	withPreferredSlots agentSet
+	// unreachable holds agents that may keep records but cannot be asked, with the
 	// time until which they matter.
-	gone map[courier.AgentRef]time.Time
-	out  []string
+	unreachable    map[courier.AgentRef]time.Time
+	outDataCentres []string
 	// totals is the sum of what the agents count; see agentCounts.
 	totals agentCounts
 }
@@ -102,33 +102,33 @@
 
 func newFleet() *fleet {
 	return &fleet{
-		agents: make(map[string]*agent),
-		gone:   make(map[courier.AgentRef]time.Time),
+		agents:      make(map[string]*agent),
+		unreachable: make(map[courier.AgentRef]time.Time),
 	}
 }
 
 // update puts the agent into the sets of agents with free slots, or takes it
 // out of them.
 func (f *fleet) update(a *agent) {
-	usable := a.startable() && !a.health.ejected
-	f.idle.set(a, usable && a.free() > 0)
-	f.own.set(a, usable && a.mine() > 0)
+	usable := a.acceptsTasks() && !a.health.ejected
+	f.withFreeSlots.set(a, usable && a.free() > 0)
+	f.withPreferredSlots.set(a, usable && a.preferredFree() > 0)
 	now := agentCounts{tasks: len(a.tasks)}
-	if a.startable() {
+	if a.acceptsTasks() {
 		now.slots = a.slots
 	}
 	if usable {
 		now.free = max(0, a.free())
 	}
-	f.add(a, now)
+	f.replaceCounts(a, now)
 }
 
-// add replaces what an agent adds to the totals.
-func (f *fleet) add(a *agent, now agentCounts) {
-	f.totals.slots += now.slots - a.counted.slots
-	f.totals.free += now.free - a.counted.free
-	f.totals.tasks += now.tasks - a.counted.tasks
-	a.counted = now
+// replaceCounts replaces what an agent adds to the totals.
+func (f *fleet) replaceCounts(a *agent, now agentCounts) {
+	f.totals.slots += now.slots - a.countedInTotals.slots
+	f.totals.free += now.free - a.countedInTotals.free
+	f.totals.tasks += now.tasks - a.countedInTotals.tasks
+	a.countedInTotals = now
 }
 
 // assign notes that a task may be running at an agent.
@@ -169,10 +169,10 @@
 	}
 }
 
-// draw returns the better of two agents drawn at random that serve a service,
+// pickBetterOfTwo returns the better of two agents drawn at random that serve a service,
 // which keeps several owners from choosing alike. When both draws serve other
 // services, it returns any agent that will do, or nil.
-func (s *agentSet) draw(service string, rng *rand.Rand) *agent {
+func (s *agentSet) pickBetterOfTwo(service string, rng *rand.Rand) *agent {
 	n := len(s.list)
 	if n == 0 {
 		return nil
@@ -197,15 +197,15 @@
 func (f *fleet) remove(a *agent, until time.Time) {
 	a.linked = false
 	f.update(a)
-	f.add(a, agentCounts{})
+	f.replaceCounts(a, agentCounts{})
 	delete(f.agents, a.ref.Agent)
-	f.gone[a.ref] = until
+	f.unreachable[a.ref] = until
 }
 
-func (f *fleet) setOut(dataCentres []string) {
-	f.out = dataCentres
+func (f *fleet) setOutDataCentres(dataCentres []string) {
+	f.outDataCentres = dataCentres
 	for _, a := range f.sorted() {
-		a.out = slices.Contains(f.out, a.dataCentre)
+		a.dataCentreOut = slices.Contains(f.outDataCentres, a.dataCentre)
 		f.update(a)
 	}
 }
@@ -223,14 +223,14 @@
 // pick returns an agent with a free slot for the service, if possible one that
 // other owners leave to this one.
 func (f *fleet) pick(service string, rng *rand.Rand) *agent {
-	if a := f.own.draw(service, rng); a != nil {
+	if a := f.withPreferredSlots.pickBetterOfTwo(service, rng); a != nil {
 		return a
 	}
-	return f.idle.draw(service, rng)
+	return f.withFreeSlots.pickBetterOfTwo(service, rng)
 }
 
-// linked returns the agent called name if link is its current link.
-func (f *fleet) linked(name string, link uint64) *agent {
+// linkedAgent returns the agent called name if link is its current link.
+func (f *fleet) linkedAgent(name string, link uint64) *agent {
 	a := f.agents[name]
 	if a == nil || !a.linked || a.link != link {
 		return nil
@@ -238,11 +238,11 @@
 	return a
 }
 
-// lapsed returns the agents out of touch since limit or longer, by name.
-func (f *fleet) lapsed(limit time.Time) []*agent {
+// unlinkedSince returns the agents out of touch since limit or longer, by name.
+func (f *fleet) unlinkedSince(limit time.Time) []*agent {
 	var out []*agent
 	for _, a := range f.agents {
-		if !a.linked && !a.lostAt.After(limit) {
+		if !a.linked && !a.unlinkedAt.After(limit) {
 			out = append(out, a)
 		}
 	}
@@ -250,8 +250,8 @@
 	return out
 }
 
-// sortedRefs returns the known agents among the keys of m, by name.
-func (f *fleet) sortedRefs(m map[courier.AgentRef][]courier.TaskID) []*agent {
+// sortedKnown returns the known agents among the keys of m, by name.
+func (f *fleet) sortedKnown(m map[courier.AgentRef][]courier.TaskID) []*agent {
 	var out []*agent
 	for ref := range m {
 		if a := f.agents[ref.Agent]; a != nil && a.ref == ref {
@@ -278,14 +278,14 @@
 
 // tick lets ejected agents have a probe and forgets old absences.
 func (f *fleet) tick(now time.Time) {
-	for ref, until := range f.gone {
+	for ref, until := range f.unreachable {
 		if until.Before(now) {
-			delete(f.gone, ref)
+			delete(f.unreachable, ref)
 		}
 	}
 	for _, a := range f.sorted() {
-		if a.health.ejected && !now.Before(a.health.until) {
-			a.health.probe()
+		if a.health.ejected && !now.Before(a.health.ejectedUntil) {
+			a.health.allowProbe()
 			f.update(a)
 		}
 	}
--- a/dispatcher/forbid.go
+++ b/dispatcher/forbid.go
@@ -8,52 +8,52 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// refusal is a NotRun answer that waits until an agent remembers it. Copies of
+// pendingForbid is a NotRun answer that waits until an agent remembers it. Copies of
 // the attempts may linger at an earlier owner that was paused; when that one
 // claims the partition again, the agent tells it.
-type refusal struct {
-	attempt int
-	sub     courier.Submission
-	answer  courier.Answer
-	waiters []Waiter
+type pendingForbid struct {
+	attempt    int
+	submission courier.Submission
+	answer     courier.Answer
+	waiters    []Waiter
 	// agent and link tell who was asked to remember.
 	agent courier.AgentRef
 	link  uint64
 }
 
-// refuseFinally answers NotRun to the waiters of a submission of which nothing
+// refuseDurably answers NotRun to the waiters of a submission of which nothing
 // has started. When it is certain that no other copy can run, it does so at once.
-func (o *Owner) refuseFinally(s courier.Submission, certain bool, answer courier.Answer, waiters []Waiter) {
+func (o *Dispatcher) refuseDurably(s courier.Submission, certain bool, answer courier.Answer, waiters []Waiter) {
 	if certain {
-		o.noteRefusal(s, s.Attempt)
-		o.replyRefusal(answer, waiters)
+		o.forbidAttempt(s, s.Attempt)
+		o.replyNotRun(answer, waiters)
 		return
 	}
-	id := s.Job()
-	f := o.refusals[id]
+	id := s.JobID()
+	f := o.pendingForbids[id]
 	if f == nil {
-		f = &refusal{}
-		o.refusals[id] = f
+		f = &pendingForbid{}
+		o.pendingForbids[id] = f
 	}
 	f.attempt = max(f.attempt, s.Attempt)
-	f.sub = s
-	f.sub.Tasks = slices.Clone(s.Tasks)
+	f.submission = s
+	f.submission.Tasks = slices.Clone(s.Tasks)
 	f.answer = answer
 	f.waiters = append(f.waiters, waiters...)
-	o.askToForbid(id, f)
+	o.sendForbid(id, f)
 }
 
-func (o *Owner) replyRefusal(answer courier.Answer, waiters []Waiter) {
+func (o *Dispatcher) replyNotRun(answer courier.Answer, waiters []Waiter) {
 	for _, w := range waiters {
 		o.counts.NotRun++
 		o.reply(w, answer)
 	}
 }
 
-// askToForbid asks any agent in reach. Without one the outcome is unknown.
-func (o *Owner) askToForbid(id string, f *refusal) {
+// sendForbid asks any agent in reach. Without one the outcome is unknown.
+func (o *Dispatcher) sendForbid(id string, f *pendingForbid) {
 	for _, a := range o.fleet.sorted() {
-		if !a.linked || !a.claimed() {
+		if !a.linked || !a.claimsAnswered() {
 			continue
 		}
 		f.agent = a.ref
@@ -63,82 +63,82 @@
 			Term:       o.partitions[router.PartitionOf(id)].term,
 			Job:        id,
 			Attempt:    f.attempt,
-			Deadline:   f.sub.Deadline,
+			Deadline:   f.submission.Deadline,
 		})
 		return
 	}
-	delete(o.refusals, id)
+	delete(o.pendingForbids, id)
 	for _, w := range f.waiters {
-		o.replyUnknown(Request{Submission: f.sub, Waiter: w}, detailNotAsked)
+		o.replyOutcomeUnknown(Request{Submission: f.submission, Waiter: w}, detailAgentUnreachable)
 	}
 }
 
-// Forbidden takes an agent's word that it remembers a refusal.
-func (o *Owner) Forbidden(name string, link uint64, m courier.Forbidden) {
-	o.wake()
-	a := o.fleet.linked(name, link)
-	f := o.refusals[m.Job]
+// HandleForbidden takes an agent's word that it remembers a refusal.
+func (o *Dispatcher) HandleForbidden(name string, link uint64, m courier.Forbidden) {
+	o.detectPause()
+	a := o.fleet.linkedAgent(name, link)
+	f := o.pendingForbids[m.Job]
 	if a == nil || f == nil || f.agent != a.ref || f.link != link || f.attempt != m.Attempt {
 		return
 	}
-	delete(o.refusals, m.Job)
-	o.noteRefusal(f.sub, f.attempt)
-	o.replyRefusal(f.answer, f.waiters)
+	delete(o.pendingForbids, m.Job)
+	o.forbidAttempt(f.submission, f.attempt)
+	o.replyNotRun(f.answer, f.waiters)
 }
 
-// retryRefusals asks another agent where the one asked is out of reach.
-func (o *Owner) retryRefusals(a *agent) {
-	for _, id := range slices.Sorted(maps.Keys(o.refusals)) {
-		if f := o.refusals[id]; f.agent == a.ref {
-			o.askToForbid(id, f)
+// resendForbids asks another agent where the one asked is out of reach.
+func (o *Dispatcher) resendForbids(a *agent) {
+	for _, id := range slices.Sorted(maps.Keys(o.pendingForbids)) {
+		if f := o.pendingForbids[id]; f.agent == a.ref {
+			o.sendForbid(id, f)
 		}
 	}
 }
 
-// dropRefusals sends the waiters of the refusals in a partition on, when the
+// dropForbids sends the waiters of the refusals in a partition on, when the
 // partition is claimed, here or elsewhere.
-func (o *Owner) dropRefusals(p router.Partition) {
-	for _, id := range slices.Sorted(maps.Keys(o.refusals)) {
+func (o *Dispatcher) dropForbids(p router.Partition) {
+	for _, id := range slices.Sorted(maps.Keys(o.pendingForbids)) {
 		if router.PartitionOf(id) != p {
 			continue
 		}
-		f := o.refusals[id]
-		delete(o.refusals, id)
+		f := o.pendingForbids[id]
+		delete(o.pendingForbids, id)
 		for _, w := range f.waiters {
 			o.replyMoved(w, p, true)
 		}
 	}
-	for id := range o.refused {
+	for id := range o.forbiddenAttempts {
 		if router.PartitionOf(id) == p {
-			delete(o.refused, id)
+			delete(o.forbiddenAttempts, id)
 		}
 	}
 }
 
 // mergeForbidden takes over the refusals that an agent remembers. Jobs here
 // that wait because of refused attempts end.
-func (o *Owner) mergeForbidden(fenced map[router.Partition]bool, list []courier.Forbidden) {
+func (o *Dispatcher) mergeForbidden(fenced map[router.Partition]bool, list []courier.Forbidden) {
 	for _, m := range list {
 		if !fenced[router.PartitionOf(m.Job)] {
 			continue
 		}
-		until := o.clock.Now().Add(RecordHorizon)
-		if old := o.refused[m.Job]; old.attempt < m.Attempt {
-			o.refused[m.Job] = refusedAttempt{attempt: m.Attempt, until: until}
+		until := o.clock.Now().Add(RecordRetention)
+		if old := o.forbiddenAttempts[m.Job]; old.attempt < m.Attempt {
+			o.forbiddenAttempts[m.Job] = forbiddenAttempt{attempt: m.Attempt, expiresAt: until}
 		}
 		if j := o.jobs[m.Job]; j != nil && !j.done && j.attempt <= m.Attempt {
-			o.endForbidden(j)
+			o.endForbiddenJob(j)
 		}
 	}
 }
 
-// endForbidden ends a job here that another owner has answered NotRun. That
+// endForbiddenJob ends a job here that another owner has answered NotRun. That
 // owner knew that nothing had started.
-func (o *Owner) endForbidden(j *job) {
+func (o *Dispatcher) endForbiddenJob(j *job) {
 	const detail = "a later owner answered NotRun"
 	if len(j.mayHaveRun()) > 0 {
-		o.fail(j, courier.ReasonRefusedBefore, detail)
+		o.fail(j, courier.ReasonAttemptRefused, detail)
 		return
 	}
-	o.endNotRun(j, courier.ReasonRefusedBefore, detail, true)
+	o.endNotRun(j, courier.ReasonAttemptRefused, detail, true)
 }
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -4,43 +4,43 @@
 
 const (
 	// ejectFailedJobs is the number of failures in a row that ejects an agent.
-	ejectAfter = 5
+	ejectThreshold = 5
 	// minEjectTime and maxEjectTime bound how long an agent is ejected; the span
 	// doubles with each failed probe.
-	ejectFirst = time.Second
-	ejectMost  = 30 * time.Second
+	minEjectionTime = time.Second
+	maxEjectionTime = 30 * time.Second
 )
 
 // health judges an agent by the outcomes of its tasks. An agent that fails
 // everything is always free, and would draw all work without it.
 type health struct {
-	failures int
-	ejected  bool
+	consecutiveFailures int
+	ejected             bool
 	// probing means that the next outcome decides: one task is let through.
-	probing bool
-	until   time.Time
-	span    time.Duration
+	probing      bool
+	ejectedUntil time.Time
+	ejectionTime time.Duration
 }
 
-// succeeded notes a good outcome.
-func (h *health) succeeded() { *h = health{} }
+// recordSuccess notes a good outcome.
+func (h *health) recordSuccess() { *h = health{} }
 
-// failed notes a bad outcome and reports whether the agent is to be ejected.
-func (h *health) failed() bool {
-	h.failures++
-	return h.probing || (!h.ejected && h.failures >= ejectAfter)
+// recordFailure notes a bad outcome and reports whether the agent is to be ejected.
+func (h *health) recordFailure() bool {
+	h.consecutiveFailures++
+	return h.probing || (!h.ejected && h.consecutiveFailures >= ejectThreshold)
 }
 
 // eject sets the agent aside.
 func (h *health) eject(now time.Time) {
-	h.span = min(max(2*h.span, ejectFirst), ejectMost)
-	h.until = now.Add(h.span)
+	h.ejectionTime = min(max(2*h.ejectionTime, minEjectionTime), maxEjectionTime)
+	h.ejectedUntil = now.Add(h.ejectionTime)
 	h.ejected = true
 	h.probing = false
 }
 
-// probe lets one task through.
-func (h *health) probe() {
+// allowProbe lets one task through.
+func (h *health) allowProbe() {
 	h.ejected = false
 	h.probing = true
 }
@@ -49,18 +49,18 @@
 // until it is time for another one.
 func (h *health) probeSent(now time.Time) {
 	h.ejected = true
-	h.until = now.Add(max(h.span, ejectFirst))
+	h.ejectedUntil = now.Add(max(h.ejectionTime, minEjectionTime))
 }
 
-// judge notes an outcome at a, and ejects it when it fails what it starts,
+// recordHealth notes an outcome at a, and ejects it when it fails what it starts,
 // unless too many others are ejected already.
-func (o *Owner) judge(a *agent, good bool) {
+func (o *Dispatcher) recordHealth(a *agent, good bool) {
 	if good {
-		a.health.succeeded()
+		a.health.recordSuccess()
 		o.fleet.update(a)
 		return
 	}
-	if !a.health.failed() {
+	if !a.health.recordFailure() {
 		return
 	}
 	ejected := 0
--- a/dispatcher/job.go
+++ b/dispatcher/job.go
@@ -12,13 +12,13 @@
 type taskState int
 
 const (
-	// waiting means that the task has not started and that no message that
+	// taskWaiting means that the task has not started and that no message that
 	// could start it is on its way.
-	waiting taskState = iota
-	// sent means that the task has started or may start.
-	sent
-	// ended means that the outcome of the task is known.
-	ended
+	taskWaiting taskState = iota
+	// taskSent means that the task has started or may start.
+	taskSent
+	// taskEnded means that the outcome of the task is known.
+	taskEnded
 )
 
 // task is one task of a job.
@@ -36,18 +36,18 @@
 
 // job is one submission at its owner.
 type job struct {
-	id        string
-	sub       courier.Submission
-	digest    uint64
-	partition router.Partition
-	arrived   time.Time
+	id         string
+	submission courier.Submission
+	digest     uint64
+	partition  router.Partition
+	arrivedAt  time.Time
 	// attempt is the highest attempt that has reached this job; onlyCopy
 	// means that no other copy of the submission can exist.
 	attempt  int
 	onlyCopy bool
 	tasks    []task
-	// next is the first task that may be waiting; all before it are not.
-	next int
+	// firstWaiting is the first task that may be waiting; all before it are not.
+	firstWaiting int
 	// waitingTasks counts the tasks in state waiting.
 	waitingTasks int
 	// unfinished counts the tasks that are not ended.
@@ -65,15 +65,15 @@
 
 func newJob(r Request, now time.Time) *job {
 	n := len(r.Submission.Tasks)
-	id := r.Submission.Job()
+	id := r.Submission.JobID()
 	return &job{
 		id:           id,
-		sub:          r.Submission,
+		submission:   r.Submission,
 		digest:       r.Digest,
 		partition:    router.PartitionOf(id),
-		arrived:      now,
+		arrivedAt:    now,
 		attempt:      r.Submission.Attempt,
-		onlyCopy:     r.first(),
+		onlyCopy:     r.isFirstCopy(),
 		tasks:        make([]task, n),
 		waitingTasks: n,
 		unfinished:   n,
@@ -84,33 +84,33 @@
 // takeWaiting returns the index of a waiting task and marks it as the next one
 // sent to a.
 func (j *job) takeWaiting(a *agent, now time.Time) int {
-	for j.tasks[j.next].state != waiting {
-		j.next++
+	for j.tasks[j.firstWaiting].state != taskWaiting {
+		j.firstWaiting++
 	}
-	i := j.next
-	a.sentTasks++
-	j.tasks[i] = task{state: sent, agent: a.ref, link: a.link, number: a.sentTasks, sentAt: now}
+	i := j.firstWaiting
+	a.sentTaskCount++
+	j.tasks[i] = task{state: taskSent, agent: a.ref, link: a.link, number: a.sentTaskCount, sentAt: now}
 	j.waitingTasks--
 	return i
 }
 
-// putBack makes a sent task wait again, after a positive refusal.
-func (j *job) putBack(i int) {
+// resetTask makes a sent task wait again, after a positive refusal.
+func (j *job) resetTask(i int) {
 	j.tasks[i] = task{}
 	j.waitingTasks++
-	j.next = min(j.next, i)
+	j.firstWaiting = min(j.firstWaiting, i)
 }
 
-// end notes the outcome of a task. It reports whether this is news.
-func (j *job) end(i int, outcome courier.Outcome, result json.RawMessage) bool {
+// endTask notes the outcome of a task. It reports whether this is news.
+func (j *job) endTask(i int, outcome courier.Outcome, result json.RawMessage) bool {
 	t := &j.tasks[i]
-	if t.state == ended {
+	if t.state == taskEnded {
 		return false
 	}
-	if t.state == waiting {
+	if t.state == taskWaiting {
 		j.waitingTasks--
 	}
-	t.state = ended
+	t.state = taskEnded
 	t.outcome = outcome
 	t.result = result
 	j.unfinished--
@@ -121,18 +121,18 @@
 func (j *job) mayHaveRun() []int {
 	var out []int
 	for i := range j.tasks {
-		if j.tasks[i].state != waiting {
+		if j.tasks[i].state != taskWaiting {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// sentTasks lists the tasks that may be running, by agent.
-func (j *job) sentTasks() map[courier.AgentRef][]courier.TaskID {
+// sentTasksByAgent lists the tasks that may be running, by agent.
+func (j *job) sentTasksByAgent() map[courier.AgentRef][]courier.TaskID {
 	out := make(map[courier.AgentRef][]courier.TaskID)
 	for i := range j.tasks {
-		if t := &j.tasks[i]; t.state == sent {
+		if t := &j.tasks[i]; t.state == taskSent {
 			out[t.agent] = append(out[t.agent], courier.TaskID{Job: j.id, Index: i})
 		}
 	}
@@ -147,28 +147,28 @@
 	return out
 }
 
-// release drops what a finished job does not need any more.
-func (j *job) release() {
-	j.sub.Tasks = nil
+// freeTasks drops what a finished job does not need any more.
+func (j *job) freeTasks() {
+	j.submission.Tasks = nil
 	j.tasks = nil
 }
 
-// inheritance is what agents have reported of a job whose body is not here.
-type inheritance struct {
-	digest  uint64
-	records map[int]inheritedTask
-	until   time.Time
+// recoveredJob is what agents have reported of a job whose body is not here.
+type recoveredJob struct {
+	digest    uint64
+	records   map[int]recoveredTask
+	expiresAt time.Time
 }
 
-type inheritedTask struct {
+type recoveredTask struct {
 	agent   courier.AgentRef
 	link    uint64
 	outcome courier.Outcome
 	result  json.RawMessage
 }
 
-// refusedAttempt remembers that attempts up to attempt were answered NotRun.
-type refusedAttempt struct {
-	attempt int
-	until   time.Time
+// forbiddenAttempt remembers that attempts up to attempt were answered NotRun.
+type forbiddenAttempt struct {
+	attempt   int
+	expiresAt time.Time
 }
--- a/dispatcher/merge.go
+++ b/dispatcher/merge.go
@@ -9,45 +9,45 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// Claimed takes an agent's answer to a claim.
-func (o *Owner) Claimed(name string, link uint64, r courier.ClaimReply) {
-	o.wake()
-	a := o.fleet.linked(name, link)
+// HandleClaimReply takes an agent's answer to a claim.
+func (o *Dispatcher) HandleClaimReply(name string, link uint64, r courier.ClaimReply) {
+	o.detectPause()
+	a := o.fleet.linkedAgent(name, link)
 	if a == nil {
 		return
 	}
 	o.setLoad(a, r.Load)
 	a.answeredClaim = max(a.answeredClaim, r.Number)
 	for _, p := range slices.Sorted(maps.Keys(r.Refused)) {
-		o.loseTo(p, r.Refused[p])
+		o.relinquishTo(p, r.Refused[p])
 	}
 	fenced := make(map[router.Partition]bool, len(r.Partitions))
 	for _, p := range r.Partitions {
-		if part := &o.partitions[p]; part.state != foreign && part.term == r.Term {
+		if part := &o.partitions[p]; part.state != partitionNotOwned && part.term == r.Term {
 			fenced[p] = true
-			delete(part.missing, a.ref)
+			delete(part.unfenced, a.ref)
 		}
 	}
 	o.mergeForbidden(fenced, r.Forbidden)
 	o.mergeRecords(a, fenced, r.Records)
-	o.requeueUnheard(a, fenced)
+	o.requeueUndelivered(a, fenced)
 	o.fleet.update(a)
 	o.finishClaims(o.clock.Now())
-	o.releaseHeld()
+	o.retryBlocked()
 	o.dispatch()
 }
 
-func (o *Owner) mergeRecords(a *agent, fenced map[router.Partition]bool, records []courier.Record) {
+func (o *Dispatcher) mergeRecords(a *agent, fenced map[router.Partition]bool, records []courier.Record) {
 	records = slices.DeleteFunc(records, func(r courier.Record) bool {
 		return !fenced[router.PartitionOf(r.Task.Job)]
 	})
 	for _, rec := range records {
-		o.merge(a, rec)
+		o.mergeRecord(a, rec)
 	}
 	var ended []courier.TaskID
 	for _, rec := range records {
 		if rec.Outcome != courier.Running {
-			o.settleMerged(a, rec)
+			o.recordMergedOutcome(a, rec)
 			ended = append(ended, rec.Task)
 		}
 	}
@@ -56,11 +56,11 @@
 	}
 }
 
-// merge notes that an agent has started a task.
-func (o *Owner) merge(a *agent, rec courier.Record) {
+// mergeRecord notes that an agent has started a task.
+func (o *Dispatcher) mergeRecord(a *agent, rec courier.Record) {
 	j := o.jobs[rec.Task.Job]
 	if j == nil {
-		o.inherit(a, rec)
+		o.recoverTask(a, rec)
 		return
 	}
 	i := rec.Task.Index
@@ -68,38 +68,38 @@
 		return
 	}
 	t := &j.tasks[i]
-	if t.state == ended {
+	if t.state == taskEnded {
 		return
 	}
-	if t.state == waiting {
+	if t.state == taskWaiting {
 		j.waitingTasks--
-		o.queue.took(j)
+		o.queue.removeTask(j)
 	}
-	*t = task{state: sent, agent: a.ref, link: a.link, sentAt: o.clock.Now()}
+	*t = task{state: taskSent, agent: a.ref, link: a.link, sentAt: o.clock.Now()}
 	o.fleet.assign(a, rec.Task)
 }
 
-// settleMerged settles a merged task that has ended.
-func (o *Owner) settleMerged(a *agent, rec courier.Record) {
+// recordMergedOutcome settles a merged task that has ended.
+func (o *Dispatcher) recordMergedOutcome(a *agent, rec courier.Record) {
 	o.fleet.unassign(a, rec.Task)
 	j := o.jobs[rec.Task.Job]
 	if j != nil && !j.done && rec.Task.Index >= 0 && rec.Task.Index < len(j.tasks) {
-		o.settle(j, rec.Task.Index, rec)
+		o.recordOutcome(j, rec.Task.Index, rec)
 	}
 }
 
-func (o *Owner) inherit(a *agent, rec courier.Record) {
-	in := o.inherited[rec.Task.Job]
+func (o *Dispatcher) recoverTask(a *agent, rec courier.Record) {
+	in := o.recoveredJobs[rec.Task.Job]
 	if in == nil {
-		in = &inheritance{digest: rec.Digest, records: make(map[int]inheritedTask)}
-		o.inherited[rec.Task.Job] = in
+		in = &recoveredJob{digest: rec.Digest, records: make(map[int]recoveredTask)}
+		o.recoveredJobs[rec.Task.Job] = in
 	}
-	in.until = o.clock.Now().Add(RecordHorizon)
+	in.expiresAt = o.clock.Now().Add(RecordRetention)
 	old, ok := in.records[rec.Task.Index]
 	if ok && old.outcome != courier.Running && rec.Outcome == courier.Running {
 		return
 	}
-	in.records[rec.Task.Index] = inheritedTask{
+	in.records[rec.Task.Index] = recoveredTask{
 		agent:   a.ref,
 		link:    a.link,
 		outcome: rec.Outcome,
@@ -107,9 +107,9 @@
 	}
 }
 
-// requeueUnheard makes tasks wait again that were sent on an earlier link and
+// requeueUndelivered makes tasks wait again that were sent on an earlier link and
 // never arrived: the agent refuses that link from now on.
-func (o *Owner) requeueUnheard(a *agent, fenced map[router.Partition]bool) {
+func (o *Dispatcher) requeueUndelivered(a *agent, fenced map[router.Partition]bool) {
 	for _, id := range a.sortedTasks() {
 		j := o.jobs[id.Job]
 		if j == nil || j.done {
@@ -117,7 +117,7 @@
 			continue
 		}
 		t := &j.tasks[id.Index]
-		if t.state != sent || t.agent != a.ref || t.link >= a.link || !fenced[j.partition] {
+		if t.state != taskSent || t.agent != a.ref || t.link >= a.link || !fenced[j.partition] {
 			continue
 		}
 		o.fleet.unassign(a, id)
@@ -125,15 +125,15 @@
 	}
 }
 
-func (o *Owner) dropInheritances(now time.Time) {
-	for id, in := range o.inherited {
-		if in.until.Before(now) {
-			delete(o.inherited, id)
+func (o *Dispatcher) expireRecovered(now time.Time) {
+	for id, in := range o.recoveredJobs {
+		if in.expiresAt.Before(now) {
+			delete(o.recoveredJobs, id)
 		}
 	}
-	for id, r := range o.refused {
-		if r.until.Before(now) {
-			delete(o.refused, id)
+	for id, r := range o.forbiddenAttempts {
+		if r.expiresAt.Before(now) {
+			delete(o.forbiddenAttempts, id)
 		}
 	}
 }
--- a/dispatcher/settle.go
+++ b/dispatcher/outcome.go
@@ -4,11 +4,11 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// Finished takes the outcomes of tasks, and the slot that may be offered with
+// HandleFinished takes the outcomes of tasks, and the slot that may be offered with
 // them.
-func (o *Owner) Finished(name string, link uint64, f courier.Finished) {
-	o.wake()
-	a := o.fleet.linked(name, link)
+func (o *Dispatcher) HandleFinished(name string, link uint64, f courier.Finished) {
+	o.detectPause()
+	a := o.fleet.linkedAgent(name, link)
 	if a == nil {
 		return
 	}
@@ -18,18 +18,18 @@
 		if rec.Outcome == courier.Running {
 			continue
 		}
-		o.finishTask(a, rec)
-		a.acks = append(a.acks, rec.Task)
+		o.handleTaskEnd(a, rec)
+		a.pendingAcks = append(a.pendingAcks, rec.Task)
 	}
 	o.useOffer(a, f.Offer)
 	o.dispatch()
 	o.reportDemand(o.clock.Now())
 }
 
-func (o *Owner) finishTask(a *agent, rec courier.Record) {
+func (o *Dispatcher) handleTaskEnd(a *agent, rec courier.Record) {
 	j := o.jobs[rec.Task.Job]
 	if j == nil {
-		o.inherit(a, rec)
+		o.recoverTask(a, rec)
 		return
 	}
 	i := rec.Task.Index
@@ -37,19 +37,19 @@
 		return
 	}
 	t := j.tasks[i]
-	if t.state == sent && rec.Outcome == courier.Succeeded {
-		o.admission.learn(j.sub.Service, o.clock.Since(t.sentAt))
+	if t.state == taskSent && rec.Outcome == courier.Succeeded {
+		o.admission.recordRunTime(j.submission.Service, o.clock.Since(t.sentAt))
 	}
 	if rec.Outcome != courier.Stopped {
-		o.judge(a, rec.Outcome == courier.Succeeded)
+		o.recordHealth(a, rec.Outcome == courier.Succeeded)
 	}
-	o.settle(j, i, rec)
+	o.recordOutcome(j, i, rec)
 }
 
-// Offered takes a free slot that an agent holds for this owner.
-func (o *Owner) Offered(name string, link uint64, f courier.Offer) {
-	o.wake()
-	a := o.fleet.linked(name, link)
+// HandleOffer takes a free slot that an agent holds for this owner.
+func (o *Dispatcher) HandleOffer(name string, link uint64, f courier.Offer) {
+	o.detectPause()
+	a := o.fleet.linkedAgent(name, link)
 	if a == nil {
 		return
 	}
@@ -58,82 +58,82 @@
 	o.reportDemand(o.clock.Now())
 }
 
-// Refused takes an agent's word that tasks have not started.
-func (o *Owner) Refused(name string, link uint64, r courier.Refuse) {
-	o.wake()
-	a := o.fleet.linked(name, link)
+// HandleRefuse takes an agent's word that tasks have not started.
+func (o *Dispatcher) HandleRefuse(name string, link uint64, r courier.Refuse) {
+	o.detectPause()
+	a := o.fleet.linkedAgent(name, link)
 	if a == nil {
 		return
 	}
 	o.setLoad(a, r.Load)
 	o.counts.Refused++
-	o.refusedFor[r.Reason]++
-	if j := o.refusedJob(a, r); j != nil {
+	o.refuseReasons[r.Reason]++
+	if j := o.jobOfRefuse(a, r); j != nil {
 		o.fleet.unassign(a, r.Task)
-		o.putBackRefused(a, j, r.Task.Index, r.Reason)
-		if r.Reason == courier.RefusedTerm {
-			o.loseTo(j.partition, r.Term)
+		o.retryRefused(a, j, r.Task.Index, r.Reason)
+		if r.Reason == courier.RefusedStaleTerm {
+			o.relinquishTo(j.partition, r.Term)
 		}
 	}
 	o.dispatch()
 }
 
-// refusedJob returns the job that a refusal concerns, or nil if the refusal is
+// jobOfRefuse returns the job that a refusal concerns, or nil if the refusal is
 // not about the last start of the task.
-func (o *Owner) refusedJob(a *agent, r courier.Refuse) *job {
+func (o *Dispatcher) jobOfRefuse(a *agent, r courier.Refuse) *job {
 	j := o.jobs[r.Task.Job]
 	i := r.Task.Index
 	if j == nil || j.done || i < 0 || i >= len(j.tasks) {
 		return nil
 	}
 	t := &j.tasks[i]
-	if t.state != sent || t.agent != a.ref || t.link != a.link {
+	if t.state != taskSent || t.agent != a.ref || t.link != a.link {
 		return nil
 	}
 	// A task known from a report has no number on this link; only the upstream
 	// can still refuse it.
-	reported := t.number == 0 && r.Reason == courier.RefusedUpstream
+	reported := t.number == 0 && r.Reason == courier.RefusedByUpstream
 	if t.number != r.Number && !reported {
 		return nil
 	}
 	return j
 }
 
-func (o *Owner) putBackRefused(a *agent, j *job, i int, reason courier.Refusal) {
-	if reason != courier.RefusedUpstream {
+func (o *Dispatcher) retryRefused(a *agent, j *job, i int, reason courier.RefuseReason) {
+	if reason != courier.RefusedByUpstream {
 		o.requeue(j, i)
 		return
 	}
-	o.judge(a, false)
-	if o.budget.spend(o.bundle.Limits.RetryPercent) {
+	o.recordHealth(a, false)
+	if o.retryBudget.spend(o.bundle.Limits.RetryPercent) {
 		o.requeue(j, i)
 		return
 	}
-	j.putBack(i)
-	o.giveUp(j, courier.ReasonOverload, "the upstreams refuse tasks and the retry budget is spent")
+	j.resetTask(i)
+	o.abortJob(j, courier.ReasonOverload, "the upstreams refuse tasks and the retry budget is spent")
 }
 
 // requeue makes a sent task wait again.
-func (o *Owner) requeue(j *job, i int) {
-	j.putBack(i)
-	if o.partitions[j.partition].state == serving {
+func (o *Dispatcher) requeue(j *job, i int) {
+	j.resetTask(i)
+	if o.partitions[j.partition].state == partitionServing {
 		o.queue.add(j, 1)
 	}
 }
 
-func (o *Owner) setLoad(a *agent, l courier.Load) {
+func (o *Dispatcher) setLoad(a *agent, l courier.Load) {
 	a.load = l
 	o.fleet.update(a)
 }
 
-// settle notes the outcome of a task, and ends the job when that decides it.
-func (o *Owner) settle(j *job, i int, rec courier.Record) {
-	wasWaiting := j.tasks[i].state == waiting
-	if !j.end(i, rec.Outcome, rec.Result) {
+// recordOutcome notes the outcome of a task, and ends the job when that decides it.
+func (o *Dispatcher) recordOutcome(j *job, i int, rec courier.Record) {
+	wasWaiting := j.tasks[i].state == taskWaiting
+	if !j.endTask(i, rec.Outcome, rec.Result) {
 		return
 	}
 	if wasWaiting {
-		o.queue.took(j)
+		o.queue.removeTask(j)
 	}
 	switch rec.Outcome {
 	case courier.Succeeded:
@@ -152,13 +152,13 @@
 	}
 }
 
-func (o *Owner) complete(j *job) {
+func (o *Dispatcher) complete(j *job) {
 	o.counts.Complete++
 	o.finish(j, courier.Answer{State: courier.Complete, Results: j.results()})
 }
 
 // fail ends a job of which tasks may have run.
-func (o *Owner) fail(j *job, reason courier.Reason, detail string) {
+func (o *Dispatcher) fail(j *job, reason courier.Reason, detail string) {
 	o.counts.Failed++
 	o.finish(j, courier.Answer{
 		State:      courier.Failed,
@@ -170,8 +170,8 @@
 
 // mayHaveRun lists the tasks of j that may have started: all of them when
 // agents that might know of others have not been asked.
-func (o *Owner) mayHaveRun(j *job) []int {
-	if o.partitions[j.partition].state == serving && (j.onlyCopy || !o.gap(j.partition)) {
+func (o *Dispatcher) mayHaveRun(j *job) []int {
+	if o.partitions[j.partition].state == partitionServing && (j.onlyCopy || !o.mayMissRecords(j.partition)) {
 		return j.mayHaveRun()
 	}
 	all := make([]int, len(j.tasks))
@@ -181,9 +181,9 @@
 	return all
 }
 
-// giveUp ends a job early: as NotRun when nothing can have started, and else
+// abortJob ends a job early: as NotRun when nothing can have started, and else
 // as Failed.
-func (o *Owner) giveUp(j *job, reason courier.Reason, detail string) {
+func (o *Dispatcher) abortJob(j *job, reason courier.Reason, detail string) {
 	if len(o.mayHaveRun(j)) > 0 {
 		o.fail(j, reason, detail)
 		return
@@ -193,33 +193,33 @@
 
 // endNotRun ends a job of which nothing has started. Certain means that no
 // copy of it can start anything any more.
-func (o *Owner) endNotRun(j *job, reason courier.Reason, detail string, certain bool) {
+func (o *Dispatcher) endNotRun(j *job, reason courier.Reason, detail string, certain bool) {
 	answer := courier.Answer{
 		Job:        j.id,
 		State:      courier.NotRun,
 		Reason:     reason,
 		Detail:     detail,
-		RetryAfter: o.admission.comeBack(o, len(j.tasks)),
+		RetryAfter: o.admission.retryAfter(o, len(j.tasks)),
 	}
 	waiters := sortedWaiters(j)
 	for _, w := range waiters {
 		delete(o.waiters, w)
 	}
 	j.waiters = nil
-	s := j.sub
+	s := j.submission
 	s.Attempt = j.attempt
 	o.finish(j, answer)
 	delete(o.jobs, j.id)
-	o.refuseFinally(s, certain, answer, waiters)
+	o.refuseDurably(s, certain, answer, waiters)
 }
 
 // finish gives every caller the final answer and stops what still runs.
-func (o *Owner) finish(j *job, answer courier.Answer) {
+func (o *Dispatcher) finish(j *job, answer courier.Answer) {
 	answer.Job = j.id
 	answer.BundleVersion = o.bundle.Version
 	answer.Entry = o.cfg.Entry
-	o.queue.remove(j)
-	o.admission.ended(j)
+	o.queue.removeJob(j)
+	o.admission.removeTasks(j)
 	o.stopTasks(j)
 	j.done = true
 	j.answer = answer
@@ -228,13 +228,13 @@
 		o.reply(w, answer)
 	}
 	j.waiters = nil
-	j.release()
-	o.due(j, j.sub.Deadline.Add(AnswerGrace))
+	j.freeTasks()
+	o.scheduleExpiry(j, j.submission.Deadline.Add(AnswerRetention))
 }
 
-func (o *Owner) stopTasks(j *job) {
-	running := j.sentTasks()
-	for _, a := range o.fleet.sortedRefs(running) {
+func (o *Dispatcher) stopTasks(j *job) {
+	running := j.sentTasksByAgent()
+	for _, a := range o.fleet.sortedKnown(running) {
 		ids := running[a.ref]
 		for _, id := range ids {
 			o.fleet.unassign(a, id)
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -9,72 +9,74 @@
 // Placement chooses where the next task starts.
 type Placement interface {
 	// choose returns an agent for a task of service, or nil to wait.
-	choose(o *Owner, service string) *agent
-	// asks reports whether waiting tasks ask agents for free slots.
-	asks() bool
+	choose(o *Dispatcher, service string) *agent
+	// reportsDemand reports whether waiting tasks ask agents for free slots.
+	reportsDemand() bool
 }
 
 // LateBinding starts only into slots known to be free, and asks the agents to
 // offer slots as they become free while tasks wait.
 type LateBinding struct{}
 
-func (LateBinding) choose(o *Owner, service string) *agent { return o.fleet.pick(service, o.rng) }
-func (LateBinding) asks() bool                             { return true }
+func (LateBinding) choose(o *Dispatcher, service string) *agent { return o.fleet.pick(service, o.rng) }
+func (LateBinding) reportsDemand() bool                         { return true }
 
-// Polling starts only into slots known to be free, and learns of free slots
+// HeartbeatOnly starts only into slots known to be free, and learns of free slots
 // from the reports that come anyway. It is the baseline.
-type Polling struct{}
+type HeartbeatOnly struct{}
 
-func (Polling) choose(o *Owner, service string) *agent { return o.fleet.idle.draw(service, o.rng) }
-func (Polling) asks() bool                             { return false }
+func (HeartbeatOnly) choose(o *Dispatcher, service string) *agent {
+	return o.fleet.withFreeSlots.pickBetterOfTwo(service, o.rng)
+}
+func (HeartbeatOnly) reportsDemand() bool { return false }
 
 const (
-	// askedPerTask is the number of agents that are asked first for each
+	// notifyPerTask is the number of agents that are asked first for each
 	// waiting task while some slots may be free.
-	askedPerTask = 2
-	// askedWhenFull is the number asked first while no slot is known to be
+	notifyPerTask = 2
+	// notifyWhenFull is the number asked first while no slot is known to be
 	// free: the next one to become free is wanted, wherever it is.
-	askedWhenFull = 16
-	// askAllAfter is when all agents are asked, if tasks still wait.
-	askAllAfter = 20 * time.Millisecond
+	notifyWhenFull = 16
+	// notifyAllDelay is when all agents are asked, if tasks still wait.
+	notifyAllDelay = 20 * time.Millisecond
 )
 
 // demandState is what the agents were last told of the waiting tasks.
 type demandState struct {
-	waiting int
-	at      time.Time
-	// asked holds the agents that were told of waiting tasks since there
+	waiting    int
+	reportedAt time.Time
+	// notified holds the agents that were told of waiting tasks since there
 	// last were none; all means that every one was.
-	asked map[*agent]struct{}
-	all   bool
+	notified    map[*agent]struct{}
+	notifiedAll bool
 }
 
-// batch gathers the tasks of one Start message.
-type batch struct {
+// startBatch gathers the tasks of one Start message.
+type startBatch struct {
 	agent *agent
 	tasks []courier.StartTask
 }
 
 // dispatch starts waiting tasks while agents have free slots.
-func (o *Owner) dispatch() {
+func (o *Dispatcher) dispatch() {
 	if o.queue.tasks == 0 || !o.fresh() {
 		return
 	}
-	var batches []*batch
-	byAgent := make(map[*agent]*batch)
-	for _, service := range o.queue.names {
-		for j := o.nextFor(service); j != nil; j = o.nextFor(service) {
+	var batches []*startBatch
+	byAgent := make(map[*agent]*startBatch)
+	for _, service := range o.queue.serviceNames {
+		for j := o.nextJobOf(service); j != nil; j = o.nextJobOf(service) {
 			a := o.cfg.Placement.choose(o, service)
 			if a == nil {
 				break
 			}
 			b := byAgent[a]
 			if b == nil {
-				b = &batch{agent: a}
+				b = &startBatch{agent: a}
 				byAgent[a] = b
 				batches = append(batches, b)
 			}
-			b.tasks = append(b.tasks, o.bind(j, a))
+			b.tasks = append(b.tasks, o.bindTask(j, a))
 			if a.health.probing {
 				a.health.probeSent(o.clock.Now())
 			}
@@ -86,26 +88,26 @@
 	}
 }
 
-// bind takes a waiting task of j, the first of its service, for a.
-func (o *Owner) bind(j *job, a *agent) courier.StartTask {
+// bindTask takes a waiting task of j, the first of its service, for a.
+func (o *Dispatcher) bindTask(j *job, a *agent) courier.StartTask {
 	i := j.takeWaiting(a, o.clock.Now())
-	o.queue.took(j)
+	o.queue.removeTask(j)
 	id := courier.TaskID{Job: j.id, Index: i}
 	o.fleet.assign(a, id)
 	o.counts.Started++
-	o.budget.started()
+	o.retryBudget.recordStart()
 	return courier.StartTask{
-		Number:   a.sentTasks,
+		Number:   a.sentTaskCount,
 		Task:     id,
 		Digest:   j.digest,
-		Service:  j.sub.Service,
-		Deadline: j.sub.Deadline,
+		Service:  j.submission.Service,
+		Deadline: j.submission.Deadline,
 		Term:     o.partitions[j.partition].term,
-		Payload:  j.sub.Tasks[i].Payload,
+		Payload:  j.submission.Tasks[i].Payload,
 	}
 }
 
-func (o *Owner) sendStart(a *agent, offer uint64, tasks []courier.StartTask) {
+func (o *Dispatcher) sendStart(a *agent, offer uint64, tasks []courier.StartTask) {
 	o.send(a.ref.Agent, courier.Start{
 		LinkNumber:    a.link,
 		BundleVersion: o.bundle.Version,
@@ -115,12 +117,12 @@
 }
 
 // useOffer starts a waiting task into an offered slot, or gives it back.
-func (o *Owner) useOffer(a *agent, offer uint64) {
+func (o *Dispatcher) useOffer(a *agent, offer uint64) {
 	if offer == 0 {
 		return
 	}
-	if j := o.firstFor(a); j != nil && o.fresh() && a.startable() && !a.health.ejected {
-		o.sendStart(a, offer, []courier.StartTask{o.bind(j, a)})
+	if j := o.nextJobAt(a); j != nil && o.fresh() && a.acceptsTasks() && !a.health.ejected {
+		o.sendStart(a, offer, []courier.StartTask{o.bindTask(j, a)})
 		o.fleet.update(a)
 		return
 	}
@@ -128,24 +130,24 @@
 	o.send(a.ref.Agent, courier.Decline{Offer: offer})
 }
 
-// firstFor returns the job to start next at a, or nil.
-func (o *Owner) firstFor(a *agent) *job {
+// nextJobAt returns the job to start next at a, or nil.
+func (o *Dispatcher) nextJobAt(a *agent) *job {
 	for _, service := range a.services {
-		if j := o.nextFor(service); j != nil {
+		if j := o.nextJobOf(service); j != nil {
 			return j
 		}
 	}
 	return nil
 }
 
-// nextFor returns the job of service to start next, or nil, and gives up those
+// nextJobOf returns the job of service to start next, or nil, and gives up those
 // before it that have become hopeless.
-func (o *Owner) nextFor(service string) *job {
+func (o *Dispatcher) nextJobOf(service string) *job {
 	for j := o.queue.first(service); j != nil; j = o.queue.first(service) {
-		if !o.hopeless(j) {
+		if !o.likelyToMissDeadline(j) {
 			return j
 		}
-		o.giveUp(j, courier.ReasonDeadline, "a task that starts now would miss the deadline")
+		o.abortJob(j, courier.ReasonDeadline, "a task that starts now would miss the deadline")
 	}
 	return nil
 }
@@ -153,8 +155,8 @@
 // reportDemand tells agents how many tasks wait: some at once when tasks begin
 // to wait, all when they still wait later or grow much in number, and from
 // time to time. When none waits any more, those that were told hear of it.
-func (o *Owner) reportDemand(now time.Time) {
-	if !o.cfg.Placement.asks() {
+func (o *Dispatcher) reportDemand(now time.Time) {
+	if !o.cfg.Placement.reportsDemand() {
 		return
 	}
 	d := &o.demand
@@ -162,61 +164,63 @@
 	switch {
 	case n == 0 && d.waiting > 0:
 		for _, a := range o.fleet.sorted() {
-			if _, ok := d.asked[a]; ok {
+			if _, ok := d.notified[a]; ok {
 				o.sendDemand(a, 0, 0)
 			}
 		}
 		*d = demandState{}
 	case n > 0 && d.waiting == 0:
-		d.asked = make(map[*agent]struct{})
-		o.ask(now, o.askedFirst(n))
-	case n > 0 && (o.askAllDue(now) || n > 2*d.waiting || now.Sub(d.at) >= DemandInterval):
-		d.all = true
-		o.ask(now, len(o.fleet.agents))
+		d.notified = make(map[*agent]struct{})
+		o.notifyAgents(now, o.initialNotifyCount(n))
+	case n > 0 && (o.notifyAllDue(now) || n > 2*d.waiting || now.Sub(d.reportedAt) >= DemandReportInterval):
+		d.notifiedAll = true
+		o.notifyAgents(now, len(o.fleet.agents))
 	}
 }
 
-// askedFirst returns how many agents to ask first for n waiting tasks.
-func (o *Owner) askedFirst(n int) int {
+// initialNotifyCount returns how many agents to ask first for n waiting tasks.
+func (o *Dispatcher) initialNotifyCount(n int) int {
 	if o.fleet.totals.free == 0 {
-		return max(askedWhenFull, n*askedPerTask)
+		return max(notifyWhenFull, n*notifyPerTask)
 	}
-	return n * askedPerTask
+	return n * notifyPerTask
 }
 
-func (o *Owner) askAllDue(now time.Time) bool {
-	return !o.demand.all && now.Sub(o.demand.at) >= askAllAfter
+func (o *Dispatcher) notifyAllDue(now time.Time) bool {
+	return !o.demand.notifiedAll && now.Sub(o.demand.reportedAt) >= notifyAllDelay
 }
 
-// ask tells up to limit agents, drawn at random, how many tasks wait.
-func (o *Owner) ask(now time.Time, limit int) {
+// notifyAgents tells up to limit agents, drawn at random, how many tasks wait.
+func (o *Dispatcher) notifyAgents(now time.Time, limit int) {
 	n := o.queue.tasks
 	o.demand.waiting = n
-	o.demand.at = now
-	age := time.Duration(now.UnixNano() - o.queue.earliest())
+	o.demand.reportedAt = now
+	age := time.Duration(now.UnixNano() - o.queue.earliestKey())
 	list := o.fleet.sorted()
 	o.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 	for _, a := range list {
 		if limit <= 0 {
 			return
 		}
-		if a.startable() && !a.health.ejected {
+		if a.acceptsTasks() && !a.health.ejected {
 			limit--
-			o.demand.asked[a] = struct{}{}
+			o.demand.notified[a] = struct{}{}
 			o.sendDemand(a, n, age)
 		}
 	}
 }
 
-func (o *Owner) sendDemand(a *agent, n int, age time.Duration) {
+func (o *Dispatcher) sendDemand(a *agent, n int, age time.Duration) {
 	if a.linked {
 		o.send(a.ref.Agent, courier.Demand{Waiting: n, Age: age})
 	}
 }
 
-// Mixed draws among all agents with free slots, whether or not other owners
+// AnyFreeSlot draws among all agents with free slots, whether or not other owners
 // leave them to this one. It is the baseline of LateBinding's preference.
-type Mixed struct{}
+type AnyFreeSlot struct{}
 
-func (Mixed) choose(o *Owner, service string) *agent { return o.fleet.idle.draw(service, o.rng) }
-func (Mixed) asks() bool                             { return true }
+func (AnyFreeSlot) choose(o *Dispatcher, service string) *agent {
+	return o.fleet.withFreeSlots.pickBetterOfTwo(service, o.rng)
+}
+func (AnyFreeSlot) reportsDemand() bool { return true }
--- a/dispatcher/queue.go
+++ b/dispatcher/queue.go
@@ -21,11 +21,11 @@
 	TasksLeft int
 }
 
-// Arrival starts jobs in the order of their arrival.
-type Arrival struct{}
+// ArrivalOrder starts jobs in the order of their arrival.
+type ArrivalOrder struct{}
 
 // Key implements Order.
-func (Arrival) Key(j QueuedJob) int64 { return j.ArrivedNanos }
+func (ArrivalOrder) Key(j QueuedJob) int64 { return j.ArrivedNanos }
 
 // EarliestDeadline starts the job with the earliest deadline first.
 type EarliestDeadline struct{}
@@ -33,12 +33,12 @@
 // Key implements Order.
 func (EarliestDeadline) Key(j QueuedJob) int64 { return j.DeadlineNanos }
 
-// FewestLeft starts the job with the fewest waiting tasks first, however long
+// FewestTasksLeft starts the job with the fewest waiting tasks first, however long
 // others have waited.
-type FewestLeft struct{}
+type FewestTasksLeft struct{}
 
 // Key implements Order.
-func (FewestLeft) Key(j QueuedJob) int64 {
+func (FewestTasksLeft) Key(j QueuedJob) int64 {
 	return j.ArrivedNanos + int64(j.TasksLeft)*int64(time.Hour)
 }
 
@@ -60,9 +60,9 @@
 type queue struct {
 	order    Order
 	services map[string]*jobHeap
-	// names lists the keys of services in the order of their first use.
-	names    []string
-	sequence uint64
+	// serviceNames lists the keys of services in the order of their first use.
+	serviceNames []string
+	sequence     uint64
 	// tasks counts the waiting tasks of all queued jobs.
 	tasks int
 }
@@ -74,11 +74,11 @@
 // add queues j unless it is queued, and counts n more waiting tasks.
 func (q *queue) add(j *job, n int) {
 	q.tasks += n
-	h := q.services[j.sub.Service]
+	h := q.services[j.submission.Service]
 	if h == nil {
 		h = &jobHeap{order: q.order}
-		q.services[j.sub.Service] = h
-		q.names = append(q.names, j.sub.Service)
+		q.services[j.submission.Service] = h
+		q.serviceNames = append(q.serviceNames, j.submission.Service)
 	}
 	if j.queued {
 		heap.Fix(h, j.heapIndex)
@@ -89,9 +89,9 @@
 	heap.Push(h, queuedJob{job: j, sequence: q.sequence})
 }
 
-// took notes that one waiting task of j is not waiting any more, and drops j
+// removeTask notes that one waiting task of j is not waiting any more, and drops j
 // when none is left.
-func (q *queue) took(j *job) {
+func (q *queue) removeTask(j *job) {
 	if !j.queued {
 		return
 	}
@@ -100,11 +100,11 @@
 		q.drop(j)
 		return
 	}
-	heap.Fix(q.services[j.sub.Service], j.heapIndex)
+	heap.Fix(q.services[j.submission.Service], j.heapIndex)
 }
 
-// remove drops j with all its waiting tasks.
-func (q *queue) remove(j *job) {
+// removeJob drops j with all its waiting tasks.
+func (q *queue) removeJob(j *job) {
 	if !j.queued {
 		return
 	}
@@ -113,12 +113,12 @@
 }
 
 func (q *queue) drop(j *job) {
-	heap.Remove(q.services[j.sub.Service], j.heapIndex)
+	heap.Remove(q.services[j.submission.Service], j.heapIndex)
 	j.queued = false
 }
 
-// earliest returns the earliest key of all queued jobs.
-func (q *queue) earliest() int64 {
+// earliestKey returns the earliest key of all queued jobs.
+func (q *queue) earliestKey() int64 {
 	key := int64(math.MaxInt64)
 	for _, h := range q.services {
 		if len(h.jobs) > 0 {
@@ -144,8 +144,8 @@
 
 func (h *jobHeap) key(j *job) int64 {
 	return h.order.Key(QueuedJob{
-		ArrivedNanos:  j.arrived.UnixNano(),
-		DeadlineNanos: j.sub.Deadline.UnixNano(),
+		ArrivedNanos:  j.arrivedAt.UnixNano(),
+		DeadlineNanos: j.submission.Deadline.UnixNano(),
 		TasksLeft:     j.waitingTasks,
 	})
 }
--- a/dispatcher/roster.go
+++ b/dispatcher/roster.go
@@ -9,89 +9,89 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// SetRoster takes over the agents that a peer uses. Those without a link here
+// MergeRoster takes over the agents that a peer uses. Those without a link here
 // may hold records, and stay missing until they have been fenced; they matter
 // for as long as they do to any peer. A certain roster makes this one certain,
 // if the peer gave it at or after the time asOf of this clock and this process
 // was not paused since.
-func (o *Owner) SetRoster(roster []courier.RosterAgent, certain bool, asOf time.Time) {
-	o.wake()
+func (o *Dispatcher) MergeRoster(roster []courier.RosterAgent, certain bool, asOf time.Time) {
+	o.detectPause()
 	now := o.clock.Now()
 	for _, r := range roster {
 		ref := r.AgentRef
 		if a := o.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
 			continue
 		}
-		old, ok := o.fleet.gone[ref]
-		if until := now.Add(SilentHorizon - r.Lapsed); until.After(old) {
-			o.fleet.gone[ref] = until
+		old, ok := o.fleet.unreachable[ref]
+		if until := now.Add(UnreachableAgentRetention - r.Lapsed); until.After(old) {
+			o.fleet.unreachable[ref] = until
 		}
 		if !ok {
-			o.addMissing(ref)
+			o.addUnfenced(ref)
 		}
 	}
-	if certain && !asOf.Before(o.wokeAt) {
-		o.SetRosterCertain()
+	if certain && !asOf.Before(o.resumedAt) {
+		o.SetRosterComplete()
 	}
 }
 
-// SetRosterCertain notes that no agent was used by an earlier owner that is
+// SetRosterComplete notes that no agent was used by an earlier owner that is
 // neither known here nor listed as gone.
-func (o *Owner) SetRosterCertain() {
+func (o *Dispatcher) SetRosterComplete() {
 	now := o.clock.Now()
-	if !o.rosterCertainAt.After(now) {
+	if !o.rosterCompleteAt.After(now) {
 		return
 	}
-	o.rosterCertainAt = now
+	o.rosterCompleteAt = now
 	o.finishClaims(now)
-	o.releaseHeld()
+	o.retryBlocked()
 }
 
-func (o *Owner) addMissing(ref courier.AgentRef) {
+func (o *Dispatcher) addUnfenced(ref courier.AgentRef) {
 	for p := range o.partitions {
-		if part := &o.partitions[p]; part.state != foreign {
-			part.missing[ref] = struct{}{}
+		if part := &o.partitions[p]; part.state != partitionNotOwned {
+			part.unfenced[ref] = struct{}{}
 		}
 	}
 }
 
 // Roster lists the agents that may hold records of tasks started from here,
 // and whether the list is complete.
-func (o *Owner) Roster() ([]courier.RosterAgent, bool) {
+func (o *Dispatcher) Roster() ([]courier.RosterAgent, bool) {
 	var out []courier.RosterAgent
 	for _, a := range o.fleet.sorted() {
-		if a.admitted {
+		if a.inAllRosters {
 			out = append(out, courier.RosterAgent{AgentRef: a.ref})
 		}
 	}
 	now := o.clock.Now()
-	for ref, until := range o.fleet.gone {
+	for ref, until := range o.fleet.unreachable {
 		if until.After(now) {
-			out = append(out, courier.RosterAgent{AgentRef: ref, Lapsed: SilentHorizon - until.Sub(now)})
+			out = append(out, courier.RosterAgent{AgentRef: ref, Lapsed: UnreachableAgentRetention - until.Sub(now)})
 		}
 	}
 	slices.SortFunc(out, compareRefs)
-	return out, !o.rosterCertainAt.After(now)
+	return out, !o.rosterCompleteAt.After(now)
 }
 
 func compareRefs(a, b courier.RosterAgent) int {
 	return cmp.Or(cmp.Compare(a.Agent, b.Agent), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-func (o *Owner) everyAgent() map[courier.AgentRef]struct{} {
-	out := make(map[courier.AgentRef]struct{}, len(o.fleet.agents)+len(o.fleet.gone))
+func (o *Dispatcher) agentsWithRecords() map[courier.AgentRef]struct{} {
+	out := make(map[courier.AgentRef]struct{}, len(o.fleet.agents)+len(o.fleet.unreachable))
 	for _, a := range o.fleet.agents {
 		out[a.ref] = struct{}{}
 	}
-	for ref := range o.fleet.gone {
+	for ref := range o.fleet.unreachable {
 		out[ref] = struct{}{}
 	}
 	return out
 }
 
-// awaits reports whether an agent may still answer the claim soon.
-func (o *Owner) awaits(part *partition) bool {
-	for ref := range part.missing {
+// awaitsClaimReply reports whether an agent may still answer the claim soon.
+func (o *Dispatcher) awaitsClaimReply(part *partition) bool {
+	for ref := range part.unfenced {
 		if a := o.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
 			return true
 		}
@@ -99,21 +99,21 @@
 	return false
 }
 
-// gap reports whether tasks of p may have started that nobody here knows of.
-func (o *Owner) gap(p router.Partition) bool {
-	if o.rosterCertainAt.After(o.clock.Now()) {
+// mayMissRecords reports whether tasks of p may have started that nobody here knows of.
+func (o *Dispatcher) mayMissRecords(p router.Partition) bool {
+	if o.rosterCompleteAt.After(o.clock.Now()) {
 		return true
 	}
 	part := &o.partitions[p]
-	for ref := range part.missing {
+	for ref := range part.unfenced {
 		a := o.fleet.agents[ref.Agent]
 		if a != nil && a.ref == ref {
 			return true
 		}
-		if _, ok := o.fleet.gone[ref]; ok {
+		if _, ok := o.fleet.unreachable[ref]; ok {
 			return true
 		}
-		delete(part.missing, ref)
+		delete(part.unfenced, ref)
 	}
 	return false
 }
--- a/dispatcher/submit.go
+++ b/dispatcher/submit.go
@@ -12,45 +12,45 @@
 )
 
 // Submit takes one copy of a submission. Its waiter gets exactly one Reply.
-func (o *Owner) Submit(r Request) {
-	o.wake()
-	p := router.PartitionOf(r.Submission.Job())
+func (o *Dispatcher) Submit(r Request) {
+	o.detectPause()
+	p := router.PartitionOf(r.Submission.JobID())
 	part := &o.partitions[p]
 	switch part.state {
-	case serving:
+	case partitionServing:
 		o.admit(r)
 		o.dispatch()
 		o.reportDemand(o.clock.Now())
-	case claiming:
-		part.parked = append(part.parked, r)
+	case partitionClaiming:
+		part.deferred = append(part.deferred, r)
 	default:
 		o.replyMoved(r.Waiter, p, false)
 	}
 }
 
 // admit decides on a submission whose partition is served here.
-func (o *Owner) admit(r Request) {
-	id := r.Submission.Job()
+func (o *Dispatcher) admit(r Request) {
+	id := r.Submission.JobID()
 	if j := o.jobs[id]; j != nil {
 		o.join(j, r)
 		return
 	}
-	if ref, ok := o.refused[id]; ok && r.Submission.Attempt <= ref.attempt {
-		o.replyRefusal(courier.Answer{
+	if ref, ok := o.forbiddenAttempts[id]; ok && r.Submission.Attempt <= ref.attempt {
+		o.replyNotRun(courier.Answer{
 			Job:    id,
 			State:  courier.NotRun,
-			Reason: courier.ReasonRefusedBefore,
+			Reason: courier.ReasonAttemptRefused,
 			Detail: "this attempt or a later one was answered NotRun",
 		}, []Waiter{r.Waiter})
 		return
 	}
-	if in := o.inherited[id]; in != nil {
-		o.adopt(r, in)
+	if in := o.recoveredJobs[id]; in != nil {
+		o.resumeRecovered(r, in)
 		return
 	}
-	if !r.first() && o.gap(router.PartitionOf(id)) {
-		if !o.hold(r) {
-			o.replyUnknown(r, detailNotAsked)
+	if !r.isFirstCopy() && o.mayMissRecords(router.PartitionOf(id)) {
+		if !o.deferUntilFenced(r) {
+			o.replyOutcomeUnknown(r, detailAgentUnreachable)
 		}
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // join adds a caller to a job that is known here.
-func (o *Owner) join(j *job, r Request) {
+func (o *Dispatcher) join(j *job, r Request) {
 	if j.digest != r.Digest {
 		o.replyConflict(r)
 		return
@@ -72,7 +72,7 @@
 	o.addWaiter(j, r.Waiter)
 }
 
-func (o *Owner) addWaiter(j *job, w Waiter) {
+func (o *Dispatcher) addWaiter(j *job, w Waiter) {
 	if w == 0 {
 		return
 	}
@@ -82,22 +82,22 @@
 }
 
 // admitNew decides on a submission of which nothing has started.
-func (o *Owner) admitNew(r Request) {
+func (o *Dispatcher) admitNew(r Request) {
 	now := o.clock.Now()
 	s := r.Submission
 	if !s.Deadline.After(now) {
-		o.refuseLate(r)
+		o.refuseExpired(r)
 		return
 	}
-	if !o.fresh() && now.Sub(o.wokeAt) < FreshWait {
-		o.park(r)
+	if !o.fresh() && now.Sub(o.resumedAt) < FreshnessTimeout {
+		o.deferRequest(r)
 		return
 	}
 	if !o.fresh() {
-		o.refuse(r, courier.ReasonNoBundle, "no configuration is confirmed at this entry", time.Second)
+		o.refuse(r, courier.ReasonBundleNotConfirmed, "no configuration is confirmed at this entry", time.Second)
 		return
 	}
-	if detail := o.serviceFault(s); detail != "" {
+	if detail := o.bundleViolation(s); detail != "" {
 		o.refuse(r, courier.ReasonUnknownService, detail, 0)
 		return
 	}
@@ -113,19 +113,19 @@
 	o.queue.add(j, j.waitingTasks)
 }
 
-// refuseLate answers a submission whose deadline has passed. What earlier
+// refuseExpired answers a submission whose deadline has passed. What earlier
 // copies started may have been forgotten by then, here and at the agents.
-func (o *Owner) refuseLate(r Request) {
-	if !r.first() {
-		o.replyUnknown(r, detailForgotten)
+func (o *Dispatcher) refuseExpired(r Request) {
+	if !r.isFirstCopy() {
+		o.replyOutcomeUnknown(r, detailRecordsExpired)
 		return
 	}
 	o.refuse(r, courier.ReasonDeadline, "the deadline has passed", 0)
 }
 
-// serviceFault names the field of s that the bundle in force does not allow,
+// bundleViolation names the field of s that the bundle in force does not allow,
 // or returns "".
-func (o *Owner) serviceFault(s courier.Submission) string {
+func (o *Dispatcher) bundleViolation(s courier.Submission) string {
 	service, ok := o.bundle.Service(s.Service)
 	if !ok {
 		return fmt.Sprintf("Service: found %q, allowed a service of bundle version %d", s.Service, o.bundle.Version)
@@ -136,57 +136,57 @@
 	return ""
 }
 
-func (o *Owner) addJob(r Request) *job {
+func (o *Dispatcher) addJob(r Request) *job {
 	j := newJob(r, o.clock.Now())
 	o.jobs[j.id] = j
-	o.admission.admitted(j)
+	o.admission.addTasks(j)
 	o.addWaiter(j, r.Waiter)
-	o.due(j, j.sub.Deadline)
+	o.scheduleExpiry(j, j.submission.Deadline)
 	return j
 }
 
-// adopt continues a job of an earlier owner from what the agents reported.
-func (o *Owner) adopt(r Request, in *inheritance) {
+// resumeRecovered continues a job of an earlier owner from what the agents reported.
+func (o *Dispatcher) resumeRecovered(r Request, in *recoveredJob) {
 	if in.digest != r.Digest {
 		o.replyConflict(r)
 		return
 	}
 	n := len(r.Submission.Tasks)
-	if len(in.records) < n && o.gap(router.PartitionOf(r.Submission.Job())) {
-		if !o.hold(r) {
-			o.replyUnknown(r, detailSomeStarted)
+	if len(in.records) < n && o.mayMissRecords(router.PartitionOf(r.Submission.JobID())) {
+		if !o.deferUntilFenced(r) {
+			o.replyOutcomeUnknown(r, detailSomeStarted)
 		}
 		return
 	}
-	delete(o.inherited, r.Submission.Job())
+	delete(o.recoveredJobs, r.Submission.JobID())
 	j := o.addJob(r)
 	indexes := sortedIndexes(in.records)
 	for _, i := range indexes {
-		o.restore(j, i, in.records[i])
+		o.restoreTask(j, i, in.records[i])
 	}
 	for _, i := range indexes {
-		o.settleRestored(j, i, in.records[i])
+		o.recordRestoredOutcome(j, i, in.records[i])
 	}
 	if !j.done && j.waitingTasks > 0 {
 		o.queue.add(j, j.waitingTasks)
 	}
 }
 
-// restore notes that a task has started, before any outcome ends the job.
-func (o *Owner) restore(j *job, i int, t inheritedTask) {
+// restoreTask notes that a task has started, before any outcome ends the job.
+func (o *Dispatcher) restoreTask(j *job, i int, t recoveredTask) {
 	if i < 0 || i >= len(j.tasks) {
 		return
 	}
-	j.tasks[i] = task{state: sent, agent: t.agent, link: t.link, sentAt: o.clock.Now()}
+	j.tasks[i] = task{state: taskSent, agent: t.agent, link: t.link, sentAt: o.clock.Now()}
 	j.waitingTasks--
 	if a := o.fleet.agents[t.agent.Agent]; a != nil && a.ref == t.agent {
 		o.fleet.assign(a, courier.TaskID{Job: j.id, Index: i})
 	}
 }
 
-// settleRestored settles a restored task whose outcome is known, or will
+// recordRestoredOutcome settles a restored task whose outcome is known, or will
 // never be.
-func (o *Owner) settleRestored(j *job, i int, t inheritedTask) {
+func (o *Dispatcher) recordRestoredOutcome(j *job, i int, t recoveredTask) {
 	if i < 0 || i >= len(j.tasks) || j.done {
 		return
 	}
@@ -201,39 +201,39 @@
 	if a != nil {
 		o.fleet.unassign(a, rec.Task)
 	}
-	o.settle(j, i, rec)
+	o.recordOutcome(j, i, rec)
 }
 
-// Leave notes that a caller has gone.
-func (o *Owner) Leave(w Waiter) {
-	o.wake()
+// CallerLeft notes that a caller has gone.
+func (o *Dispatcher) CallerLeft(w Waiter) {
+	o.detectPause()
 	j := o.waiters[w]
 	if j == nil {
-		o.unpark(w)
+		o.dropDeferred(w)
 		return
 	}
 	delete(o.waiters, w)
 	delete(j.waiters, w)
-	if len(j.waiters) == 0 && !j.sub.Detached && !j.done {
+	if len(j.waiters) == 0 && !j.submission.Detached && !j.done {
 		j.orphanedAt = o.clock.Now()
-		o.due(j, j.orphanedAt.Add(LeaveGrace))
+		o.scheduleExpiry(j, j.orphanedAt.Add(OrphanGrace))
 	}
 }
 
-func (o *Owner) unpark(w Waiter) {
+func (o *Dispatcher) dropDeferred(w Waiter) {
 	for i := range o.partitions {
 		part := &o.partitions[i]
-		part.parked = slices.DeleteFunc(part.parked, func(r Request) bool { return r.Waiter == w })
+		part.deferred = slices.DeleteFunc(part.deferred, func(r Request) bool { return r.Waiter == w })
 	}
 }
 
 // Cancel ends an unfinished job and returns its state.
-func (o *Owner) Cancel(id string) courier.Answer {
-	o.wake()
+func (o *Dispatcher) Cancel(id string) courier.Answer {
+	o.detectPause()
 	if j := o.jobs[id]; j != nil && !j.done {
-		o.giveUp(j, courier.ReasonCancelled, "the job was cancelled")
+		o.abortJob(j, courier.ReasonCancelled, "the job was cancelled")
 		o.dispatch()
-		if o.refusals[id] == nil {
+		if o.pendingForbids[id] == nil {
 			return j.answer
 		}
 	}
@@ -241,10 +241,10 @@
 }
 
 // State returns what is known of a job.
-func (o *Owner) State(id string) courier.Answer {
+func (o *Dispatcher) State(id string) courier.Answer {
 	a := courier.Answer{Job: id, State: courier.Unknown, BundleVersion: o.bundle.Version, Entry: o.cfg.Entry}
 	p := router.PartitionOf(id)
-	if o.partitions[p].state == foreign {
+	if o.partitions[p].state == partitionNotOwned {
 		a.State = courier.Moved
 		a.Owner = router.Owner(p, o.view)
 		return a
@@ -256,88 +256,88 @@
 		a.State = courier.Pending
 		return a
 	}
-	if o.refusals[id] != nil {
+	if o.pendingForbids[id] != nil {
 		a.State = courier.Pending
 		a.Detail = "the refusal is being written down"
 	}
-	if o.inherited[id] != nil {
+	if o.recoveredJobs[id] != nil {
 		a.State = courier.Pending
 		a.Detail = "started by an earlier owner; submit again for the answer"
 	}
 	return a
 }
 
-// due has expireJobs look at j at a time.
-func (o *Owner) due(j *job, at time.Time) {
+// scheduleExpiry has expireJobs look at j at a time.
+func (o *Dispatcher) scheduleExpiry(j *job, at time.Time) {
 	heap.Push(&o.expiry, expiry{atNanos: at.UnixNano(), job: j})
 }
 
 // expireJobs gives up jobs whose deadline has passed or whose callers have
 // left, and forgets answers that nobody can ask for any more.
-func (o *Owner) expireJobs(now time.Time) {
+func (o *Dispatcher) expireJobs(now time.Time) {
 	for len(o.expiry) > 0 && o.expiry[0].atNanos <= now.UnixNano() {
 		e := heap.Pop(&o.expiry).(expiry)
 		o.expireJob(e.job, now)
 	}
 }
 
-func (o *Owner) expireJob(j *job, now time.Time) {
+func (o *Dispatcher) expireJob(j *job, now time.Time) {
 	switch {
 	case o.jobs[j.id] != j:
-	case j.done && !now.Before(j.sub.Deadline.Add(AnswerGrace)):
+	case j.done && !now.Before(j.submission.Deadline.Add(AnswerRetention)):
 		delete(o.jobs, j.id)
 	case j.done:
-		o.due(j, j.sub.Deadline.Add(AnswerGrace))
-	case !now.Before(j.sub.Deadline):
-		o.giveUp(j, courier.ReasonDeadline, "the deadline has passed")
-	case !j.orphanedAt.IsZero() && !now.Before(j.orphanedAt.Add(LeaveGrace)):
-		o.giveUp(j, courier.ReasonCancelled, "the caller has left")
+		o.scheduleExpiry(j, j.submission.Deadline.Add(AnswerRetention))
+	case !now.Before(j.submission.Deadline):
+		o.abortJob(j, courier.ReasonDeadline, "the deadline has passed")
+	case !j.orphanedAt.IsZero() && !now.Before(j.orphanedAt.Add(OrphanGrace)):
+		o.abortJob(j, courier.ReasonCancelled, "the caller has left")
 	}
 }
 
 // refuse answers NotRun to a submission of which nothing has started.
-func (o *Owner) refuse(r Request, reason courier.Reason, detail string, after time.Duration) {
+func (o *Dispatcher) refuse(r Request, reason courier.Reason, detail string, after time.Duration) {
 	answer := courier.Answer{
-		Job:        r.Submission.Job(),
+		Job:        r.Submission.JobID(),
 		State:      courier.NotRun,
 		Reason:     reason,
 		Detail:     detail,
 		RetryAfter: after,
 	}
-	o.refuseFinally(r.Submission, r.first(), answer, []Waiter{r.Waiter})
+	o.refuseDurably(r.Submission, r.isFirstCopy(), answer, []Waiter{r.Waiter})
 }
 
-// noteRefusal makes sure that no delayed copy of a refused attempt runs.
-func (o *Owner) noteRefusal(s courier.Submission, attempt int) {
-	old := o.refused[s.Job()]
-	o.refused[s.Job()] = refusedAttempt{
-		attempt: max(old.attempt, attempt),
-		until:   s.Deadline.Add(AnswerGrace),
+// forbidAttempt makes sure that no delayed copy of a refused attempt runs.
+func (o *Dispatcher) forbidAttempt(s courier.Submission, attempt int) {
+	old := o.forbiddenAttempts[s.JobID()]
+	o.forbiddenAttempts[s.JobID()] = forbiddenAttempt{
+		attempt:   max(old.attempt, attempt),
+		expiresAt: s.Deadline.Add(AnswerRetention),
 	}
 }
 
-func (o *Owner) replyConflict(r Request) {
+func (o *Dispatcher) replyConflict(r Request) {
 	o.reply(r.Waiter, courier.Answer{
-		Job:    r.Submission.Job(),
+		Job:    r.Submission.JobID(),
 		State:  courier.Conflict,
-		Reason: courier.ReasonOtherBody,
+		Reason: courier.ReasonKeyReused,
 		Detail: "Key: already used by a submission with another body; nothing of this one was started",
 	})
 }
 
 // The details of answers whose outcome is unknown.
 const (
-	detailNotAsked    = "an agent that may have started tasks of this job cannot be asked"
-	detailSomeStarted = "some tasks are known to have started, and an agent that may have started others cannot be asked"
-	detailForgotten   = "the deadline has passed, and what earlier attempts started may be forgotten"
+	detailAgentUnreachable = "an agent that may have started tasks of this job cannot be asked"
+	detailSomeStarted      = "some tasks are known to have started, and an agent that may have started others cannot be asked"
+	detailRecordsExpired   = "the deadline has passed, and what earlier attempts started may be forgotten"
 )
 
-// replyUnknown answers a resubmission whose earlier copies may have run where
+// replyOutcomeUnknown answers a resubmission whose earlier copies may have run where
 // nobody can tell.
-func (o *Owner) replyUnknown(r Request, detail string) {
+func (o *Dispatcher) replyOutcomeUnknown(r Request, detail string) {
 	o.counts.Failed++
 	a := courier.Answer{
-		Job:    r.Submission.Job(),
+		Job:    r.Submission.JobID(),
 		State:  courier.Failed,
 		Reason: courier.ReasonOutcomeUnknown,
 		Detail: detail,
@@ -357,7 +357,7 @@
 	return out
 }
 
-func sortedIndexes(m map[int]inheritedTask) []int {
+func sortedIndexes(m map[int]recoveredTask) []int {
 	out := make([]int, 0, len(m))
 	for i := range m {
 		out = append(out, i)
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -186,7 +186,7 @@
 		if v.Cancel {
 			l.jobs.Go(func() {
 				l.clock.Sleep(time.Duration(v.CancelAfterMillis) * time.Millisecond)
-				_, err := l.client.Cancel(ctx, j.entry+1, j.sub.Job())
+				_, err := l.client.Cancel(ctx, j.entry+1, j.sub.JobID())
 				l.results.noteCancel(err)
 			})
 		}
--- a/messenger/link.go
+++ b/messenger/link.go
@@ -49,7 +49,7 @@
 // is dropped.
 type Link struct {
 	*courier.Sender
-	conn    courier.LimitedConn
+	conn    courier.TimeoutConn
 	handler Handler
 }
 
@@ -61,7 +61,7 @@
 	}
 	l := &Link{
 		Sender:  courier.NewSender(func() { _ = socket.Close() }),
-		conn:    courier.LimitedConn{Conn: socket, Limit: IdleTimeout},
+		conn:    courier.TimeoutConn{Conn: socket, Timeout: IdleTimeout},
 		handler: h,
 	}
 	go l.write()
@@ -83,7 +83,7 @@
 	defer l.Close()
 	var batch []byte
 	for {
-		list, ok := l.Next()
+		list, ok := l.NextBatch()
 		if !ok {
 			return
 		}
--- a/messenger/link_test.go
+++ b/messenger/link_test.go
@@ -82,7 +82,7 @@
 	a.Close()
 	<-ha.closed
 	<-hb.closed
-	require.True(t, b.Ended())
+	require.True(t, b.IsClosed())
 }
 
 func TestSilentLinkCloses(t *testing.T) {
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -259,13 +259,13 @@
 }
 
 func (g *Progress) count(voters confirmer.Voters, list []receiver.Registration, now time.Time) {
-	g.Accepted = g.Written && receiver.Accepted(g.Version, voters, list, now)
+	g.Accepted = g.Written && receiver.BundleAccepted(g.Version, voters, list, now)
 	for _, reg := range list {
 		inForce := reg.BundleVersion >= g.Version
 		if !inForce && slices.Contains(voters.Entries, reg.Entry.ID) {
 			g.Waiting = append(g.Waiting, reg.Entry.ID)
 		}
-		if !reg.Recent(now, liveSpan) {
+		if !reg.WroteWithin(now, liveSpan) {
 			continue
 		}
 		g.Entries++
--- a/receiver/agents.go
+++ b/receiver/agents.go
@@ -15,50 +15,50 @@
 func (c *core) receiveFromAgent(a agentLink, msg any) {
 	switch m := msg.(type) {
 	case *courier.ClaimReply:
-		c.owner.Claimed(a.name, a.number, *m)
+		c.dispatcher.HandleClaimReply(a.name, a.number, *m)
 	case *courier.Forbidden:
-		c.owner.Forbidden(a.name, a.number, *m)
+		c.dispatcher.HandleForbidden(a.name, a.number, *m)
 	case *courier.Finished:
-		c.owner.Finished(a.name, a.number, *m)
+		c.dispatcher.HandleFinished(a.name, a.number, *m)
 	case *courier.Refuse:
-		c.owner.Refused(a.name, a.number, *m)
+		c.dispatcher.HandleRefuse(a.name, a.number, *m)
 	case *courier.Offer:
-		c.owner.Offered(a.name, a.number, *m)
+		c.dispatcher.HandleOffer(a.name, a.number, *m)
 	case *courier.Superseded:
-		c.owner.Superseded(*m)
+		c.dispatcher.HandleSuperseded(*m)
 	}
 }
 
-// announced takes an agent's heartbeat and answers it. The answer goes out
+// handleAnnounce takes an agent's heartbeat and answers it. The answer goes out
 // before anything else on a new link, since it names this entry.
-func (c *core) announced(l link, an courier.Announce) {
+func (c *core) handleAnnounce(l link, an courier.Announce) {
 	known, ok := c.agents[l]
 	reply := c.announceReply(an)
 	if !ok {
-		reply.Terms = c.owner.Terms()
+		reply.Terms = c.dispatcher.Terms()
 	}
 	l.Send(reply)
 	c.agents[l] = agentLink{name: an.Agent, number: an.LinkNumber, bundleVersion: an.BundleVersion}
 	if ok {
 		if known.number == an.LinkNumber {
-			c.owner.AgentSeen(an)
+			c.dispatcher.AgentHeartbeat(an)
 		}
 		return
 	}
-	if old := c.byAgent[an.Agent]; old != nil {
+	if old := c.linkByAgent[an.Agent]; old != nil {
 		delete(c.agents, old)
 		old.Close()
 	}
-	c.byAgent[an.Agent] = l
-	c.owner.AgentUp(an)
+	c.linkByAgent[an.Agent] = l
+	c.dispatcher.AgentLinkUp(an)
 }
 
 func (c *core) announceReply(an courier.Announce) courier.AnnounceReply {
-	confirmed := c.confirmer.Confirmed()
+	confirmed := c.confirmer.ConfirmedAt()
 	bundle := c.confirmer.Bundle()
 	reply := courier.AnnounceReply{
 		Entry:         c.info,
-		Entries:       c.registrar.Alive(),
+		Entries:       c.registrar.AliveEntries(),
 		Stamp:         an.Stamp,
 		Fresh:         !confirmed.IsZero(),
 		Age:           max(0, c.deps.Clock.Since(confirmed)),
--- a/receiver/bundle.go
+++ b/receiver/bundle.go
@@ -9,15 +9,15 @@
 	"github.com/pomeloferry/pomeloferry/starter"
 )
 
-// adopt takes what was in the store.
-func (c *core) adopt(m bundleRead) {
+// handleBundleRead takes what was in the store.
+func (c *core) handleBundleRead(m bundleRead) {
 	old := c.confirmer.Bundle().Version
-	c.confirmer.StoreRead(m.at, m.signed, m.bundle, m.voters)
-	c.bundleChanged(old, "store")
+	c.confirmer.HandleStoreRead(m.at, m.signed, m.bundle, m.voters)
+	c.applyBundle(old, "store")
 }
 
-// bundleChanged logs a bundle newer than version old, and tells the owner.
-func (c *core) bundleChanged(old uint64, source string) {
+// applyBundle logs a bundle newer than version old, and tells the owner.
+func (c *core) applyBundle(old uint64, source string) {
 	if b := c.confirmer.Bundle(); b.Version != old {
 		c.deps.BundleVersion.Store(b.Version)
 		c.deps.Log.WithField("bundle_version", b.Version).WithField("source", source).Info("bundle in force")
@@ -26,7 +26,7 @@
 }
 
 func (c *core) refreshBundle() {
-	c.owner.SetBundle(c.confirmer.Bundle(), c.confirmer.Confirmed().Add(starter.FreshFor))
+	c.dispatcher.SetBundle(c.confirmer.Bundle(), c.confirmer.ConfirmedAt().Add(starter.FreshnessLimit))
 }
 
 // adoptFromPeer takes over a newer bundle and a newer list of voters. The
--- a/receiver/bundle_test.go
+++ b/receiver/bundle_test.go
@@ -30,8 +30,8 @@
 	return private, approver.Trust{"approver": base64.StdEncoding.EncodeToString(public)}
 }
 
-// write puts a bundle into the store.
-func (s *simStore) write(b approver.Bundle) {
+// writeBundle puts a bundle into the store.
+func (s *simStore) writeBundle(b approver.Bundle) {
 	key, _ := newSimKey()
 	signed, err := approver.Sign(b, "approver", key)
 	if err != nil {
@@ -44,11 +44,11 @@
 func (s *simStore) takeOut(t *testing.T, dataCentre string) {
 	b, err := s.bundle.WithDataCentre(dataCentre, approver.Out)
 	require.NoError(t, err)
-	s.write(b)
+	s.writeBundle(b)
 }
 
-// feed keeps all slots busy with small jobs for a time.
-func (w *world) feed(prefix string, d time.Duration) {
+// submitLoad keeps all slots busy with small jobs for a time.
+func (w *simulation) submitLoad(prefix string, d time.Duration) {
 	const interval = 100 * time.Millisecond
 	for i := range int(d / interval) {
 		w.after(time.Duration(i)*interval, func() {
@@ -58,7 +58,7 @@
 }
 
 // lastStart returns when the last task started in a data centre.
-func (w *world) lastStart(dataCentre string) time.Time {
+func (w *simulation) lastStart(dataCentre string) time.Time {
 	var at time.Time
 	for _, s := range w.startLog {
 		if s.agent.id.DataCentre == dataCentre {
@@ -73,50 +73,50 @@
 func TestTakeOutUnderFaults(t *testing.T) {
 	tests := []struct {
 		name  string
-		fault func(w *world)
+		fault func(w *simulation)
 	}{
-		{"no fault", func(*world) {}},
-		{"an entry frozen", func(w *world) { w.pause(w.entries[0].proc, 8*time.Second) }},
-		{"its agent frozen", func(w *world) { w.pause(w.agents[0].proc, 8*time.Second) }},
-		{"both frozen", func(w *world) {
+		{"no fault", func(*simulation) {}},
+		{"an entry frozen", func(w *simulation) { w.pause(w.entries[0].proc, 8*time.Second) }},
+		{"its agent frozen", func(w *simulation) { w.pause(w.agents[0].proc, 8*time.Second) }},
+		{"both frozen", func(w *simulation) {
 			w.pause(w.entries[0].proc, 8*time.Second)
 			w.pause(w.agents[0].proc, 8*time.Second)
 		}},
-		{"agent frozen a little", func(w *world) { w.pause(w.agents[0].proc, 2500*time.Millisecond) }},
-		{"an entry cut from the store", func(w *world) { w.store.cut["entry-1"] = true }},
-		{"an entry cut from its peers", func(w *world) {
+		{"agent frozen a little", func(w *simulation) { w.pause(w.agents[0].proc, 2500*time.Millisecond) }},
+		{"an entry cut from the store", func(w *simulation) { w.store.unreachableFrom["entry-1"] = true }},
+		{"an entry cut from its peers", func(w *simulation) {
 			w.isolate(w.entries[0].proc, time.Minute)
-			delete(w.store.cut, "entry-1")
+			delete(w.store.unreachableFrom, "entry-1")
 		}},
-		{"an entry cut from both", func(w *world) { w.isolate(w.entries[0].proc, time.Minute) }},
-		{"an entry and the agent cut from all others", func(w *world) {
+		{"an entry cut from both", func(w *simulation) { w.isolate(w.entries[0].proc, time.Minute) }},
+		{"an entry and the agent cut from all others", func(w *simulation) {
 			w.isolate(w.entries[0].proc, time.Minute)
-			w.cut(w.agents[0].proc, w.entries[1].proc, time.Minute)
-			w.cut(w.agents[0].proc, w.entries[2].proc, time.Minute)
+			w.disconnect(w.agents[0].proc, w.entries[1].proc, time.Minute)
+			w.disconnect(w.agents[0].proc, w.entries[2].proc, time.Minute)
 		}},
-		{"late heartbeats", func(w *world) {
+		{"late heartbeats", func(w *simulation) {
 			for _, e := range w.entries {
-				w.delay(e.proc, w.agents[0].proc, 900*time.Millisecond)
+				w.delayMessages(e.proc, w.agents[0].proc, 900*time.Millisecond)
 			}
 		}},
-		{"very late heartbeats", func(w *world) {
+		{"very late heartbeats", func(w *simulation) {
 			for _, e := range w.entries {
-				w.delay(e.proc, w.agents[0].proc, 5*time.Second)
+				w.delayMessages(e.proc, w.agents[0].proc, 5*time.Second)
 			}
 		}},
-		{"the agent restarts after it", func(w *world) {
+		{"the agent restarts after it", func(w *simulation) {
 			w.after(5*time.Second, func() { w.agents[0].restart(1) })
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, 7, 3, 3, 4)
-			w.feed("before", 3*time.Second)
+			w := newSimulation(t, 7, 3, 3, 4)
+			w.submitLoad("before", 3*time.Second)
 			w.run(2 * time.Second)
 			tt.fault(w)
 			w.run(200 * time.Millisecond)
 			w.store.takeOut(t, "wien")
-			w.feed("after", 10*time.Second)
+			w.submitLoad("after", 10*time.Second)
 			w.run(40 * time.Second)
 			w.check()
 			require.Contains(t, w.store.acceptedAt, uint64(2), "not accepted")
@@ -128,7 +128,7 @@
 // TestBundleInForceEverywhere asks every live process, frozen or cut off ones
 // as soon as they are back.
 func TestBundleInForceEverywhere(t *testing.T) {
-	w := newWorld(t, 3, 3, 3, 4)
+	w := newSimulation(t, 3, 3, 3, 4)
 	w.pause(w.entries[1].proc, 8*time.Second)
 	w.isolate(w.entries[2].proc, 8*time.Second)
 	w.store.takeOut(t, "graz")
@@ -143,11 +143,11 @@
 
 // TestLongStoreOutage goes on working while the store is down.
 func TestLongStoreOutage(t *testing.T) {
-	w := newWorld(t, 4, 3, 3, 4)
+	w := newSimulation(t, 4, 3, 3, 4)
 	w.store.down = true
 	w.run(outage)
 	first := len(w.callers)
-	w.feed("outage", 5*time.Second)
+	w.submitLoad("outage", 5*time.Second)
 	w.run(20 * time.Second)
 	w.check()
 	for _, c := range w.callers[first:] {
@@ -157,7 +157,7 @@
 
 // TestOutageThenEntryDies works on with the majority that is left.
 func TestOutageThenEntryDies(t *testing.T) {
-	w := newWorld(t, 4, 3, 3, 4)
+	w := newSimulation(t, 4, 3, 3, 4)
 	w.run(20 * time.Second)
 	w.store.down = true
 	w.run(time.Minute)
@@ -172,7 +172,7 @@
 // TestEmptyEntryDuringOutage starts an entry without the store: it takes the
 // newest bundle from the others, and serves.
 func TestEmptyEntryDuringOutage(t *testing.T) {
-	w := newWorld(t, 5, 3, 3, 4)
+	w := newSimulation(t, 5, 3, 3, 4)
 	w.store.takeOut(t, "linz")
 	w.run(inForceLimit)
 	w.store.down = true
@@ -192,7 +192,7 @@
 // TestEmptyEntryAlone starts an entry with neither store nor peers: it runs
 // nothing and says so.
 func TestEmptyEntryAlone(t *testing.T) {
-	w := newWorld(t, 6, 3, 3, 4)
+	w := newSimulation(t, 6, 3, 3, 4)
 	w.store.down = true
 	for _, e := range w.entries[:3] {
 		w.kill(e.proc)
@@ -203,14 +203,14 @@
 	w.run(12 * time.Second)
 	w.check()
 	require.Equal(t, courier.NotRun, c.last().State, "%+v", c.last())
-	require.Equal(t, courier.ReasonNoBundle, c.last().Reason)
+	require.Equal(t, courier.ReasonBundleNotConfirmed, c.last().Reason)
 	require.Empty(t, w.starts)
 }
 
 // TestCutOffMinorityStops refuses at an entry that has neither the store nor a
 // majority of the registered entries.
 func TestCutOffMinorityStops(t *testing.T) {
-	w := newWorld(t, 8, 3, 3, 4)
+	w := newSimulation(t, 8, 3, 3, 4)
 	w.isolate(w.entries[0].proc, time.Minute)
 	w.run(inForceLimit)
 	c := w.submit("job", 0, 2, 200, 10*time.Second)
@@ -221,15 +221,15 @@
 
 // TestDataCentreReturns brings a data centre back and sees it filled again.
 func TestDataCentreReturns(t *testing.T) {
-	w := newWorld(t, 9, 3, 3, 4)
+	w := newSimulation(t, 9, 3, 3, 4)
 	w.store.takeOut(t, "wien")
 	w.run(10 * time.Second)
 	b, err := w.store.bundle.WithDataCentre("wien", approver.In)
 	require.NoError(t, err)
-	w.store.write(b)
+	w.store.writeBundle(b)
 	w.run(inForceLimit)
 	back := w.clock.Now()
-	w.feed("back", 3*time.Second)
+	w.submitLoad("back", 3*time.Second)
 	w.run(20 * time.Second)
 	w.check()
 	require.True(t, w.lastStart("wien").After(back))
--- a/receiver/core.go
+++ b/receiver/core.go
@@ -19,17 +19,17 @@
 type (
 	// tick asks for a look at what has come due.
 	tick struct{}
-	// leaving begins a planned stop.
-	leaving struct{}
+	// drain begins a planned stop.
+	drain struct{}
 	// idleQuery asks whether every job here is finished.
-	idleQuestion struct{}
+	idleQuery struct{}
 	// dumpQuery asks for a Dump.
-	dumpQuestion struct{}
-	// helloQuestion asks for the heartbeat to send to another entry, whose
+	dumpQuery struct{}
+	// heartbeatQuery asks for the heartbeat to send to another entry, whose
 	// name may not be known yet.
-	helloQuestion struct{ to string }
-	// registrationQuestion asks for the Registration to write.
-	registrationQuestion struct{}
+	heartbeatQuery struct{ to string }
+	// registrationQuery asks for the Registration to write.
+	registrationQuery struct{}
 	// linkMessage carries a message from an accepted link.
 	linkMessage struct {
 		link link
@@ -37,14 +37,14 @@
 	}
 	// linkClosed tells that an accepted link has ended.
 	linkClosed struct{ link link }
-	// peerHeard carries the heartbeat of another entry.
-	peerHeard struct{ hello courier.PeerHello }
+	// peerHeartbeat carries the heartbeat of another entry.
+	peerHeartbeat struct{ hello courier.PeerHello }
 	// entriesRead carries the entries registered in the store.
 	entriesRead struct {
 		entries []courier.EntryInfo
-		// first means that no entry ran here before within the record
+		// noEarlierEntries means that no entry ran here before within the record
 		// horizon.
-		first bool
+		noEarlierEntries bool
 	}
 	// bundleRead carries what was in the store at a time.
 	bundleRead struct {
@@ -53,18 +53,18 @@
 		voters confirmer.Voters
 		at     time.Time
 	}
-	// submit carries a request; answer is called once, unless the caller
+	// submitRequest carries a request; answer is called once, unless the caller
 	// leaves. It must not block.
-	submit struct {
+	submitRequest struct {
 		request dispatcher.Request
 		answer  func(courier.Answer)
 		// opened gets the waiter, for a later leave.
 		opened func(dispatcher.Waiter)
 	}
-	// leave tells that a caller has gone.
-	leave struct{ waiter dispatcher.Waiter }
-	// query asks for the state of a job, or cancels it.
-	query struct {
+	// callerLeft tells that a caller has gone.
+	callerLeft struct{ waiter dispatcher.Waiter }
+	// jobQuery asks for the state of a job, or cancels it.
+	jobQuery struct {
 		job    string
 		cancel bool
 		answer chan<- courier.Answer
@@ -84,16 +84,16 @@
 	cfg         Config
 	info        courier.EntryInfo
 	incarnation string
-	// learn is told which other entries are known.
-	learn func([]courier.EntryInfo)
+	// onKnownEntries is told which other entries are known.
+	onKnownEntries func([]courier.EntryInfo)
 
-	owner     *dispatcher.Owner
-	registrar *registrar.Registrar
-	agents    map[link]agentLink
-	byAgent   map[string]link
-	// answers holds what to do with the answer for each waiter.
-	answers map[dispatcher.Waiter]func(courier.Answer)
-	relays  map[relayKey]dispatcher.Waiter
+	dispatcher  *dispatcher.Dispatcher
+	registrar   *registrar.Registrar
+	agents      map[link]agentLink
+	linkByAgent map[string]link
+	// answerFuncs holds what to do with the answer for each waiter.
+	answerFuncs map[dispatcher.Waiter]func(courier.Answer)
+	relays      map[relayKey]dispatcher.Waiter
 	// lastWaiter numbers waiters; 0 means none.
 	lastWaiter dispatcher.Waiter
 
@@ -101,25 +101,25 @@
 }
 
 func newCore(deps provider.Deps, cfg Config, info courier.EntryInfo, learn func([]courier.EntryInfo)) *core {
-	owner := dispatcher.NewOwner(deps.Clock, dispatcher.Config{
+	owner := dispatcher.NewDispatcher(deps.Clock, dispatcher.Config{
 		Entry:     cfg.ID,
 		Seed:      cfg.Seed,
 		Placement: cfg.Placement,
 		Order:     cfg.Order,
 	})
 	return &core{
-		deps:        deps,
-		cfg:         cfg,
-		info:        info,
-		incarnation: uuid.NewString(),
-		learn:       learn,
-		owner:       owner,
-		registrar:   registrar.NewRegistrar(deps.Clock, info),
-		confirmer:   confirmer.NewConfirmer(deps.Clock, info.ID),
-		agents:      make(map[link]agentLink),
-		byAgent:     make(map[string]link),
-		answers:     make(map[dispatcher.Waiter]func(courier.Answer)),
-		relays:      make(map[relayKey]dispatcher.Waiter),
+		deps:           deps,
+		cfg:            cfg,
+		info:           info,
+		incarnation:    uuid.NewString(),
+		onKnownEntries: learn,
+		dispatcher:     owner,
+		registrar:      registrar.NewRegistrar(deps.Clock, info),
+		confirmer:      confirmer.NewConfirmer(deps.Clock, info.ID),
+		agents:         make(map[link]agentLink),
+		linkByAgent:    make(map[string]link),
+		answerFuncs:    make(map[dispatcher.Waiter]func(courier.Answer)),
+		relays:         make(map[relayKey]dispatcher.Waiter),
 	}
 }
 
@@ -132,41 +132,41 @@
 
 // handle takes one message, and returns the answer if it is a question.
 func (c *core) handle(msg any) any {
-	defer c.drain()
+	defer c.applyEffects()
 	switch m := msg.(type) {
 	case tick:
 		c.tick()
-	case leaving:
+	case drain:
 		c.registrar.SetLeaving()
-		c.owner.SetStopping()
+		c.dispatcher.SetStopping()
 		c.refreshView()
-	case idleQuestion:
-		return c.owner.Idle()
-	case dumpQuestion:
+	case idleQuery:
+		return c.dispatcher.Idle()
+	case dumpQuery:
 		return c.dump()
-	case helloQuestion:
-		return c.hello(m.to)
-	case registrationQuestion:
+	case heartbeatQuery:
+		return c.peerHello(m.to)
+	case registrationQuery:
 		return c.registration()
 	case linkMessage:
 		c.receive(m.link, m.msg)
 	case linkClosed:
-		c.closed(m.link)
-	case peerHeard:
-		c.heard(m.hello)
+		c.handleLinkClosed(m.link)
+	case peerHeartbeat:
+		c.handlePeerHello(m.hello)
 	case entriesRead:
-		c.registrar.Learn(m.entries)
-		if m.first {
-			c.owner.SetRosterCertain()
+		c.registrar.AddEntries(m.entries)
+		if m.noEarlierEntries {
+			c.dispatcher.SetRosterComplete()
 		}
 	case bundleRead:
-		c.adopt(m)
-	case submit:
+		c.handleBundleRead(m)
+	case submitRequest:
 		c.submit(m)
-	case leave:
-		delete(c.answers, m.waiter)
-		c.owner.Leave(m.waiter)
-	case query:
+	case callerLeft:
+		delete(c.answerFuncs, m.waiter)
+		c.dispatcher.CallerLeft(m.waiter)
+	case jobQuery:
 		m.answer <- c.query(m.job, m.cancel)
 	}
 	return nil
@@ -176,46 +176,46 @@
 	c.registrar.Tick()
 	c.refreshView()
 	c.refreshBundle()
-	c.owner.Tick()
+	c.dispatcher.Tick()
 }
 
 func (c *core) refreshView() {
-	c.owner.SetView(c.registrar.View(), c.registrar.Peers())
-	c.learn(c.registrar.Known())
+	c.dispatcher.SetView(c.registrar.View(), c.registrar.Peers())
+	c.onKnownEntries(c.registrar.KnownEntries())
 }
 
-func (c *core) submit(m submit) {
+func (c *core) submit(m submitRequest) {
 	w := c.newWaiter(m.answer)
 	m.opened(w)
 	m.request.Waiter = w
-	c.owner.Submit(m.request)
+	c.dispatcher.Submit(m.request)
 }
 
 func (c *core) newWaiter(answer func(courier.Answer)) dispatcher.Waiter {
 	c.lastWaiter++
-	c.answers[c.lastWaiter] = answer
+	c.answerFuncs[c.lastWaiter] = answer
 	return c.lastWaiter
 }
 
 func (c *core) query(job string, cancel bool) courier.Answer {
 	if cancel {
-		return c.owner.Cancel(job)
+		return c.dispatcher.Cancel(job)
 	}
-	return c.owner.State(job)
+	return c.dispatcher.State(job)
 }
 
 // receive takes a message from an accepted link.
 func (c *core) receive(l link, msg any) {
 	switch m := msg.(type) {
 	case *courier.Announce:
-		c.announced(l, *m)
+		c.handleAnnounce(l, *m)
 	case *courier.PeerHello:
-		c.heard(*m)
-		l.Send(c.hello(m.Entry.ID))
+		c.handlePeerHello(*m)
+		l.Send(c.peerHello(m.Entry.ID))
 	case *courier.Relay:
-		c.relayed(l, *m)
+		c.handleRelay(l, *m)
 	case *courier.RelayLeave:
-		c.relayLeft(relayKey{link: l, id: m.ID})
+		c.handleRelayLeave(relayKey{link: l, id: m.ID})
 	case *courier.RelayQuery:
 		l.Send(courier.RelayReply{ID: m.ID, Answer: c.query(m.Job, m.Cancel)})
 	default:
@@ -225,29 +225,29 @@
 	}
 }
 
-// heard takes the heartbeat of another entry.
-func (c *core) heard(h courier.PeerHello) {
-	c.registrar.Heard(h)
-	c.registrar.Learn(h.Entries)
+// handlePeerHello takes the heartbeat of another entry.
+func (c *core) handlePeerHello(h courier.PeerHello) {
+	c.registrar.HandleHeartbeat(h)
+	c.registrar.AddEntries(h.Entries)
 	c.refreshView()
-	asOf := c.registrar.TimeOf(h.EchoTo(c.incarnation))
-	c.owner.SetRoster(h.Roster, h.RosterCertain, asOf)
+	asOf := c.registrar.StampTime(h.EchoFor(c.incarnation))
+	c.dispatcher.MergeRoster(h.Roster, h.RosterCertain, asOf)
 	old := c.confirmer.Bundle().Version
 	c.adoptFromPeer(h)
-	c.confirmer.Heard(h.Entry.ID, confirmer.Word{
+	c.confirmer.SetAttestation(h.Entry.ID, confirmer.Attestation{
 		AsOf:          asOf,
 		Witness:       h.Witness,
 		BundleVersion: h.BundleVersion,
 		VotersVersion: h.VotersVersion,
 	})
-	c.bundleChanged(old, h.Entry.ID)
+	c.applyBundle(old, h.Entry.ID)
 }
 
-// hello returns the heartbeat for another entry. The roster in it is complete
+// peerHello returns the heartbeat for another entry. The roster in it is complete
 // for its receiver once the receiver's own heartbeat has arrived here: from
 // then on an agent is used only when the receiver knows it.
-func (c *core) hello(to string) courier.PeerHello {
-	roster, certain := c.owner.Roster()
+func (c *core) peerHello(to string) courier.PeerHello {
+	roster, certain := c.dispatcher.Roster()
 	echo := c.registrar.Echo(to)
 	h := courier.PeerHello{
 		Entry:         c.info,
@@ -256,10 +256,10 @@
 		Leaving:       c.registrar.Leaving(),
 		RosterCertain: certain,
 		Roster:        roster,
-		Entries:       c.registrar.Alive(),
+		Entries:       c.registrar.AliveEntries(),
 		BundleVersion: c.confirmer.Bundle().Version,
 		VotersVersion: c.confirmer.Voters().Version,
-		Witness:       c.confirmer.Witness(),
+		Witness:       c.confirmer.IsWitness(),
 		Stamp:         c.registrar.Stamp(),
 		Echo:          echo.Stamp,
 		EchoOf:        echo.Incarnation,
@@ -273,37 +273,37 @@
 	return h
 }
 
-// closed notes the end of an accepted link. The jobs relayed over it go on,
+// handleLinkClosed notes the end of an accepted link. The jobs relayed over it go on,
 // since their entry asks again over a new link.
-func (c *core) closed(l link) {
+func (c *core) handleLinkClosed(l link) {
 	a, ok := c.agents[l]
 	if ok {
 		delete(c.agents, l)
-		if c.byAgent[a.name] == l {
-			delete(c.byAgent, a.name)
-			c.owner.AgentDown(a.name, a.number)
+		if c.linkByAgent[a.name] == l {
+			delete(c.linkByAgent, a.name)
+			c.dispatcher.AgentLinkDown(a.name, a.number)
 		}
 		return
 	}
 	for key, w := range c.relays {
 		if key.link == l {
 			delete(c.relays, key)
-			delete(c.answers, w)
+			delete(c.answerFuncs, w)
 		}
 	}
 }
 
-// drain carries out what the owner decided.
-func (c *core) drain() {
-	for _, e := range c.owner.Drain() {
+// applyEffects carries out what the owner decided.
+func (c *core) applyEffects() {
+	for _, e := range c.dispatcher.TakeEffects() {
 		switch e := e.(type) {
 		case dispatcher.Send:
-			if l := c.byAgent[e.To]; l != nil {
+			if l := c.linkByAgent[e.To]; l != nil {
 				l.Send(e.Msg)
 			}
 		case dispatcher.Reply:
-			if answer := c.answers[e.Waiter]; answer != nil {
-				delete(c.answers, e.Waiter)
+			if answer := c.answerFuncs[e.Waiter]; answer != nil {
+				delete(c.answerFuncs, e.Waiter)
 				answer(e.Answer)
 			}
 		}
--- a/receiver/dump.go
+++ b/receiver/dump.go
@@ -36,11 +36,11 @@
 		Incarnation:   c.incarnation,
 		Leaving:       c.registrar.Leaving(),
 		BundleVersion: c.confirmer.Bundle().Version,
-		ConfirmedAge:  c.deps.Clock.Since(c.confirmer.Confirmed()),
+		ConfirmedAge:  c.deps.Clock.Since(c.confirmer.ConfirmedAt()),
 		Voters:        c.confirmer.Voters(),
 		View:          c.registrar.View(),
 		Peers:         c.registrar.Peers(),
-		Owner:         c.owner.Dump(),
+		Owner:         c.dispatcher.Dump(),
 	}
 }
 
--- a/receiver/echo_test.go
+++ b/receiver/echo_test.go
@@ -31,13 +31,13 @@
 	clock.Advance(time.Hour)
 	for _, p := range peers {
 		read(p)
-		p.handle(peerHeard{hello: earlier.hello(p.cfg.ID)})
+		p.handle(peerHeartbeat{hello: earlier.peerHello(p.cfg.ID)})
 	}
 	restarted := start("entry-1")
 	read(restarted)
 	for _, p := range peers {
-		restarted.handle(peerHeard{hello: p.hello("entry-1")})
+		restarted.handle(peerHeartbeat{hello: p.peerHello("entry-1")})
 	}
-	clock.Advance(starter.FreshFor)
-	require.GreaterOrEqual(t, restarted.announceReply(courier.Announce{}).Age, starter.FreshFor)
+	clock.Advance(starter.FreshnessLimit)
+	require.GreaterOrEqual(t, restarted.announceReply(courier.Announce{}).Age, starter.FreshnessLimit)
 }
--- a/receiver/http.go
+++ b/receiver/http.go
@@ -181,7 +181,7 @@
 
 // Dump returns the state of the entry, for operators.
 func (r *Receiver) Dump() (any, error) {
-	answer, err := r.ask(dumpQuestion{})
+	answer, err := r.ask(dumpQuery{})
 	if err != nil {
 		return nil, err
 	}
@@ -191,7 +191,7 @@
 }
 
 func (r *Receiver) serveMetrics(w http.ResponseWriter, _ *http.Request) {
-	if dump, err := r.ask(dumpQuestion{}); err == nil {
+	if dump, err := r.ask(dumpQuery{}); err == nil {
 		writeCounts(w, dump.(Dump))
 	}
 	r.deps.Metrics.WritePrometheus(w)
--- a/receiver/model_test.go
+++ b/receiver/model_test.go
@@ -26,15 +26,15 @@
 	os.Exit(m.Run())
 }
 
-// naive is the simplest dispatcher there is: one process that never fails and
+// referenceModel is the simplest dispatcher there is: one process that never fails and
 // remembers everything.
-type naive struct {
+type referenceModel struct {
 	// tasks holds the number of tasks of each key's first body.
 	tasks map[string]int
 }
 
 // submit returns the state that a submission has to end in.
-func (n *naive) submit(key string, tasks int) courier.State {
+func (n *referenceModel) submit(key string, tasks int) courier.State {
 	first, ok := n.tasks[key]
 	if !ok {
 		n.tasks[key] = tasks
@@ -46,42 +46,42 @@
 	return courier.Complete
 }
 
-// TestAnswersMatchTheNaiveVersion submits the same random jobs, with
+// TestAnswersMatchTheReferenceModel submits the same random jobs, with
 // resubmissions and other bodies under used keys, to the naive version and to
 // a world in which processes freeze and links go silent. A key is used again
 // only when its last answer is there: which of two bodies in flight comes
 // first is open, and TestKeysAreLinearisable judges that.
-func TestAnswersMatchTheNaiveVersion(t *testing.T) {
+func TestAnswersMatchTheReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), 3, 3, 3)
-		model := &naive{tasks: make(map[string]int)}
+		w := newSimulation(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), 3, 3, 3)
+		model := &referenceModel{tasks: make(map[string]int)}
 		var wanted []courier.State
 		last := make(map[string]*caller)
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
 			key := fmt.Sprintf("key-%d", rapid.IntRange(0, 3).Draw(t, "key"))
 			tasks := rapid.IntRange(1, 4).Draw(t, "tasks")
-			w.awaitAnswer(last[key])
+			w.runUntilAnswered(last[key])
 			_, used := model.tasks[key]
 			wanted = append(wanted, model.submit(key, tasks))
-			c := w.prepare(key, rapid.IntRange(0, 2).Draw(t, "entry"), tasks)
+			c := w.newCaller(key, rapid.IntRange(0, 2).Draw(t, "entry"), tasks)
 			if used {
 				c.sub.Attempt = 2
 			}
 			c.send()
 			last[key] = c
 			w.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
-			w.disturb(rapid.IntRange(0, 5).Draw(t, "fault"), rapid.IntRange(0, 2).Draw(t, "target"))
+			w.injectHarmlessFault(rapid.IntRange(0, 5).Draw(t, "fault"), rapid.IntRange(0, 2).Draw(t, "target"))
 		}
 		w.run(40 * time.Second)
-		require.Empty(t, w.breaches)
+		require.Empty(t, w.violations)
 		for i, c := range w.callers {
 			require.Equal(t, wanted[i], c.last().State, "step %d: %+v", i, c.last())
 		}
 	})
 }
 
-// awaitAnswer lets the world go on until a caller has its answer.
-func (w *world) awaitAnswer(c *caller) {
+// runUntilAnswered lets the world go on until a caller has its answer.
+func (w *simulation) runUntilAnswered(c *caller) {
 	for range 100 {
 		if c == nil || len(c.answers) > 0 {
 			return
@@ -90,9 +90,9 @@
 	}
 }
 
-// prepare returns a caller that has not sent its job yet. All jobs of a world
+// newCaller returns a caller that has not sent its job yet. All jobs of a world
 // have the same deadline, since a body includes it.
-func (w *world) prepare(key string, entry, tasks int) *caller {
+func (w *simulation) newCaller(key string, entry, tasks int) *caller {
 	c := &caller{world: w, entry: entry, sub: courier.Submission{
 		Team: "team", Key: key, Service: "quote", Attempt: 1, Detached: true,
 		Deadline: time.Date(2026, 1, 1, 0, 0, 55, 0, time.UTC),
@@ -104,8 +104,8 @@
 	return c
 }
 
-// disturb strikes one of the faults that lose nothing.
-func (w *world) disturb(fault, target int) {
+// injectHarmlessFault strikes one of the faults that lose nothing.
+func (w *simulation) injectHarmlessFault(fault, target int) {
 	e, a := w.entries[target].proc, w.agents[target].proc
 	switch fault {
 	case 0:
@@ -113,9 +113,9 @@
 	case 1:
 		w.pause(a, 3*time.Second)
 	case 2:
-		w.silence(e, a, true, true)
+		w.dropMessages(e, a, true, true)
 	case 3:
-		w.silence(w.entries[(target+1)%3].proc, e, true, false)
+		w.dropMessages(w.entries[(target+1)%3].proc, e, true, false)
 	}
 }
 
@@ -158,12 +158,12 @@
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, seed, 3, 3, 3)
+			w := newSimulation(t, seed, 3, 3, 3)
 			rng := rand.New(rand.NewPCG(seed, 3))
-			w.arm(strikeAt{steps[rng.IntN(len(steps))], 1 + rng.IntN(10), faults[rng.IntN(10)]})
+			w.injectAt(scheduledFault{faultSteps[rng.IntN(len(faultSteps))], 1 + rng.IntN(10), faults[rng.IntN(10)]})
 			called := raceBodies(w, rng)
 			w.run(50 * time.Second)
-			require.Empty(t, w.breaches)
+			require.Empty(t, w.violations)
 			var history []porcupine.Operation
 			for i, c := range w.callers {
 				if len(c.answers) == 0 {
@@ -183,10 +183,10 @@
 }
 
 // raceBodies submits two bodies under one key several times, and returns when.
-func raceBodies(w *world, rng *rand.Rand) []time.Time {
+func raceBodies(w *simulation, rng *rand.Rand) []time.Time {
 	var called []time.Time
 	for i := range 8 {
-		c := w.prepare("key", i, 1+rng.IntN(2)*4)
+		c := w.newCaller("key", i, 1+rng.IntN(2)*4)
 		if i > 0 {
 			c.sub.Attempt = 2
 		}
@@ -197,17 +197,17 @@
 	return called
 }
 
-// TestWorldsAreRepeatable runs the same faults twice: a failure that was seen
+// TestSimulationsAreRepeatable runs the same faults twice: a failure that was seen
 // once has to be seen again from its seed.
-func TestWorldsAreRepeatable(t *testing.T) {
+func TestSimulationsAreRepeatable(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		strikes := []strikeAt{
-			{steps[rng.IntN(len(steps))], 1 + rng.IntN(9), faults[rng.IntN(len(faults))]},
-			{steps[rng.IntN(len(steps))], 1 + rng.IntN(9), faults[rng.IntN(len(faults))]},
+		strikes := []scheduledFault{
+			{faultSteps[rng.IntN(len(faultSteps))], 1 + rng.IntN(9), faults[rng.IntN(len(faults))]},
+			{faultSteps[rng.IntN(len(faultSteps))], 1 + rng.IntN(9), faults[rng.IntN(len(faults))]},
 		}
 		history := func() string {
-			w := runMatrixWorld(t, seed, strikes...)
+			w := runFaultSimulation(t, seed, strikes...)
 			out := ""
 			for _, s := range w.startLog {
 				out += fmt.Sprintln(s.at, s.task, s.agent.id.Incarnation)
--- a/receiver/peer.go
+++ b/receiver/peer.go
@@ -13,7 +13,7 @@
 )
 
 // redialDelay is the pause before a link to another entry is opened again.
-const redialPause = 100 * time.Millisecond
+const redialDelay = 100 * time.Millisecond
 
 // peer is another entry, reached over a link that this entry opens.
 type peer struct {
@@ -55,9 +55,9 @@
 	return nil
 }
 
-// learn adds the link addresses of entries and drops those no longer known.
+// setEntries adds the link addresses of entries and drops those no longer known.
 // Those named in the settings stay.
-func (s *peerSet) learn(entries []courier.EntryInfo) {
+func (s *peerSet) setEntries(entries []courier.EntryInfo) {
 	known := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		known[e.Link] = true
@@ -76,7 +76,7 @@
 func (s *peerSet) add(target, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ctx == nil || target == s.receiver.info.Link || s.peers[target] != nil {
+	if s.ctx == nil || target == s.receiver.self.Link || s.peers[target] != nil {
 		return
 	}
 	ctx, stop := context.WithCancel(s.ctx)
@@ -85,8 +85,8 @@
 	go p.run(ctx)
 }
 
-// find returns a peer with an open link to the entry called id, or nil.
-func (s *peerSet) find(id string) *peer {
+// linkedPeer returns a peer with an open link to the entry called id, or nil.
+func (s *peerSet) linkedPeer(id string) *peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.peers {
@@ -110,21 +110,21 @@
 		link, err := courier.Dial(ctx, p.target, p)
 		if err == nil {
 			p.setLink(link)
-			p.beat(ctx, link)
+			p.sendHeartbeats(ctx, link)
 			link.Close()
 		}
 		select {
 		case <-ctx.Done():
-		case <-clock.After(redialPause):
+		case <-clock.After(redialDelay):
 		}
 	}
 }
 
-// beat sends heartbeats until the link or ctx ends.
-func (p *peer) beat(ctx context.Context, link *courier.Link) {
+// sendHeartbeats sends heartbeats until the link or ctx ends.
+func (p *peer) sendHeartbeats(ctx context.Context, link *courier.Link) {
 	clock := p.set.receiver.deps.Clock
 	for {
-		if answer, err := p.set.receiver.ask(helloQuestion{to: p.entry()}); err == nil {
+		if answer, err := p.set.receiver.ask(heartbeatQuery{to: p.entry()}); err == nil {
 			link.Send(answer.(courier.PeerHello))
 		}
 		select {
@@ -147,7 +147,7 @@
 func (p *peer) setLink(l *courier.Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l.Ended() {
+	if l.IsClosed() {
 		return
 	}
 	p.link = l
@@ -160,7 +160,7 @@
 		p.mu.Lock()
 		p.id = m.Entry.ID
 		p.mu.Unlock()
-		p.set.receiver.post(peerHeard{hello: *m})
+		p.set.receiver.post(peerHeartbeat{hello: *m})
 	case *courier.RelayReply:
 		p.mu.Lock()
 		answer := p.pending[m.ID]
@@ -185,9 +185,9 @@
 	}
 }
 
-// open numbers a request and sends it with send. It fails when there is no
+// sendRequest numbers a request and sends it with send. It fails when there is no
 // link, and then nothing has been sent.
-func (p *peer) open(send func(l *courier.Link, id uint64)) (uint64, chan courier.Answer, error) {
+func (p *peer) sendRequest(send func(l *courier.Link, id uint64)) (uint64, chan courier.Answer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link == nil {
@@ -200,9 +200,9 @@
 	return p.lastID, answer, nil
 }
 
-// await waits for the answer. When ctx ends first, the owner is told that the
+// awaitAnswer waits for the answer. When ctx ends first, the owner is told that the
 // caller has left.
-func (p *peer) await(ctx context.Context, id uint64, answer chan courier.Answer) (courier.Answer, error) {
+func (p *peer) awaitAnswer(ctx context.Context, id uint64, answer chan courier.Answer) (courier.Answer, error) {
 	select {
 	case a, ok := <-answer:
 		if !ok {
--- a/receiver/peer_test.go
+++ b/receiver/peer_test.go
@@ -21,9 +21,9 @@
 	defer cancel()
 	s.ctx = ctx
 	s.add(named, "")
-	s.learn([]courier.EntryInfo{{ID: "entry-2", Link: learned}})
+	s.setEntries([]courier.EntryInfo{{ID: "entry-2", Link: learned}})
 	require.Len(t, s.peers, 2)
-	s.learn(nil)
+	s.setEntries(nil)
 	require.Len(t, s.peers, 1)
 	require.Contains(t, s.peers, named)
 }
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -26,11 +26,11 @@
 const (
 	// TickInterval is the time between two looks at what has come due.
 	TickInterval = 20 * time.Millisecond
-	// LeaveDelay is how long a stopping entry still takes connections, so
+	// StopAcceptDelay is how long a stopping entry still takes connections, so
 	// that the balancer can turn away from it.
-	LeaveDelay = time.Second
-	// DrainLimit bounds the wait of a planned stop.
-	DrainLimit = 65 * time.Second
+	StopAcceptDelay = time.Second
+	// DrainTimeout bounds the wait of a planned stop.
+	DrainTimeout = 65 * time.Second
 	// mailboxSize bounds the messages that wait for the actor.
 	mailboxSize = 16384
 	// askTimeout bounds the wait for the actor's answer to a question.
@@ -71,7 +71,7 @@
 	store    Store
 	listener net.Listener
 	links    net.Listener
-	info     courier.EntryInfo
+	self     courier.EntryInfo
 	system   *actor.ActorSystem
 	pid      *actor.PID
 	peers    *peerSet
@@ -96,7 +96,7 @@
 		store:    store,
 		listener: listener,
 		links:    links,
-		info:     courier.EntryInfo{ID: cfg.ID, Link: links.Addr().String()},
+		self:     courier.EntryInfo{ID: cfg.ID, Link: links.Addr().String()},
 	}
 	r.system = announcer.NewActorSystem(r.deps)
 	r.peers = newPeerSet(r)
@@ -107,7 +107,7 @@
 // every request in flight has its answer.
 func (r *Receiver) Run(ctx context.Context) error {
 	props := actor.PropsFromProducer(
-		func() actor.Actor { return newCore(r.deps, r.cfg, r.info, r.peers.learn) },
+		func() actor.Actor { return newCore(r.deps, r.cfg, r.self, r.peers.setEntries) },
 		actor.WithMailbox(actor.Bounded(mailboxSize)),
 	)
 	r.pid = r.system.Root.Spawn(props)
@@ -116,7 +116,7 @@
 	defer cancel()
 	front := announcer.NewGracefulServer(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
 
-	f := &follower{receiver: r}
+	f := &storePoller{receiver: r}
 
 	var g run.Group
 	g.Add(func() error { return r.drainAfter(ctx, inner, front, f) }, func(error) { cancel() })
@@ -124,8 +124,8 @@
 	g.Add(func() error { return r.acceptLinks(inner) }, func(error) { _ = r.links.Close() })
 	g.Add(func() error { return r.tick(inner) }, func(error) { cancel() })
 	g.Add(func() error { return r.peers.run(inner) }, func(error) { cancel() })
-	g.Add(func() error { return f.followBundle(inner) }, func(error) { cancel() })
-	g.Add(func() error { return f.register(inner) }, func(error) { cancel() })
+	g.Add(func() error { return f.pollBundle(inner) }, func(error) { cancel() })
+	g.Add(func() error { return f.pollRegistrations(inner) }, func(error) { cancel() })
 	r.deps.Log.WithField("listen", r.listener.Addr().String()).Info("entry started")
 	err := g.Run()
 	r.deps.Log.Info("entry stopped")
@@ -136,26 +136,26 @@
 func (r *Receiver) Addr() string { return r.listener.Addr().String() }
 
 // LinkAddr returns where agents and other entries reach the entry.
-func (r *Receiver) LinkAddr() string { return r.info.Link }
+func (r *Receiver) LinkAddr() string { return r.self.Link }
 
 // drainOnShutdown waits for the planned stop, gives the partitions to the other
 // entries and waits until every request has been answered.
-func (r *Receiver) drainAfter(ctx, inner context.Context, front *announcer.GracefulServer, f *follower) error {
+func (r *Receiver) drainAfter(ctx, inner context.Context, front *announcer.GracefulServer, f *storePoller) error {
 	select {
 	case <-ctx.Done():
 	case <-inner.Done():
 		return nil
 	}
 	r.deps.Log.Info("entry draining")
-	r.post(leaving{})
-	r.deps.Clock.Sleep(LeaveDelay)
-	limit, cancel := context.WithTimeout(inner, DrainLimit)
+	r.post(drain{})
+	r.deps.Clock.Sleep(StopAcceptDelay)
+	limit, cancel := context.WithTimeout(inner, DrainTimeout)
 	defer cancel()
 	if left := front.Drain(limit); left > 0 {
 		r.deps.Log.WithField("in_flight", left).Warn("requests cut off by the drain limit")
 	}
 	r.awaitIdle(limit)
-	if err := f.write(limit, true); err != nil {
+	if err := f.writeRegistration(limit, true); err != nil {
 		r.deps.Log.WithError(err).Warn("departure not registered")
 	}
 	return nil
@@ -164,7 +164,7 @@
 // awaitIdle waits until no job is unfinished here, or ctx ends.
 func (r *Receiver) awaitIdle(ctx context.Context) {
 	for ctx.Err() == nil {
-		answer, err := r.ask(idleQuestion{})
+		answer, err := r.ask(idleQuery{})
 		if idle, ok := answer.(bool); err == nil && ok && idle {
 			return
 		}
--- a/receiver/relay.go
+++ b/receiver/relay.go
@@ -10,22 +10,22 @@
 	id   uint64
 }
 
-func (c *core) relayed(l link, m courier.Relay) {
+func (c *core) handleRelay(l link, m courier.Relay) {
 	key := relayKey{link: l, id: m.ID}
 	w := c.newWaiter(func(a courier.Answer) {
 		delete(c.relays, key)
 		l.Send(courier.RelayReply{ID: m.ID, Answer: a})
 	})
 	c.relays[key] = w
-	c.owner.Submit(newRequest(m.Submission, m.Resent, w))
+	c.dispatcher.Submit(newRequest(m.Submission, m.Resent, w))
 }
 
-func (c *core) relayLeft(key relayKey) {
+func (c *core) handleRelayLeave(key relayKey) {
 	w, ok := c.relays[key]
 	if !ok {
 		return
 	}
 	delete(c.relays, key)
-	delete(c.answers, w)
-	c.owner.Leave(w)
+	delete(c.answerFuncs, w)
+	c.dispatcher.CallerLeft(w)
 }
--- a/receiver/route.go
+++ b/receiver/route.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// routePause is the pause before a request is routed again.
-	routePause = 20 * time.Millisecond
-	// answerGrace is how long past the deadline the owner's answer is awaited.
-	answerGrace = 250 * time.Millisecond
+	// routeRetryDelay is the pause before a request is routed again.
+	routeRetryDelay = 20 * time.Millisecond
+	// ownerAnswerGrace is how long past the deadline the owner's answer is awaited.
+	ownerAnswerGrace = 250 * time.Millisecond
 )
 
 // newRequest returns s as a request to its owner.
@@ -36,7 +36,7 @@
 // route brings s to its owner, wherever that moves, and returns the final
 // answer. It gives up a little after the deadline, or when ctx ends.
 func (r *Receiver) route(ctx context.Context, s courier.Submission) courier.Answer {
-	limit, cancel := context.WithDeadline(ctx, s.Deadline.Add(answerGrace))
+	limit, cancel := context.WithDeadline(ctx, s.Deadline.Add(ownerAnswerGrace))
 	defer cancel()
 	admitted := false
 	for {
@@ -47,10 +47,10 @@
 		admitted = admitted || a.Admitted || (sent && err != nil)
 		select {
 		case <-limit.Done():
-			a := unanswered(r.cfg.ID, s, admitted)
+			a := noOwnerAnswer(r.cfg.ID, s, admitted)
 			a.BundleVersion = r.deps.BundleVersion.Load()
 			return a
-		case <-r.deps.Clock.After(routePause):
+		case <-r.deps.Clock.After(routeRetryDelay):
 		}
 	}
 }
@@ -62,17 +62,17 @@
 	if err != nil || a.State != courier.Moved || a.Admitted {
 		return a, true, err
 	}
-	p := r.peers.find(a.Owner)
+	p := r.peers.linkedPeer(a.Owner)
 	if p == nil {
 		return a, false, nil
 	}
-	id, answer, err := p.open(func(l *courier.Link, id uint64) {
+	id, answer, err := p.sendRequest(func(l *courier.Link, id uint64) {
 		l.Send(courier.Relay{ID: id, Submission: s, Resent: resent})
 	})
 	if err != nil {
 		return courier.Answer{}, false, err
 	}
-	a, err = p.await(ctx, id, answer)
+	a, err = p.awaitAnswer(ctx, id, answer)
 	return a, true, err
 }
 
@@ -80,7 +80,7 @@
 func (r *Receiver) submitHere(ctx context.Context, s courier.Submission, resent bool) (courier.Answer, error) {
 	answer := make(chan courier.Answer, 1)
 	opened := make(chan dispatcher.Waiter, 1)
-	r.post(submit{
+	r.post(submitRequest{
 		request: newRequest(s, resent, 0),
 		answer:  func(a courier.Answer) { answer <- a },
 		opened:  func(w dispatcher.Waiter) { opened <- w },
@@ -89,14 +89,14 @@
 	case a := <-answer:
 		return a, nil
 	case <-ctx.Done():
-		go func() { r.post(leave{waiter: <-opened}) }()
+		go func() { r.post(callerLeft{waiter: <-opened}) }()
 		return courier.Answer{}, ctx.Err()
 	}
 }
 
-// unanswered is the answer when no owner gave one in time.
-func unanswered(entry string, s courier.Submission, admitted bool) courier.Answer {
-	a := courier.Answer{Job: s.Job(), Entry: entry, Reason: courier.ReasonDeadline}
+// noOwnerAnswer is the answer when no owner gave one in time.
+func noOwnerAnswer(entry string, s courier.Submission, admitted bool) courier.Answer {
+	a := courier.Answer{Job: s.JobID(), Entry: entry, Reason: courier.ReasonDeadline}
 	if s.Attempt == 1 && !admitted {
 		a.State = courier.NotRun
 		a.Detail = "no owner could be reached before the deadline"
@@ -121,27 +121,27 @@
 		select {
 		case <-ctx.Done():
 			return a, ctx.Err()
-		case <-r.deps.Clock.After(routePause):
+		case <-r.deps.Clock.After(routeRetryDelay):
 		}
 	}
 }
 
 func (r *Receiver) queryOnce(ctx context.Context, job string, cancel bool) (courier.Answer, error) {
 	answer := make(chan courier.Answer, 1)
-	r.post(query{job: job, cancel: cancel, answer: answer})
+	r.post(jobQuery{job: job, cancel: cancel, answer: answer})
 	a := <-answer
 	if a.State != courier.Moved {
 		return a, nil
 	}
-	p := r.peers.find(a.Owner)
+	p := r.peers.linkedPeer(a.Owner)
 	if p == nil {
 		return a, nil
 	}
-	id, relayed, err := p.open(func(l *courier.Link, id uint64) {
+	id, relayed, err := p.sendRequest(func(l *courier.Link, id uint64) {
 		l.Send(courier.RelayQuery{ID: id, Job: job, Cancel: cancel})
 	})
 	if err != nil {
 		return a, err
 	}
-	return p.await(ctx, id, relayed)
+	return p.awaitAnswer(ctx, id, relayed)
 }
--- a/receiver/simagent_test.go
+++ b/receiver/simagent_test.go
@@ -14,12 +14,12 @@
 // simAgent is an agent: a real ledger, with wires in place of links and a
 // simulated upstream.
 type simAgent struct {
-	world  *world
+	world  *simulation
 	proc   *process
 	ledger *starter.Ledger
 	id     starter.Identity
 	slots  int
-	links  map[*wireEnd]*simLink
+	links  map[*simConnEnd]*simLink
 	byName map[string]*simLink
 	number uint64
 	// upstreamDead makes running tasks lost; failAll makes every task fail.
@@ -32,24 +32,24 @@
 // simLink is an agent's wire to an entry.
 type simLink struct {
 	target *simEntry
-	end    *wireEnd
+	end    *simConnEnd
 	number uint64
 	entry  string
 }
 
-func (w *world) addAgent(name string, generation int, dataCentre string, slots int) *simAgent {
+func (w *simulation) addAgent(name string, generation int, dataCentre string, slots int) *simAgent {
 	id := starter.Identity{
 		Agent: name, Incarnation: fmt.Sprintf("%s-%d", name, generation), DataCentre: dataCentre, Rack: "rack-1",
 	}
 	a := &simAgent{
 		world: w, proc: &process{name: name}, id: id, slots: slots,
 		ledger: starter.NewLedger(w.clock, id),
-		links:  make(map[*wireEnd]*simLink),
+		links:  make(map[*simConnEnd]*simLink),
 		byName: make(map[string]*simLink),
 	}
 	a.ledger.SetUpstream(starter.Upstream{Address: "upstream", Slots: slots, Services: []string{"quote"}})
 	w.agents = append(w.agents, a)
-	w.every(a.proc, TickInterval, func() { a.ledger.Tick(); a.drain() })
+	w.every(a.proc, TickInterval, func() { a.ledger.Tick(); a.applyEffects() })
 	w.every(a.proc, 100*time.Millisecond, a.dialEntries)
 	w.every(a.proc, 500*time.Millisecond, a.announceAll)
 	return a
@@ -73,8 +73,8 @@
 		a.number++
 		l := &simLink{target: e, end: near, number: a.number}
 		a.links[near] = l
-		near.receive = func(msg any) { a.receive(l, msg); a.drain() }
-		near.onClose = func() { a.closed(l); a.drain() }
+		near.receive = func(msg any) { a.receive(l, msg); a.applyEffects() }
+		near.onClose = func() { a.closed(l); a.applyEffects() }
 		e.accept(far)
 		a.announce(l)
 	}
@@ -121,11 +121,11 @@
 			l.entry = r.Entry.ID
 			a.byName[l.entry] = l
 			a.ledger.LinkUp(l.entry, l.number)
-			a.ledger.Confirm(*r)
+			a.ledger.HandleAnnounceReply(*r)
 			a.announceAll()
 			return
 		}
-		a.ledger.Confirm(*r)
+		a.ledger.HandleAnnounceReply(*r)
 		return
 	}
 	if a.byName[l.entry] != l {
@@ -139,9 +139,9 @@
 	case *courier.Start:
 		a.ledger.Start(l.entry, *m)
 	case *courier.Acked:
-		a.ledger.Acked(*m)
+		a.ledger.Acknowledge(*m)
 	case *courier.Demand:
-		a.ledger.Demand(l.entry, *m)
+		a.ledger.SetDemand(l.entry, *m)
 	case *courier.Decline:
 		a.ledger.Decline(l.entry, *m)
 	case *courier.Stop:
@@ -149,8 +149,8 @@
 	}
 }
 
-func (a *simAgent) drain() {
-	for _, e := range a.ledger.Drain() {
+func (a *simAgent) applyEffects() {
+	for _, e := range a.ledger.TakeEffects() {
 		switch e := e.(type) {
 		case starter.Send:
 			if l := a.byName[e.To]; l != nil {
@@ -168,10 +168,10 @@
 	w.starts[t.Task]++
 	w.startLog = append(w.startLog, startEvent{at: w.clock.Now(), task: t.Task, agent: a})
 	if w.starts[t.Task] > 1 {
-		w.breach("%v: started twice, again on %s", t.Task, a.id.Incarnation)
+		w.violation("%v: started twice, again on %s", t.Task, a.id.Incarnation)
 	}
 	a.checkStart(t)
-	w.reach("run", a.proc, a.proc)
+	w.onStep("run", a.proc, a.proc)
 	var p struct{ Millis int }
 	_ = json.Unmarshal(t.Payload, &p)
 	rec := courier.Record{Task: t.Task, Digest: t.Digest, Outcome: courier.Succeeded, Result: json.RawMessage(resultOf(t.Task))}
@@ -184,7 +184,7 @@
 			rec.Outcome = courier.Lost
 			rec.Result = nil
 		}
-		a.proc.exec(func() { a.ledger.Finish(rec); a.drain() })
+		a.proc.exec(func() { a.ledger.Finish(rec); a.applyEffects() })
 	})
 }
 
@@ -197,7 +197,7 @@
 	w := a.world
 	now := w.clock.Now()
 	if !a.leftAt.IsZero() && now.Sub(a.leftAt) > limit {
-		w.breach("%v: started on %s after it left", t.Task, a.id.Agent)
+		w.violation("%v: started on %s after it left", t.Task, a.id.Agent)
 	}
 	at, ok := w.store.acceptedAt[w.store.bundle.Version]
 	if !ok || now.Sub(at) <= limit {
@@ -205,19 +205,19 @@
 	}
 	for _, d := range w.store.bundle.DataCentres {
 		if d.Name == a.id.DataCentre && d.State == approver.Out {
-			w.breach("%v: started in %s, which was taken out", t.Task, d.Name)
+			w.violation("%v: started in %s, which was taken out", t.Task, d.Name)
 		}
 	}
 }
 
-// leave makes the upstream announce its departure.
-func (a *simAgent) leave() {
+// announceLeaving makes the upstream announce its departure.
+func (a *simAgent) announceLeaving() {
 	a.leftAt = a.world.clock.Now()
 	a.ledger.SetUpstream(starter.Upstream{Slots: a.slots, Services: []string{"quote"}, Leaving: true})
 }
 
-// stay makes the upstream announce that it stays.
-func (a *simAgent) stay() {
+// announceStaying makes the upstream announce that it stays.
+func (a *simAgent) announceStaying() {
 	a.leftAt = time.Time{}
 	a.ledger.SetUpstream(starter.Upstream{Slots: a.slots, Services: []string{"quote"}})
 }
--- a/receiver/simentry_test.go
+++ b/receiver/simentry_test.go
@@ -16,29 +16,29 @@
 // simStore is the platform's store. A down store answers nobody; a cut one
 // does not answer some processes.
 type simStore struct {
-	world  *world
-	bundle approver.Bundle
-	signed approver.Signed
-	voters confirmer.Voters
-	list   map[string]Registration
-	down   bool
-	cut    map[string]bool
+	world           *simulation
+	bundle          approver.Bundle
+	signed          approver.Signed
+	voters          confirmer.Voters
+	list            map[string]Registration
+	down            bool
+	unreachableFrom map[string]bool
 	// acceptedAt is when each version was accepted.
 	acceptedAt map[uint64]time.Time
 }
 
-func newSimStore(w *world) *simStore {
+func newSimStore(w *simulation) *simStore {
 	s := &simStore{
-		world:      w,
-		list:       make(map[string]Registration),
-		cut:        make(map[string]bool),
-		acceptedAt: make(map[uint64]time.Time),
+		world:           w,
+		list:            make(map[string]Registration),
+		unreachableFrom: make(map[string]bool),
+		acceptedAt:      make(map[uint64]time.Time),
 	}
-	s.write(simBundle())
+	s.writeBundle(simBundle())
 	return s
 }
 
-func (s *simStore) reachable(p *process) bool { return !s.down && !s.cut[p.name] }
+func (s *simStore) reachable(p *process) bool { return !s.down && !s.unreachableFrom[p.name] }
 
 func (s *simStore) registrations() []Registration {
 	var out []Registration
@@ -52,35 +52,35 @@
 func (s *simStore) noteAccepted() {
 	v := s.bundle.Version
 	now := s.world.clock.Now()
-	if _, ok := s.acceptedAt[v]; !ok && Accepted(v, s.voters, s.registrations(), now) {
+	if _, ok := s.acceptedAt[v]; !ok && BundleAccepted(v, s.voters, s.registrations(), now) {
 		s.acceptedAt[v] = now
 	}
 }
 
 // simEntry is an entry: a real core, with wires in place of links.
 type simEntry struct {
-	world *world
-	proc  *process
-	core  *core
-	peers map[string]*simPeer
-	first bool
+	world           *simulation
+	proc            *process
+	core            *core
+	peers           map[string]*simPeer
+	beforeFirstRead bool
 }
 
 // simPeer is the wire that an entry keeps to another.
 type simPeer struct {
 	target  *simEntry
-	end     *wireEnd
+	end     *simConnEnd
 	id      string
 	pending map[uint64]func(courier.Answer, bool)
 	lastID  uint64
 }
 
-func (w *world) addEntry(id string) *simEntry {
+func (w *simulation) addEntry(id string) *simEntry {
 	e := &simEntry{
-		world: w,
-		proc:  &process{name: id},
-		peers: make(map[string]*simPeer),
-		first: true,
+		world:           w,
+		proc:            &process{name: id},
+		peers:           make(map[string]*simPeer),
+		beforeFirstRead: true,
 	}
 	_, trust := newSimKey()
 	cfg := Config{ID: id, DataCentre: "wien", Seed: uint64(len(w.entries)), Trust: trust}
@@ -88,9 +88,9 @@
 	w.entries = append(w.entries, e)
 	w.every(e.proc, TickInterval, func() { e.core.handle(tick{}) })
 	w.every(e.proc, 100*time.Millisecond, e.dialPeers)
-	w.every(e.proc, 500*time.Millisecond, e.beat)
-	w.every(e.proc, followInterval, e.follow)
-	w.every(e.proc, registerInterval, e.register)
+	w.every(e.proc, 500*time.Millisecond, e.sendHeartbeats)
+	w.every(e.proc, bundlePollInterval, e.pollBundle)
+	w.every(e.proc, registerInterval, e.pollRegistrations)
 	return e
 }
 
@@ -141,11 +141,11 @@
 		}
 	}
 	p.target.accept(far)
-	near.Send(e.core.hello(p.id))
+	near.Send(e.core.peerHello(p.id))
 }
 
 // accept serves the far end of a wire.
-func (e *simEntry) accept(end *wireEnd) {
+func (e *simEntry) accept(end *simConnEnd) {
 	end.receive = func(msg any) { e.core.handle(linkMessage{link: end, msg: msg}) }
 	end.onClose = func() { e.core.handle(linkClosed{link: end}) }
 }
@@ -154,7 +154,7 @@
 	switch m := msg.(type) {
 	case *courier.PeerHello:
 		p.id = m.Entry.ID
-		e.core.handle(peerHeard{hello: *m})
+		e.core.handle(peerHeartbeat{hello: *m})
 	case *courier.RelayReply:
 		if f := p.pending[m.ID]; f != nil {
 			delete(p.pending, m.ID)
@@ -163,36 +163,36 @@
 	}
 }
 
-func (e *simEntry) beat() {
+func (e *simEntry) sendHeartbeats() {
 	for _, p := range e.sortedPeers() {
 		if p.end != nil {
-			p.end.Send(e.core.hello(p.id))
+			p.end.Send(e.core.peerHello(p.id))
 		}
 	}
 }
 
-func (e *simEntry) follow() {
+func (e *simEntry) pollBundle() {
 	s := e.world.store
 	if !s.reachable(e.proc) {
 		return
 	}
 	e.core.handle(bundleRead{signed: s.signed, bundle: s.bundle, voters: s.voters, at: e.world.clock.Now()})
-	if !e.first {
+	if !e.beforeFirstRead {
 		s.list[e.proc.name] = e.core.registration()
 		s.noteAccepted()
 	}
 }
 
-func (e *simEntry) register() {
+func (e *simEntry) pollRegistrations() {
 	s := e.world.store
 	if !s.reachable(e.proc) {
 		return
 	}
 	now := e.world.clock.Now()
-	msg := entriesRead{first: e.first && noneRan(s.registrations(), now)}
-	e.first = false
+	msg := entriesRead{noEarlierEntries: e.beforeFirstRead && noRecentRun(s.registrations(), now)}
+	e.beforeFirstRead = false
 	for _, other := range e.world.entries {
-		if reg, ok := s.list[other.proc.name]; ok && reg.Recent(now, removeAfter) {
+		if reg, ok := s.list[other.proc.name]; ok && reg.WroteWithin(now, registrationTTL) {
 			msg.entries = append(msg.entries, reg.Entry)
 		}
 	}
@@ -215,7 +215,7 @@
 	var again func()
 	later := func(a courier.Answer, sent bool) {
 		admitted = admitted || a.Admitted || sent
-		e.world.after(routePause, func() { e.proc.exec(again) })
+		e.world.after(routeRetryDelay, func() { e.proc.exec(again) })
 	}
 	again = func() {
 		if over {
@@ -223,14 +223,14 @@
 		}
 		e.routeOnce(s, admitted, finish, later)
 	}
-	e.world.after(s.Deadline.Add(answerGrace).Sub(e.world.clock.Now()), func() {
-		e.proc.exec(func() { finish(unanswered(e.proc.name, s, admitted)) })
+	e.world.after(s.Deadline.Add(ownerAnswerGrace).Sub(e.world.clock.Now()), func() {
+		e.proc.exec(func() { finish(noOwnerAnswer(e.proc.name, s, admitted)) })
 	})
 	again()
 }
 
 func (e *simEntry) routeOnce(s courier.Submission, resent bool, finish func(courier.Answer), later func(courier.Answer, bool)) {
-	e.core.handle(submit{
+	e.core.handle(submitRequest{
 		request: newRequest(s, resent, 0),
 		opened:  func(dispatcher.Waiter) {},
 		answer: func(a courier.Answer) {
@@ -267,7 +267,7 @@
 
 // caller is a client that submits one job, and again when it breaks.
 type caller struct {
-	world *world
+	world *simulation
 	sub   courier.Submission
 	// answers holds every answer to this caller, in order.
 	answers []callerAnswer
@@ -283,7 +283,7 @@
 }
 
 // submit sends a job of n tasks through an entry.
-func (w *world) submit(key string, entry, n, millis int, deadline time.Duration) *caller {
+func (w *simulation) submit(key string, entry, n, millis int, deadline time.Duration) *caller {
 	c := &caller{world: w, entry: entry, sub: courier.Submission{
 		Team: "team", Key: key, Service: "quote", Attempt: 1,
 		Deadline: w.clock.Now().Add(deadline), Detached: true,
@@ -311,7 +311,7 @@
 	c.open = true
 	attempt := c.sub
 	e.proc.exec(func() {
-		w.reach("accept", e.proc, e.proc)
+		w.onStep("accept", e.proc, e.proc)
 		e.route(attempt, func(a courier.Answer) {
 			if e.proc.dead {
 				return
@@ -320,11 +320,11 @@
 			c.answers = append(c.answers, callerAnswer{Answer: a, attempt: attempt.Attempt, at: w.clock.Now()})
 		})
 	})
-	c.watch(e, attempt.Attempt)
+	c.resubmitOnCrash(e, attempt.Attempt)
 }
 
-// watch sends again when the entry dies before it answers.
-func (c *caller) watch(e *simEntry, attempt int) {
+// resubmitOnCrash sends again when the entry dies before it answers.
+func (c *caller) resubmitOnCrash(e *simEntry, attempt int) {
 	c.world.after(100*time.Millisecond, func() {
 		if !c.open || c.sub.Attempt != attempt {
 			return
@@ -333,7 +333,7 @@
 			c.resubmit()
 			return
 		}
-		c.watch(e, attempt)
+		c.resubmitOnCrash(e, attempt)
 	})
 }
 
@@ -346,7 +346,7 @@
 }
 
 func (c *caller) last() courier.Answer {
-	require.NotEmpty(c.world.t, c.answers, "%s has no answer", c.sub.Job())
+	require.NotEmpty(c.world.t, c.answers, "%s has no answer", c.sub.JobID())
 	return c.answers[len(c.answers)-1].Answer
 }
 
@@ -354,17 +354,17 @@
 func (c *caller) check() {
 	w := c.world
 	if len(c.answers) == 0 {
-		w.breach("%s: no answer", c.sub.Job())
+		w.violation("%s: no answer", c.sub.JobID())
 		return
 	}
 	seen := make(map[int]bool)
 	for _, a := range c.answers {
-		limit := c.sub.Deadline.Add(answerGrace + longestPause)
+		limit := c.sub.Deadline.Add(ownerAnswerGrace + longestPause)
 		if a.at.After(limit) {
-			w.breach("%s: answered after the deadline", c.sub.Job())
+			w.violation("%s: answered after the deadline", c.sub.JobID())
 		}
 		if seen[a.attempt] {
-			w.breach("%s: attempt %d answered twice", c.sub.Job(), a.attempt)
+			w.violation("%s: attempt %d answered twice", c.sub.JobID(), a.attempt)
 		}
 		seen[a.attempt] = true
 		c.checkAnswer(a)
@@ -376,31 +376,31 @@
 	switch a.State {
 	case courier.Complete:
 		for i := range c.sub.Tasks {
-			id := courier.TaskID{Job: c.sub.Job(), Index: i}
+			id := courier.TaskID{Job: c.sub.JobID(), Index: i}
 			if i >= len(a.Results) || string(a.Results[i]) != resultOf(id) {
-				w.breach("%v: wrong result", id)
+				w.violation("%v: wrong result", id)
 				return
 			}
 		}
 	case courier.NotRun:
-		if a.attempt == c.sub.Attempt && w.startsOf(c.sub.Job()) > 0 {
-			w.breach("%s: attempt %d answered NotRun (%s) and ran", c.sub.Job(), a.attempt, a.Reason)
+		if a.attempt == c.sub.Attempt && w.startsOf(c.sub.JobID()) > 0 {
+			w.violation("%s: attempt %d answered NotRun (%s) and ran", c.sub.JobID(), a.attempt, a.Reason)
 		}
 	case courier.Failed:
 		for id := range w.starts {
-			if id.Job == c.sub.Job() && a.attempt == c.sub.Attempt && !slices.Contains(a.MayHaveRun, id.Index) {
-				w.breach("%v: started and not named in the failed answer %s", id, a.Reason)
+			if id.Job == c.sub.JobID() && a.attempt == c.sub.Attempt && !slices.Contains(a.MayHaveRun, id.Index) {
+				w.violation("%v: started and not named in the failed answer %s", id, a.Reason)
 			}
 		}
 		if len(a.Results) > 0 {
-			w.breach("%s: a failed answer with results", c.sub.Job())
+			w.violation("%s: a failed answer with results", c.sub.JobID())
 		}
 	default:
-		w.breach("%s: answer %s", c.sub.Job(), a.State)
+		w.violation("%s: answer %s", c.sub.JobID(), a.State)
 	}
 }
 
-func (w *world) startsOf(job string) int {
+func (w *simulation) startsOf(job string) int {
 	n := 0
 	for id, k := range w.starts {
 		if id.Job == job {
