--- a/receiver/world_test.go
+++ b/receiver/simulation_test.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// wireDelay is the time that a message travels.
-	wireDelay = time.Millisecond
+	// messageDelay is the time that a message travels.
+	messageDelay = time.Millisecond
 	// longestPause is the longest time that a test pauses a process.
 	longestPause = 9 * time.Second
-	// silenceCheck is the time between two looks for silent wires.
-	silenceCheck = 100 * time.Millisecond
+	// idleCheckInterval is the time between two looks for silent wires.
+	idleCheckInterval = 100 * time.Millisecond
 )
 
 // tester is what a world needs of a test; rapid's tests have it too.
@@ -32,10 +32,10 @@
 	Helper()
 }
 
-// world is a deployment of real cores and ledgers on fake wires, with a fake
+// simulation is a deployment of real cores and ledgers on fake wires, with a fake
 // clock. It runs one event at a time in a repeatable order, and notes every
 // breach of a promise.
-type world struct {
+type simulation struct {
 	t        tester
 	clock    *clockwork.FakeClock
 	rng      *rand.Rand
@@ -45,19 +45,19 @@
 
 	entries []*simEntry
 	agents  []*simAgent
-	wires   []*wire
+	conns   []*simConn
 	store   *simStore
 	// blocked holds the pairs of processes between which nothing gets
 	// through and no wire can be opened, in this direction.
 	blocked map[[2]string]bool
-	// reach is called with every step of a request: the type of a message
+	// onStep is called with every step of a request: the type of a message
 	// sent, or "accept" or "run".
-	reach func(step string, from, to *process)
+	onStep func(step string, from, to *process)
 
-	starts   map[courier.TaskID]int
-	startLog []startEvent
-	callers  []*caller
-	breaches []string
+	starts     map[courier.TaskID]int
+	startLog   []startEvent
+	callers    []*caller
+	violations []string
 }
 
 // startEvent is one start of a task on an upstream.
@@ -67,16 +67,16 @@
 	agent *simAgent
 }
 
-func newWorld(t tester, seed uint64, entries, agents, slots int) *world {
+func newSimulation(t tester, seed uint64, entries, agents, slots int) *simulation {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	deps := provider.NewDeps(io.Discard).WithClock(clock)
-	w := &world{
+	w := &simulation{
 		t:       t,
 		clock:   clock,
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		deps:    deps,
 		blocked: make(map[[2]string]bool),
-		reach:   func(string, *process, *process) {},
+		onStep:  func(string, *process, *process) {},
 		starts:  make(map[courier.TaskID]int),
 	}
 	w.store = newSimStore(w)
@@ -86,7 +86,7 @@
 	for i := range agents {
 		w.addAgent(fmt.Sprintf("agent-%d", i+1), 0, []string{"wien", "graz", "linz"}[i%3], slots)
 	}
-	w.every(&process{name: "wires"}, silenceCheck, w.closeSilent)
+	w.every(&process{name: "wires"}, idleCheckInterval, w.closeIdle)
 	w.run(3 * time.Second)
 	return w
 }
@@ -108,9 +108,9 @@
 	}
 }
 
-func (w *world) breach(format string, args ...any) {
+func (w *simulation) violation(format string, args ...any) {
 	at := w.clock.Since(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.breaches = append(w.breaches, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
 // event is something that happens at a time.
@@ -138,13 +138,13 @@
 	return e
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) after(d time.Duration, run func()) {
 	w.sequence++
 	heap.Push(&w.events, event{at: w.clock.Now().Add(d), sequence: w.sequence, run: run})
 }
 
 // run lets the world go on for a span of time.
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	end := w.clock.Now().Add(d)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
 		e := heap.Pop(&w.events).(event)
@@ -172,12 +172,12 @@
 	}
 }
 
-func (w *world) pause(p *process, d time.Duration) {
+func (w *simulation) pause(p *process, d time.Duration) {
 	p.paused = true
-	w.after(d, func() { w.wake(p) })
+	w.after(d, func() { w.resume(p) })
 }
 
-func (w *world) wake(p *process) {
+func (w *simulation) resume(p *process) {
 	p.paused = false
 	inbox := p.inbox
 	p.inbox = nil
@@ -188,7 +188,7 @@
 
 // every runs f in p again and again. Runs that a pause held up are not made
 // up for.
-func (w *world) every(p *process, d time.Duration, f func()) {
+func (w *simulation) every(p *process, d time.Duration, f func()) {
 	var next func()
 	next = func() {
 		if p.dead {
@@ -202,80 +202,82 @@
 	w.after(time.Duration(w.rng.Int64N(int64(d))), next)
 }
 
-func (w *world) kill(p *process) {
+func (w *simulation) kill(p *process) {
 	p.dead = true
 	p.inbox = nil
-	for _, x := range w.wires {
-		for _, e := range []*wireEnd{x.a, x.b} {
+	for _, x := range w.conns {
+		for _, e := range []*simConnEnd{x.a, x.b} {
 			if e.owner == p && !e.closed {
 				e.closed = true
-				w.hangUp(e)
+				w.closeFar(e)
 			}
 		}
 	}
 }
 
-// wire is a connection between two processes.
-type wire struct {
-	a, b *wireEnd
+// simConn is a connection between two processes.
+type simConn struct {
+	a, b *simConnEnd
 }
 
-// wireEnd is one end of a wire. It implements the link of a core.
-type wireEnd struct {
-	world    *world
-	owner    *process
-	far      *wireEnd
-	closed   bool
-	heard    time.Time
-	lastSent time.Time
-	// silent drops everything that this end sends.
-	silent bool
-	// late delays everything that this end sends.
-	late time.Duration
-	// double delivers everything that this end sends twice.
-	double  bool
-	receive func(msg any)
-	onClose func()
+// simConnEnd is one end of a wire. It implements the link of a core.
+type simConnEnd struct {
+	world          *simulation
+	owner          *process
+	far            *simConnEnd
+	closed         bool
+	lastReceivedAt time.Time
+	lastSent       time.Time
+	// dropSent drops everything that this end sends.
+	dropSent bool
+	// sendDelay delays everything that this end sends.
+	sendDelay time.Duration
+	// duplicateSent delivers everything that this end sends twice.
+	duplicateSent bool
+	receive       func(msg any)
+	onClose       func()
 }
 
 // dial opens a wire from p to far, unless something is in the way.
-func (w *world) dial(p, far *process) (near, other *wireEnd) {
+func (w *simulation) dial(p, far *process) (near, other *simConnEnd) {
 	if far.dead || w.isBlocked(p, far) || w.isBlocked(far, p) {
 		return nil, nil
 	}
-	near = &wireEnd{world: w, owner: p, heard: w.clock.Now()}
-	other = &wireEnd{world: w, owner: far, far: near, heard: w.clock.Now()}
+	near = &simConnEnd{world: w, owner: p, lastReceivedAt: w.clock.Now()}
+	other = &simConnEnd{world: w, owner: far, far: near, lastReceivedAt: w.clock.Now()}
 	near.far = other
-	w.wires = append(w.wires, &wire{a: near, b: other})
+	w.conns = append(w.conns, &simConn{a: near, b: other})
 	return near, other
 }
 
-func (w *world) isBlocked(from, to *process) bool { return w.blocked[[2]string{from.name, to.name}] }
+func (w *simulation) isBlocked(from, to *process) bool {
+	return w.blocked[[2]string{from.name, to.name}]
+}
 
 // Send implements link.
-func (e *wireEnd) Send(msg any) {
+func (e *simConnEnd) Send(msg any) {
 	w := e.world
 	if e.closed || e.owner.dead {
 		return
 	}
-	w.reach(reflect.TypeOf(msg).Name(), e.owner, e.far.owner)
+	w.onStep(reflect.TypeOf(msg).Name(), e.owner, e.far.owner)
 	if e.closed || e.owner.dead {
 		return
 	}
 	e.deliver(msg)
-	if e.double {
+	if e.duplicateSent {
 		e.deliver(msg)
 	}
 }
 
-func (e *wireEnd) deliver(msg any) {
+func (e *simConnEnd) deliver(msg any) {
 	w := e.world
-	at := w.clock.Now().Add(wireDelay + e.late)
+	at := w.clock.Now().Add(messageDelay + e.sendDelay)
 	if at.Before(e.lastSent) {
 		at = e.lastSent
 	}
 	e.lastSent = at
-	if e.silent || w.isBlocked(e.owner, e.far.owner) {
+	if e.dropSent || w.isBlocked(e.owner, e.far.owner) {
 		return
 	}
 	ptr := reflect.New(reflect.TypeOf(msg))
@@ -285,39 +287,39 @@
 			if e.far.closed {
 				return
 			}
-			e.far.heard = w.clock.Now()
+			e.far.lastReceivedAt = w.clock.Now()
 			e.far.receive(ptr.Interface())
 		})
 	})
 }
 
 // Close implements link.
-func (e *wireEnd) Close() {
+func (e *simConnEnd) Close() {
 	if e.closed {
 		return
 	}
 	e.closed = true
-	e.world.hangUp(e)
+	e.world.closeFar(e)
 	if e.onClose != nil {
 		e.onClose()
 	}
 }
 
-// hangUp tells the far end, unless that message gets lost too.
-func (w *world) hangUp(e *wireEnd) {
-	if e.silent || w.isBlocked(e.owner, e.far.owner) {
+// closeFar tells the far end, unless that message gets lost too.
+func (w *simulation) closeFar(e *simConnEnd) {
+	if e.dropSent || w.isBlocked(e.owner, e.far.owner) {
 		return
 	}
-	w.after(wireDelay+e.late, func() { e.far.owner.exec(e.far.Close) })
+	w.after(messageDelay+e.sendDelay, func() { e.far.owner.exec(e.far.Close) })
 }
 
-// closeSilent closes the ends on which nothing arrived for too long.
-func (w *world) closeSilent() {
+// closeIdle closes the ends on which nothing arrived for too long.
+func (w *simulation) closeIdle() {
 	now := w.clock.Now()
-	live := w.wires[:0]
-	for _, x := range w.wires {
-		for _, e := range []*wireEnd{x.a, x.b} {
-			if !e.closed && !e.owner.paused && !e.owner.dead && now.Sub(e.heard) > courier.SilenceLimit {
+	live := w.conns[:0]
+	for _, x := range w.conns {
+		for _, e := range []*simConnEnd{x.a, x.b} {
+			if !e.closed && !e.owner.paused && !e.owner.dead && now.Sub(e.lastReceivedAt) > courier.IdleTimeout {
 				e.Close()
 			}
 		}
@@ -325,7 +327,7 @@
 			live = append(live, x)
 		}
 	}
-	w.wires = live
+	w.conns = live
 }
 
 // payload returns the payload of a task that runs for a time.
@@ -334,10 +336,10 @@
 }
 
 // check fails the test when a promise was broken or a caller has no answer.
-func (w *world) check() {
+func (w *simulation) check() {
 	w.t.Helper()
 	for _, c := range w.callers {
 		c.check()
 	}
-	require.Empty(w.t, w.breaches)
+	require.Empty(w.t, w.violations)
 }
--- a/receiver/store.go
+++ b/receiver/store.go
@@ -21,13 +21,13 @@
 	VotersKey = "pomeloferry/voters"
 	// EntriesPrefix begins the keys of what entries write about themselves.
 	EntriesPrefix = "pomeloferry/entries/"
-	// followInterval is the mean time between two reads of the bundle.
-	followInterval = 500 * time.Millisecond
+	// bundlePollInterval is the mean time between two reads of the bundle.
+	bundlePollInterval = 500 * time.Millisecond
 	// registerInterval is the mean time between two registrations.
 	registerInterval = 2 * time.Second
-	// removeAfter is how long an entry is silent in the store before the
+	// registrationTTL is how long an entry is silent in the store before the
 	// others take it off the list of voters.
-	removeAfter = 20 * time.Second
+	registrationTTL = 20 * time.Second
 )
 
 // Registration is what an entry writes about itself.
@@ -48,24 +48,24 @@
 	Left bool
 }
 
-// Recent reports whether the entry wrote within the span before now.
-func (g Registration) Recent(now time.Time, span time.Duration) bool {
+// WroteWithin reports whether the entry wrote within the span before now.
+func (g Registration) WroteWithin(now time.Time, span time.Duration) bool {
 	return !g.Left && now.Sub(g.SeenAt) < span
 }
 
-// follower reads the store for one entry and writes what concerns it.
-type follower struct {
+// storePoller reads the store for one entry and writes what concerns it.
+type storePoller struct {
 	receiver *Receiver
-	// started is set by the first read of the registrations. Nothing is
+	// registrationsRead is set by the first read of the registrations. Nothing is
 	// written before, since that read looks for entries of earlier starts.
-	started atomic.Bool
-	// version is the last bundle version read from the store.
-	version uint64
+	registrationsRead atomic.Bool
+	// registeredVersion is the last bundle version read from the store.
+	registeredVersion uint64
 }
 
-// followBundle reads the bundle and the voters again and again until ctx ends.
-func (f *follower) followBundle(ctx context.Context) error {
-	return f.repeat(ctx, followInterval, func() error {
+// pollBundle reads the bundle and the voters again and again until ctx ends.
+func (f *storePoller) pollBundle(ctx context.Context) error {
+	return f.poll(ctx, bundlePollInterval, func() error {
 		began := f.receiver.deps.Clock.Now()
 		bundle, err := f.receiver.store.Get(ctx, BundleKey)
 		if err != nil {
@@ -75,13 +75,13 @@
 		if err != nil {
 			return err
 		}
-		return f.readBundle(ctx, began, bundle, voters)
+		return f.handleBundle(ctx, began, bundle, voters)
 	})
 }
 
-// readBundle posts what was read. A new version is registered at once, since
+// handleBundle posts what was read. A new version is registered at once, since
 // its acceptance waits for that.
-func (f *follower) readBundle(ctx context.Context, began time.Time, bundle, voters keeper.Pair) error {
+func (f *storePoller) handleBundle(ctx context.Context, began time.Time, bundle, voters keeper.Pair) error {
 	msg := bundleRead{at: began}
 	if err := parseVoters(voters, &msg.voters); err != nil {
 		return err
@@ -98,11 +98,11 @@
 	}
 	msg.bundle = b
 	f.receiver.post(msg)
-	if b.Version <= f.version || !f.started.Load() {
+	if b.Version <= f.registeredVersion || !f.registrationsRead.Load() {
 		return nil
 	}
-	f.version = b.Version
-	return f.write(ctx, false)
+	f.registeredVersion = b.Version
+	return f.writeRegistration(ctx, false)
 }
 
 func parseVoters(p keeper.Pair, v *confirmer.Voters) error {
@@ -115,49 +115,49 @@
 	return nil
 }
 
-// register writes this entry into the store, reads the others and keeps the
+// pollRegistrations writes this entry into the store, reads the others and keeps the
 // list of voters, until ctx ends.
-func (f *follower) register(ctx context.Context) error {
-	return f.repeat(ctx, registerInterval, func() error {
+func (f *storePoller) pollRegistrations(ctx context.Context) error {
+	return f.poll(ctx, registerInterval, func() error {
 		list, err := f.readEntries(ctx)
 		if err != nil {
 			return err
 		}
-		if err := f.write(ctx, false); err != nil {
+		if err := f.writeRegistration(ctx, false); err != nil {
 			return err
 		}
-		return f.keepVoters(ctx, list)
+		return f.updateVoters(ctx, list)
 	})
 }
 
 // readEntries reads the registrations and posts the recent ones.
-func (f *follower) readEntries(ctx context.Context) ([]Registration, error) {
+func (f *storePoller) readEntries(ctx context.Context) ([]Registration, error) {
 	r := f.receiver
 	list, err := ReadRegistrations(ctx, r.store)
 	if err != nil {
 		return nil, err
 	}
 	now := r.deps.Clock.Now()
-	msg := entriesRead{first: !f.started.Load() && noneRan(list, now)}
+	msg := entriesRead{noEarlierEntries: !f.registrationsRead.Load() && noRecentRun(list, now)}
 	for _, reg := range list {
-		if reg.Recent(now, removeAfter) {
+		if reg.WroteWithin(now, registrationTTL) {
 			msg.entries = append(msg.entries, reg.Entry)
 		}
 	}
-	f.started.Store(true)
+	f.registrationsRead.Store(true)
 	r.post(msg)
 	return list, nil
 }
 
-// noneRan reports whether no entry of list can have run within the record
+// noRecentRun reports whether no entry of list can have run within the record
 // horizon. One that has not left may run on without the store until its word
 // lapses.
-func noneRan(list []Registration, now time.Time) bool {
+func noRecentRun(list []Registration, now time.Time) bool {
 	return !slices.ContainsFunc(list, func(reg Registration) bool {
 		if reg.Left {
-			return now.Sub(reg.SeenAt) < dispatcher.RecordHorizon
+			return now.Sub(reg.SeenAt) < dispatcher.RecordRetention
 		}
-		return now.Sub(reg.SeenAt) < confirmer.LapseLimit+dispatcher.RecordHorizon
+		return now.Sub(reg.SeenAt) < confirmer.VoterTimeout+dispatcher.RecordRetention
 	})
 }
 
@@ -178,9 +178,9 @@
 	return list, nil
 }
 
-// write registers this entry with what is in force here.
-func (f *follower) write(ctx context.Context, left bool) error {
-	answer, err := f.receiver.ask(registrationQuestion{})
+// writeRegistration registers this entry with what is in force here.
+func (f *storePoller) writeRegistration(ctx context.Context, left bool) error {
+	answer, err := f.receiver.ask(registrationQuery{})
 	if err != nil {
 		return &Error{Op: "register", Kind: Unusable, Err: err}
 	}
@@ -193,10 +193,10 @@
 	return f.receiver.store.Put(ctx, EntriesPrefix+f.receiver.cfg.ID, raw)
 }
 
-// keepVoters adds this entry to the list of voters and takes silent ones off
+// updateVoters adds this entry to the list of voters and takes silent ones off
 // it, one change at a time: a change waits until a majority of the last two
 // lists have the last one in force.
-func (f *follower) keepVoters(ctx context.Context, list []Registration) error {
+func (f *storePoller) updateVoters(ctx context.Context, list []Registration) error {
 	p, err := f.receiver.store.Get(ctx, VotersKey)
 	if err != nil {
 		return err
@@ -217,28 +217,28 @@
 	return err
 }
 
-// Settled reports whether a majority of both lists of v know v, or can confirm
+// VotersAccepted reports whether a majority of both lists of v know v, or can confirm
 // nothing any more.
-func Settled(v confirmer.Voters, list []Registration, now time.Time) bool {
+func VotersAccepted(v confirmer.Voters, list []Registration, now time.Time) bool {
 	if v.Version == 0 {
 		return true
 	}
 	return v.Majority(func(id string) bool {
-		reg, ok := find(list, id)
-		return ok && (reg.VotersVersion >= v.Version || !reg.Recent(now, confirmer.LapseLimit))
+		reg, ok := findRegistration(list, id)
+		return ok && (reg.VotersVersion >= v.Version || !reg.WroteWithin(now, confirmer.VoterTimeout))
 	})
 }
 
-// Accepted reports whether a majority of the voters have a bundle version in
+// BundleAccepted reports whether a majority of the voters have a bundle version in
 // force, or can confirm no other any more.
-func Accepted(version uint64, v confirmer.Voters, list []Registration, now time.Time) bool {
+func BundleAccepted(version uint64, v confirmer.Voters, list []Registration, now time.Time) bool {
 	return len(v.Entries) > 0 && v.Majority(func(id string) bool {
-		reg, ok := find(list, id)
-		return ok && (reg.BundleVersion >= version || !reg.Recent(now, confirmer.LapseLimit))
+		reg, ok := findRegistration(list, id)
+		return ok && (reg.BundleVersion >= version || !reg.WroteWithin(now, confirmer.VoterTimeout))
 	})
 }
 
-func find(list []Registration, id string) (Registration, bool) {
+func findRegistration(list []Registration, id string) (Registration, bool) {
 	for _, reg := range list {
 		if reg.Entry.ID == id {
 			return reg, true
@@ -249,25 +249,25 @@
 
 // nextVoters returns the list that is to follow v, if any is.
 func nextVoters(v confirmer.Voters, list []Registration, self string, now time.Time) (confirmer.Voters, bool) {
-	if !Settled(v, list, now) {
+	if !VotersAccepted(v, list, now) {
 		return v, false
 	}
 	if len(v.Previous) > 0 {
-		return v.Final(), true
+		return v.WithoutPrevious(), true
 	}
 	wanted := wantedVoters(v, list, self, now)
 	if slices.Equal(wanted, v.Entries) {
 		return v, false
 	}
-	return v.With(wanted), true
+	return v.WithEntries(wanted), true
 }
 
 // wantedVoters returns the list as it should be, in order.
 func wantedVoters(v confirmer.Voters, list []Registration, self string, now time.Time) []string {
 	var out []string
 	for _, id := range v.Entries {
-		reg, ok := find(list, id)
-		if id != self && ok && reg.Recent(now, removeAfter) {
+		reg, ok := findRegistration(list, id)
+		if id != self && ok && reg.WroteWithin(now, registrationTTL) {
 			out = append(out, id)
 		}
 	}
@@ -276,9 +276,9 @@
 	return out
 }
 
-// repeat calls fn with jittered pauses until ctx ends. The first failure after
+// poll calls fn with jittered pauses until ctx ends. The first failure after
 // a success is logged, and so is the first success after a failure.
-func (f *follower) repeat(ctx context.Context, interval time.Duration, fn func() error) error {
+func (f *storePoller) poll(ctx context.Context, interval time.Duration, fn func() error) error {
 	log := f.receiver.deps.Log
 	failing := false
 	for {
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -19,18 +19,18 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats to an entry.
 	HeartbeatInterval = 500 * time.Millisecond
-	// Lapse is how long an entry counts as alive after its last heartbeat.
-	Lapse = 2 * time.Second
-	// MayRunFor is how long an entry that is silent here counts as one that may
+	// AliveTimeout is how long an entry counts as alive after its last heartbeat.
+	AliveTimeout = 2 * time.Second
+	// MayRunTimeout is how long an entry that is silent here counts as one that may
 	// still be running, after the store or another entry last named it.
-	MayRunFor = 6 * time.Second
-	// PauseLimit is the longest gap between two calls that is no pause of this
+	MayRunTimeout = 6 * time.Second
+	// PauseThreshold is the longest gap between two calls that is no pause of this
 	// process.
-	PauseLimit = Lapse / 2
+	PauseThreshold = AliveTimeout / 2
 	// JoinDelay is how long a new entry listens before it owns partitions.
 	JoinDelay = time.Second
-	// ForgetAfter drops the address of an entry that nobody has heard of.
-	ForgetAfter = time.Minute
+	// AddressTTL drops the address of an entry that nobody has heard of.
+	AddressTTL = time.Minute
 )
 
 // member is what is known of another entry.
@@ -44,49 +44,49 @@
 	incarnation   string
 	bundleVersion uint64
 	votersVersion uint64
-	// heard is when the last heartbeat came; named is when the address was
+	// lastHeartbeatAt is when the last heartbeat came; named is when the address was
 	// last given by the store or by another entry.
-	heard time.Time
-	named time.Time
+	lastHeartbeatAt  time.Time
+	lastAdvertisedAt time.Time
 }
 
 // Registrar is the aggregate of one entry's view of the others.
 type Registrar struct {
-	clock   clockwork.Clock
-	self    courier.EntryInfo
-	started time.Time
-	// lastRunNumber is when the registrar last ran; a longer gap than PauseLimit
+	clock     clockwork.Clock
+	self      courier.EntryInfo
+	startedAt time.Time
+	// lastRunNumber is when the registrar last ran; a longer gap than PauseThreshold
 	// means that it could hear nobody meanwhile.
-	lastRun time.Time
-	leaving bool
-	members map[string]*member
+	lastCallAt time.Time
+	leaving    bool
+	members    map[string]*member
 }
 
 // NewRegistrar returns a registrar that knows only its own entry.
 func NewRegistrar(clock clockwork.Clock, self courier.EntryInfo) *Registrar {
 	now := clock.Now()
 	return &Registrar{
-		clock:   clock,
-		self:    self,
-		started: now,
-		lastRun: now,
-		members: make(map[string]*member),
+		clock:      clock,
+		self:       self,
+		startedAt:  now,
+		lastCallAt: now,
+		members:    make(map[string]*member),
 	}
 }
 
-// wake leaves the time that this process was paused out of the silence of the
+// discountPause leaves the time that this process was paused out of the silence of the
 // others.
-func (g *Registrar) wake() {
+func (g *Registrar) discountPause() {
 	now := g.clock.Now()
-	gap := now.Sub(g.lastRun)
-	g.lastRun = now
-	if gap <= PauseLimit {
+	gap := now.Sub(g.lastCallAt)
+	g.lastCallAt = now
+	if gap <= PauseThreshold {
 		return
 	}
 	for _, m := range g.members {
-		m.named = m.named.Add(gap)
-		if !m.heard.IsZero() {
-			m.heard = m.heard.Add(gap)
+		m.lastAdvertisedAt = m.lastAdvertisedAt.Add(gap)
+		if !m.lastHeartbeatAt.IsZero() {
+			m.lastHeartbeatAt = m.lastHeartbeatAt.Add(gap)
 		}
 	}
 }
@@ -99,12 +99,12 @@
 
 // Ready reports whether this entry owns partitions.
 func (g *Registrar) Ready() bool {
-	return !g.leaving && g.clock.Since(g.started) >= JoinDelay
+	return !g.leaving && g.clock.Since(g.startedAt) >= JoinDelay
 }
 
-// Learn notes that other entries exist.
-func (g *Registrar) Learn(entries []courier.EntryInfo) {
-	g.wake()
+// AddEntries notes that other entries exist.
+func (g *Registrar) AddEntries(entries []courier.EntryInfo) {
+	g.discountPause()
 	for _, e := range entries {
 		if e.ID == g.self.ID || e.ID == "" {
 			continue
@@ -115,16 +115,16 @@
 			g.members[e.ID] = m
 		}
 		m.info = e
-		m.named = g.clock.Now()
+		m.lastAdvertisedAt = g.clock.Now()
 	}
 }
 
-// Heard takes a heartbeat.
-func (g *Registrar) Heard(h courier.PeerHello) {
+// HandleHeartbeat takes a heartbeat.
+func (g *Registrar) HandleHeartbeat(h courier.PeerHello) {
 	if h.Entry.ID == g.self.ID {
 		return
 	}
-	g.Learn([]courier.EntryInfo{h.Entry})
+	g.AddEntries([]courier.EntryInfo{h.Entry})
 	m := g.members[h.Entry.ID]
 	m.stamp = h.Stamp
 	m.incarnation = h.Incarnation
@@ -132,14 +132,14 @@
 	m.votersVersion = h.VotersVersion
 	m.ready = h.Ready
 	m.leaving = h.Leaving
-	m.heard = g.clock.Now()
+	m.lastHeartbeatAt = g.clock.Now()
 }
 
 // Stamp returns this entry's clock as heartbeats carry it.
-func (g *Registrar) Stamp() time.Duration { return g.clock.Since(g.started) }
+func (g *Registrar) Stamp() time.Duration { return g.clock.Since(g.startedAt) }
 
-// TimeOf returns the time of this entry's clock that a stamp stands for.
-func (g *Registrar) TimeOf(stamp time.Duration) time.Time { return g.started.Add(stamp) }
+// StampTime returns the time of this entry's clock that a stamp stands for.
+func (g *Registrar) StampTime(stamp time.Duration) time.Time { return g.startedAt.Add(stamp) }
 
 // Echo is what the last heartbeat received from another entry said: its stamp,
 // the incarnation that sent it, and the versions in force there.
@@ -161,22 +161,22 @@
 
 // Tick forgets entries that nobody has heard of for long.
 func (g *Registrar) Tick() {
-	g.wake()
+	g.discountPause()
 	now := g.clock.Now()
 	for id, m := range g.members {
-		if now.Sub(m.heard) > ForgetAfter && now.Sub(m.named) > ForgetAfter {
+		if now.Sub(m.lastHeartbeatAt) > AddressTTL && now.Sub(m.lastAdvertisedAt) > AddressTTL {
 			delete(g.members, id)
 		}
 	}
 }
 
 func (g *Registrar) alive(m *member) bool {
-	return g.clock.Since(m.heard) < Lapse
+	return g.clock.Since(m.lastHeartbeatAt) < AliveTimeout
 }
 
 // View returns the entries that own partitions, in order.
 func (g *Registrar) View() []string {
-	g.wake()
+	g.discountPause()
 	var out []string
 	if g.Ready() {
 		out = append(out, g.self.ID)
@@ -193,13 +193,13 @@
 // ownsExclusively reports whether m may be running out of reach of this entry: it has
 // been heard here, has not said that it leaves, and is still being named.
 func (g *Registrar) mayRun(m *member) bool {
-	return !m.heard.IsZero() && !m.leaving && g.clock.Since(m.named) < MayRunFor
+	return !m.lastHeartbeatAt.IsZero() && !m.leaving && g.clock.Since(m.lastAdvertisedAt) < MayRunTimeout
 }
 
 // Peers returns the other entries that are alive or may be, in order. A
 // leaving one is among them only while it still runs.
 func (g *Registrar) Peers() []string {
-	g.wake()
+	g.discountPause()
 	var out []string
 	for id, m := range g.members {
 		if g.alive(m) || g.mayRun(m) {
@@ -210,8 +210,8 @@
 	return out
 }
 
-// Known returns the other entries that have been named, in order.
-func (g *Registrar) Known() []courier.EntryInfo {
+// KnownEntries returns the other entries that have been named, in order.
+func (g *Registrar) KnownEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
 	for _, m := range g.members {
 		out = append(out, m.info)
@@ -220,8 +220,8 @@
 	return out
 }
 
-// Alive returns this entry, unless it is leaving, and the live others.
-func (g *Registrar) Alive() []courier.EntryInfo {
+// AliveEntries returns this entry, unless it is leaving, and the live others.
+func (g *Registrar) AliveEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
 	if !g.leaving {
 		out = append(out, g.self)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -245,7 +245,7 @@
 	s.schedulingPass()
 }
 
-// giveUp ends a job that cannot be completed.
+// abortJob ends a job that cannot be completed.
 func (s *Scheduler) giveUp(j *job, why string) {
 	if j.mayHaveStarted || j.hasTask(placed) {
 		s.endJob(j, Answer{Outcome: Unsettled, RetryAfter: AgentLossTimeout, Why: why})
--- a/starter/dump.go
+++ b/starter/dump.go
@@ -26,14 +26,14 @@
 // Dump returns the state of the ledger.
 func (l *Ledger) Dump() Dump {
 	d := Dump{
-		Identity:      l.self,
+		Identity:      l.identity,
 		Upstream:      l.upstream,
 		Draining:      l.draining,
 		Running:       l.running,
 		Offers:        len(l.offers),
 		ResultBytes:   l.resultBytes,
 		BundleVersion: l.policy.BundleVersion,
-		ConfirmedAge:  l.clock.Since(l.confirmed),
+		ConfirmedAge:  l.clock.Since(l.confirmedAt),
 	}
 	for id := range l.entries {
 		d.Entries = append(d.Entries, id)
--- a/starter/forbid.go
+++ b/starter/forbid.go
@@ -11,8 +11,8 @@
 
 // forbiddenAttempt remembers that attempts up to attempt were answered NotRun.
 type forbiddenAttempt struct {
-	attempt int
-	until   time.Time
+	attempt   int
+	expiresAt time.Time
 }
 
 // Forbid remembers a refusal for its owner, unless the owner is an old one.
@@ -23,8 +23,8 @@
 	}
 	old := l.forbidden[f.Job]
 	l.forbidden[f.Job] = forbiddenAttempt{
-		attempt: max(old.attempt, f.Attempt),
-		until:   f.Deadline.Add(RecordGrace),
+		attempt:   max(old.attempt, f.Attempt),
+		expiresAt: f.Deadline.Add(RecordRetentionGrace),
 	}
 	l.send(entry, courier.Forbidden{Job: f.Job, Attempt: f.Attempt})
 }
@@ -40,9 +40,9 @@
 	return out
 }
 
-func (l *Ledger) dropForbidden(now time.Time) {
+func (l *Ledger) expireForbidden(now time.Time) {
 	for job, f := range l.forbidden {
-		if f.until.Before(now) {
+		if f.expiresAt.Before(now) {
 			delete(l.forbidden, job)
 		}
 	}
--- a/starter/offer.go
+++ b/starter/offer.go
@@ -6,14 +6,14 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// Demand notes how many tasks an entry has waiting.
-func (l *Ledger) Demand(entry string, d courier.Demand) {
+// SetDemand notes how many tasks an entry has waiting.
+func (l *Ledger) SetDemand(entry string, d courier.Demand) {
 	e := l.entries[entry]
 	if e == nil {
 		return
 	}
 	now := l.clock.Now()
-	e.demand = demand{waiting: d.Waiting, since: now.Add(-d.Age), until: now.Add(DemandLapse)}
+	e.demand = demand{waiting: d.Waiting, dueAt: now.Add(-d.Age), expiresAt: now.Add(DemandTTL)}
 	l.offerFree()
 }
 
@@ -23,7 +23,7 @@
 	if !ok {
 		return
 	}
-	l.taken.release(slot)
+	l.slots.release(slot)
 	if e := l.entries[entry]; e != nil {
 		e.demand.waiting = 0
 	}
@@ -43,35 +43,35 @@
 
 // endOffer gives the slot of an offer back.
 func (l *Ledger) endOffer(id uint64) {
-	l.taken.release(l.offers[id].slot)
+	l.slots.release(l.offers[id].slot)
 	delete(l.offers, id)
 }
 
 // offerFree offers free slots to the entries whose tasks have waited longest.
 func (l *Ledger) offerFree() {
-	for l.startable() > 0 {
+	for l.availableSlots() > 0 {
 		entry := l.longestWaiting()
 		if entry == "" {
 			return
 		}
-		id := l.hold(entry)
+		id := l.createOffer(entry)
 		l.send(entry, courier.Offer{Offer: id, Load: l.load(entry)})
 	}
 }
 
-// nextOfferFor holds a free slot for entry when its demand is first in line,
+// piggybackOffer holds a free slot for entry when its demand is first in line,
 // so that the offer can travel with another message. It returns 0 otherwise.
-func (l *Ledger) nextOfferFor(entry string) uint64 {
-	if l.startable() <= 0 || l.longestWaiting() != entry || entry == "" {
+func (l *Ledger) piggybackOffer(entry string) uint64 {
+	if l.availableSlots() <= 0 || l.longestWaiting() != entry || entry == "" {
 		return 0
 	}
-	return l.hold(entry)
+	return l.createOffer(entry)
 }
 
-func (l *Ledger) hold(entry string) uint64 {
+func (l *Ledger) createOffer(entry string) uint64 {
 	l.lastOffer++
-	slot := l.taken.take(l.owned(entry), l.upstream.Slots)
-	l.offers[l.lastOffer] = offer{entry: entry, slot: slot, until: l.clock.Now().Add(OfferLapse)}
+	slot := l.slots.take(l.preferredSlots(entry), l.upstream.Slots)
+	l.offers[l.lastOffer] = offer{entry: entry, slot: slot, expiresAt: l.clock.Now().Add(OfferTTL)}
 	l.entries[entry].demand.waiting--
 	return l.lastOffer
 }
@@ -83,11 +83,11 @@
 	var since time.Time
 	for id, e := range l.entries {
 		d := e.demand
-		if d.waiting <= 0 || !d.until.After(now) {
+		if d.waiting <= 0 || !d.expiresAt.After(now) {
 			continue
 		}
-		if best == "" || d.since.Before(since) || (d.since.Equal(since) && id < best) {
-			best, since = id, d.since
+		if best == "" || d.dueAt.Before(since) || (d.dueAt.Equal(since) && id < best) {
+			best, since = id, d.dueAt
 		}
 	}
 	return best
--- a/starter/slot.go
+++ b/starter/slot.go
@@ -9,7 +9,7 @@
 
 // slotSet tells which slots of an upstream are taken, by number.
 type slotSet struct {
-	taken []bool
+	inUse []bool
 }
 
 // take takes a free slot below n and returns its number. It prefers the slots
@@ -17,32 +17,32 @@
 func (s *slotSet) take(owned func(slot int) bool, n int) int {
 	s.grow(n)
 	fallback := -1
-	for i := range s.taken {
+	for i := range s.inUse {
 		switch {
-		case s.taken[i]:
+		case s.inUse[i]:
 		case i < n && owned(i):
-			s.taken[i] = true
+			s.inUse[i] = true
 			return i
 		case fallback < 0:
 			fallback = i
 		}
 	}
 	if fallback < 0 {
-		s.grow(len(s.taken) + 1)
-		fallback = len(s.taken) - 1
+		s.grow(len(s.inUse) + 1)
+		fallback = len(s.inUse) - 1
 	}
-	s.taken[fallback] = true
+	s.inUse[fallback] = true
 	return fallback
 }
 
-func (s *slotSet) release(slot int) { s.taken[slot] = false }
+func (s *slotSet) release(slot int) { s.inUse[slot] = false }
 
 // free counts the free slots below n for which owned is true.
 func (s *slotSet) free(owned func(slot int) bool, n int) int {
 	s.grow(n)
 	count := 0
 	for i := range n {
-		if !s.taken[i] && owned(i) {
+		if !s.inUse[i] && owned(i) {
 			count++
 		}
 	}
@@ -50,20 +50,20 @@
 }
 
 func (s *slotSet) grow(n int) {
-	for len(s.taken) < n {
-		s.taken = append(s.taken, false)
+	for len(s.inUse) < n {
+		s.inUse = append(s.inUse, false)
 	}
 }
 
-// owned returns which slots an entry uses before the other entries do. The
+// preferredSlots returns which slots an entry uses before the other entries do. The
 // slots are dealt out in turn over the linked entries, so that owners that
 // choose from old reports seldom choose the same slot.
-func (l *Ledger) owned(entry string) func(slot int) bool {
+func (l *Ledger) preferredSlots(entry string) func(slot int) bool {
 	names := slices.Sorted(maps.Keys(l.entries))
 	i := slices.Index(names, entry)
 	if i < 0 {
 		return func(int) bool { return false }
 	}
-	shift := int(xxhash.Sum64String(l.self.Agent) % uint64(len(names)))
+	shift := int(xxhash.Sum64String(l.identity.Agent) % uint64(len(names)))
 	return func(slot int) bool { return (slot+shift)%len(names) == i }
 }
--- a/starter/start.go
+++ b/starter/start.go
@@ -7,51 +7,51 @@
 
 // Start starts the tasks that may start and refuses the others.
 func (l *Ledger) Start(entry string, s courier.Start) {
-	var refused []refusedTask
+	var refused []refusedStart
 	var known []courier.Record
 	e := l.entries[entry]
 	current := e != nil && e.link == s.LinkNumber
 	slot, held := l.takeOffer(entry, s.Offer)
 	for _, t := range s.Tasks {
-		if current && t.Number <= e.seen {
+		if current && t.Number <= e.lastNumber {
 			continue
 		}
 		if current {
-			e.seen = t.Number
+			e.lastNumber = t.Number
 		}
 		p := router.PartitionOf(t.Task.Job)
 		if r := l.records[p][t.Task]; r != nil {
 			known = append(known, r.Record)
 			continue // The record answers for it: a start is never run twice.
 		}
-		if reason := l.refusal(e, s, t, p, held); reason != "" {
-			refused = append(refused, refusedTask{t, reason, l.terms[p]})
+		if reason := l.refuseReason(e, s, t, p, held); reason != "" {
+			refused = append(refused, refusedStart{t, reason, l.terms[p]})
 			continue
 		}
 		if !held {
-			slot = l.taken.take(l.owned(entry), l.upstream.Slots)
+			slot = l.slots.take(l.preferredSlots(entry), l.upstream.Slots)
 		}
 		held = false
-		l.begin(t, p, slot)
+		l.recordStart(t, p, slot)
 	}
-	l.answerStart(entry, refused, known)
+	l.replyToStart(entry, refused, known)
 	if held {
-		l.taken.release(slot)
+		l.slots.release(slot)
 		l.offerFree()
 	}
 }
 
-// refusedTask is a task of a Start with the reason that it may not start.
-type refusedTask struct {
+// refusedStart is a task of a Start with the reason that it may not start.
+type refusedStart struct {
 	task   courier.StartTask
-	reason courier.Refusal
+	reason courier.RefuseReason
 	term   courier.Term
 }
 
-func (l *Ledger) answerStart(entry string, refused []refusedTask, known []courier.Record) {
+func (l *Ledger) replyToStart(entry string, refused []refusedStart, known []courier.Record) {
 	for _, r := range refused {
 		msg := courier.Refuse{Number: r.task.Number, Task: r.task.Task, Reason: r.reason, Load: l.load(entry)}
-		if r.reason == courier.RefusedTerm {
+		if r.reason == courier.RefusedStaleTerm {
 			msg.Term = r.term
 		}
 		l.send(entry, msg)
@@ -61,46 +61,46 @@
 	}
 }
 
-// refusal returns why t may not start, or "".
-func (l *Ledger) refusal(e *entryState, s courier.Start, t courier.StartTask, p router.Partition, held bool) courier.Refusal {
+// refuseReason returns why t may not start, or "".
+func (l *Ledger) refuseReason(e *entryState, s courier.Start, t courier.StartTask, p router.Partition, held bool) courier.RefuseReason {
 	now := l.clock.Now()
 	switch {
 	case e == nil || e.link != s.LinkNumber:
-		return courier.RefusedLink
+		return courier.RefusedStaleLink
 	case l.terms[p] != t.Term:
-		return courier.RefusedTerm
+		return courier.RefusedStaleTerm
 	case !t.Deadline.After(now):
-		return courier.RefusedDeadline
+		return courier.RefusedDeadlinePassed
 	case l.draining || l.upstream.Leaving:
 		return courier.RefusedDraining
-	case l.takenOut():
+	case l.dataCentreOut():
 		return courier.RefusedTakenOut
 	case !l.fresh(now) || s.BundleVersion < l.policy.BundleVersion:
 		return courier.RefusedNotFresh
-	case !held && l.free() <= 0:
+	case !held && l.freeSlots() <= 0:
 		return courier.RefusedBusy
 	}
 	return ""
 }
 
-func (l *Ledger) begin(t courier.StartTask, p router.Partition, slot int) {
+func (l *Ledger) recordStart(t courier.StartTask, p router.Partition, slot int) {
 	l.records[p][t.Task] = &record{
 		Record:    courier.Record{Task: t.Task, Digest: t.Digest, Outcome: courier.Running},
-		keepUntil: t.Deadline.Add(RecordGrace),
+		keepUntil: t.Deadline.Add(RecordRetentionGrace),
 		number:    t.Number,
 		slot:      slot,
 	}
 	l.running++
-	until := l.confirmed.Add(FreshFor)
+	until := l.confirmedAt.Add(FreshnessLimit)
 	if t.Deadline.Before(until) {
 		until = t.Deadline
 	}
-	l.effects = append(l.effects, Run{Task: t, Until: until})
+	l.effects = append(l.effects, Run{Task: t, ExpiresAt: until})
 }
 
-// Refused takes back a start that the upstream positively did not run. The
+// WithdrawStart takes back a start that the upstream positively did not run. The
 // task leaves the record, since it may start elsewhere.
-func (l *Ledger) Refused(id courier.TaskID) {
+func (l *Ledger) WithdrawStart(id courier.TaskID) {
 	p := router.PartitionOf(id.Job)
 	r := l.records[p][id]
 	if r == nil || r.Outcome != courier.Running {
@@ -108,13 +108,13 @@
 	}
 	delete(l.records[p], id)
 	l.running--
-	l.taken.release(r.slot)
+	l.slots.release(r.slot)
 	holder := l.terms[p].Holder
 	l.offerFree()
 	l.send(holder, courier.Refuse{
 		Number: r.number,
 		Task:   id,
-		Reason: courier.RefusedUpstream,
+		Reason: courier.RefusedByUpstream,
 		Load:   l.load(holder),
 	})
 }
@@ -130,23 +130,23 @@
 	r.Outcome = rec.Outcome
 	r.Result = rec.Result
 	l.running--
-	l.taken.release(r.slot)
+	l.slots.release(r.slot)
 	l.resultBytes += len(rec.Result)
 	holder := l.terms[p].Holder
-	id := l.nextOfferFor(holder)
+	id := l.piggybackOffer(holder)
 	l.offerFree() // Before the report, which must not count slots just offered.
 	l.send(holder, courier.Finished{Records: []courier.Record{r.Record}, Offer: id, Load: l.load(holder)})
 }
 
-// Acked notes that the owner has the results of tasks.
-func (l *Ledger) Acked(a courier.Acked) {
+// Acknowledge notes that the owner has the results of tasks.
+func (l *Ledger) Acknowledge(a courier.Acked) {
 	for _, id := range a.Tasks {
 		r := l.records[router.PartitionOf(id.Job)][id]
 		if r == nil || r.Outcome == courier.Running {
 			continue
 		}
 		r.acked = true
-		if l.resultBytes > ResultBytes {
+		if l.resultBytes > AckedResultBytesLimit {
 			l.resultBytes -= len(r.Result)
 			r.Result = nil
 			r.Outcome = courier.Lost
@@ -159,7 +159,7 @@
 	for _, id := range s.Tasks {
 		r := l.records[router.PartitionOf(id.Job)][id]
 		if r != nil && r.Outcome == courier.Running {
-			l.effects = append(l.effects, Halt{Task: id})
+			l.effects = append(l.effects, Stop{Task: id})
 		}
 	}
 }
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// FreshFor is how long after the last confirmation of the bundle version,
+	// FreshnessLimit is how long after the last confirmation of the bundle version,
 	// by the agent's own clock, tasks may still start.
-	FreshFor = 3 * time.Second
-	// OfferLapse ends an offer that its owner has not used.
-	OfferLapse = 100 * time.Millisecond
-	// RecordGrace keeps records beyond the task's deadline, for clocks that
+	FreshnessLimit = 3 * time.Second
+	// OfferTTL ends an offer that its owner has not used.
+	OfferTTL = 100 * time.Millisecond
+	// RecordRetentionGrace keeps records beyond the task's deadline, for clocks that
 	// differ between processes.
-	RecordGrace = 5 * time.Second
-	// ResultBytes bounds the memory for results that have been acknowledged.
-	ResultBytes = 16 << 20
-	// DemandLapse drops a demand that was not repeated.
-	DemandLapse = 2 * time.Second
+	RecordRetentionGrace = 5 * time.Second
+	// AckedResultBytesLimit bounds the memory for results that have been acknowledged.
+	AckedResultBytesLimit = 16 << 20
+	// DemandTTL drops a demand that was not repeated.
+	DemandTTL = 2 * time.Second
 )
 
 // Identity is what an agent announces about itself and its upstream.
@@ -62,13 +62,13 @@
 // Run is the effect of running a task on the upstream.
 type Run struct {
 	Task courier.StartTask
-	// Until is when the decision lapses: the task must not be handed to the
+	// ExpiresAt is when the decision lapses: the task must not be handed to the
 	// upstream at that time or later.
-	Until time.Time
+	ExpiresAt time.Time
 }
 
-// Halt is the effect of stopping a running task on the upstream.
-type Halt struct {
+// Stop is the effect of stopping a running task on the upstream.
+type Stop struct {
 	Task courier.TaskID
 }
 
@@ -76,7 +76,7 @@
 
 func (Run) effect() {}
 
-func (Halt) effect() {}
+func (Stop) effect() {}
 
 // record is the memory of one started task.
 type record struct {
@@ -93,39 +93,39 @@
 
 // offer is a free slot held for one entry.
 type offer struct {
-	entry string
-	slot  int
-	until time.Time
+	entry     string
+	slot      int
+	expiresAt time.Time
 }
 
 // entryState is what the ledger keeps for one linked entry.
 type entryState struct {
 	// link is the number of the current link; messages of others are refused.
-	link   uint64
-	seen   uint64
-	demand demand
+	link       uint64
+	lastNumber uint64
+	demand     demand
 }
 
 // demand is an entry's wish for slots.
 type demand struct {
-	waiting int
-	since   time.Time
-	until   time.Time
+	waiting   int
+	dueAt     time.Time
+	expiresAt time.Time
 }
 
 // Ledger is the aggregate that guards one upstream.
 type Ledger struct {
-	clock    clockwork.Clock
-	self     Identity
-	base     time.Time
-	upstream Upstream
-	draining bool
+	clock     clockwork.Clock
+	identity  Identity
+	startedAt time.Time
+	upstream  Upstream
+	draining  bool
 
 	// running counts the records whose outcome is Running; it never exceeds
 	// the slots less the offers, but for slots withdrawn while in use.
 	running int
-	// taken tells which slots are running a task or are offered.
-	taken slotSet
+	// slots tells which slots are running a task or are offered.
+	slots slotSet
 	// records holds every task started since the process began whose
 	// deadline is not long past, by partition.
 	records [router.Partitions]map[courier.TaskID]*record
@@ -139,9 +139,9 @@
 	lastOffer uint64
 
 	policy courier.AgentPolicy
-	// confirmed is the latest time, by this clock, at which policy is known
+	// confirmedAt is the latest time, by this clock, at which policy is known
 	// to have been the newest one.
-	confirmed   time.Time
+	confirmedAt time.Time
 	resultBytes int
 	nextExpiry  time.Time
 
@@ -151,11 +151,11 @@
 // NewLedger returns a ledger with an empty record.
 func NewLedger(clock clockwork.Clock, self Identity) *Ledger {
 	l := &Ledger{
-		clock:   clock,
-		self:    self,
-		base:    clock.Now(),
-		entries: make(map[string]*entryState),
-		offers:  make(map[uint64]offer),
+		clock:     clock,
+		identity:  self,
+		startedAt: clock.Now(),
+		entries:   make(map[string]*entryState),
+		offers:    make(map[uint64]offer),
 
 		forbidden: make(map[string]forbiddenAttempt),
 	}
@@ -165,8 +165,8 @@
 	return l
 }
 
-// Drain returns the effects since the last call.
-func (l *Ledger) Drain() []Effect {
+// TakeEffects returns the effects since the last call.
+func (l *Ledger) TakeEffects() []Effect {
 	out := l.effects
 	l.effects = nil
 	return out
@@ -225,16 +225,16 @@
 // Announce returns the heartbeat for one entry.
 func (l *Ledger) Announce(entry string) courier.Announce {
 	a := courier.Announce{
-		Agent:         l.self.Agent,
-		Incarnation:   l.self.Incarnation,
-		DataCentre:    l.self.DataCentre,
-		Rack:          l.self.Rack,
+		Agent:         l.identity.Agent,
+		Incarnation:   l.identity.Incarnation,
+		DataCentre:    l.identity.DataCentre,
+		Rack:          l.identity.Rack,
 		Slots:         l.upstream.Slots,
 		Services:      l.upstream.Services,
 		Draining:      l.draining || l.upstream.Leaving,
 		Stopping:      l.draining,
 		BundleVersion: l.policy.BundleVersion,
-		Stamp:         l.clock.Since(l.base),
+		Stamp:         l.clock.Since(l.startedAt),
 		Load:          l.load(entry),
 	}
 	if e := l.entries[entry]; e != nil {
@@ -243,10 +243,10 @@
 	return a
 }
 
-// Confirm takes an entry's answer to a heartbeat: a newer policy, and the time
+// HandleAnnounceReply takes an entry's answer to a heartbeat: a newer policy, and the time
 // up to which the policy is known to be the newest. An older version than the
 // one in force is ignored, so that a policy never reverts.
-func (l *Ledger) Confirm(r courier.AnnounceReply) {
+func (l *Ledger) HandleAnnounceReply(r courier.AnnounceReply) {
 	l.raiseTerms(r.Terms)
 	if r.Policy != nil && r.Policy.BundleVersion > l.policy.BundleVersion {
 		l.policy = *r.Policy
@@ -254,9 +254,9 @@
 	if !r.Fresh || r.BundleVersion != l.policy.BundleVersion {
 		return
 	}
-	at := l.base.Add(r.Stamp).Add(-r.Age)
-	if at.After(l.confirmed) {
-		l.confirmed = at
+	at := l.startedAt.Add(r.Stamp).Add(-r.Age)
+	if at.After(l.confirmedAt) {
+		l.confirmedAt = at
 	}
 	l.offerFree()
 }
@@ -265,7 +265,7 @@
 func (l *Ledger) Tick() {
 	now := l.clock.Now()
 	for id, o := range l.offers {
-		if !o.until.After(now) {
+		if !o.expiresAt.After(now) {
 			l.endOffer(id)
 		}
 	}
@@ -274,7 +274,7 @@
 		return
 	}
 	l.nextExpiry = now.Add(time.Second)
-	l.dropForbidden(now)
+	l.expireForbidden(now)
 	for _, part := range l.records {
 		for id, r := range part {
 			if r.Outcome != courier.Running && r.keepUntil.Before(now) {
@@ -285,34 +285,34 @@
 	}
 }
 
-func (l *Ledger) takenOut() bool {
-	return slices.Contains(l.policy.OutDataCentres, l.self.DataCentre)
+func (l *Ledger) dataCentreOut() bool {
+	return slices.Contains(l.policy.OutDataCentres, l.identity.DataCentre)
 }
 
 func (l *Ledger) fresh(now time.Time) bool {
-	return l.policy.BundleVersion > 0 && now.Before(l.confirmed.Add(FreshFor))
+	return l.policy.BundleVersion > 0 && now.Before(l.confirmedAt.Add(FreshnessLimit))
 }
 
-// free returns the slots that are neither running nor offered.
-func (l *Ledger) free() int {
+// freeSlots returns the slots that are neither running nor offered.
+func (l *Ledger) freeSlots() int {
 	return l.upstream.Slots - l.running - len(l.offers)
 }
 
-// startable returns the slots that any owner may use now.
-func (l *Ledger) startable() int {
-	if l.draining || l.upstream.Leaving || l.takenOut() || !l.fresh(l.clock.Now()) {
+// availableSlots returns the slots that any owner may use now.
+func (l *Ledger) availableSlots() int {
+	if l.draining || l.upstream.Leaving || l.dataCentreOut() || !l.fresh(l.clock.Now()) {
 		return 0
 	}
-	return max(0, l.free())
+	return max(0, l.freeSlots())
 }
 
 func (l *Ledger) load(entry string) courier.Load {
-	load := courier.Load{Free: l.startable()}
+	load := courier.Load{Free: l.availableSlots()}
 	if e := l.entries[entry]; e != nil {
-		load.Seen = e.seen
+		load.Seen = e.lastNumber
 	}
 	if load.Free > 0 {
-		load.Mine = l.taken.free(l.owned(entry), l.upstream.Slots)
+		load.Mine = l.slots.free(l.preferredSlots(entry), l.upstream.Slots)
 	}
 	return load
 }
--- a/starter/starter_test.go
+++ b/starter/starter_test.go
@@ -23,15 +23,15 @@
 	l := NewLedger(clock, Identity{Agent: "agent-1", Incarnation: "a", DataCentre: "wien"})
 	l.SetUpstream(Upstream{Slots: slots, Services: []string{"quote"}})
 	l.LinkUp(entry, 1)
-	l.Confirm(courier.AnnounceReply{
-		Fresh: true, BundleVersion: 1, Stamp: clock.Since(l.base), Policy: &courier.AgentPolicy{BundleVersion: 1},
+	l.HandleAnnounceReply(courier.AnnounceReply{
+		Fresh: true, BundleVersion: 1, Stamp: clock.Since(l.startedAt), Policy: &courier.AgentPolicy{BundleVersion: 1},
 	})
 	var all []router.Partition
 	for p := range router.Partitions {
 		all = append(all, router.Partition(p))
 	}
 	l.Claim(entry, courier.Claim{Term: term, Partitions: all})
-	l.Drain()
+	l.TakeEffects()
 	return l
 }
 
@@ -45,10 +45,10 @@
 	}}}
 }
 
-// outcome tells what a start led to: "run", a refusal, or nothing.
-func outcome(l *Ledger) string {
+// startOutcome tells what a start led to: "run", a refusal, or nothing.
+func startOutcome(l *Ledger) string {
 	out := ""
-	for _, e := range l.Drain() {
+	for _, e := range l.TakeEffects() {
 		switch e := e.(type) {
 		case Run:
 			out += "run"
@@ -77,18 +77,18 @@
 		{"upstream leaving", func(l *Ledger, _ *clockwork.FakeClock, _ *courier.Start) {
 			l.SetUpstream(Upstream{Slots: 1, Leaving: true})
 		}, "Draining"},
-		{"bundle not confirmed for 3 s", func(_ *Ledger, c *clockwork.FakeClock, _ *courier.Start) { c.Advance(FreshFor) }, "NotFresh"},
+		{"bundle not confirmed for 3 s", func(_ *Ledger, c *clockwork.FakeClock, _ *courier.Start) { c.Advance(FreshnessLimit) }, "NotFresh"},
 		{"older bundle", func(_ *Ledger, _ *clockwork.FakeClock, s *courier.Start) { s.BundleVersion = 0 }, "NotFresh"},
 		{"data centre taken out", func(l *Ledger, c *clockwork.FakeClock, s *courier.Start) {
-			l.Confirm(courier.AnnounceReply{
-				Fresh: true, BundleVersion: 2, Stamp: c.Since(l.base),
+			l.HandleAnnounceReply(courier.AnnounceReply{
+				Fresh: true, BundleVersion: 2, Stamp: c.Since(l.startedAt),
 				Policy: &courier.AgentPolicy{BundleVersion: 2, OutDataCentres: []string{"wien"}},
 			})
 			s.BundleVersion = 2
 		}, "TakenOut"},
 		{"no free slot", func(l *Ledger, c *clockwork.FakeClock, s *courier.Start) {
 			l.Start(entry, start(c, 1))
-			l.Drain()
+			l.TakeEffects()
 			*s = start(c, 2)
 		}, "Busy"},
 	}
@@ -99,7 +99,7 @@
 			s := start(clock, 1)
 			tt.change(l, clock, &s)
 			l.Start(entry, s)
-			require.Equal(t, tt.want, outcome(l))
+			require.Equal(t, tt.want, startOutcome(l))
 		})
 	}
 }
@@ -109,13 +109,13 @@
 	l := newReadyLedger(clock, 1)
 	s := start(clock, 1)
 	l.Start(entry, s)
-	require.Equal(t, "run", outcome(l))
+	require.Equal(t, "run", startOutcome(l))
 	l.Finish(courier.Record{Task: s.Tasks[0].Task, Outcome: courier.Succeeded, Result: json.RawMessage(`1`)})
 	l.LinkUp(entry, 2)
-	l.Drain()
+	l.TakeEffects()
 	s.LinkNumber = 2
 	l.Start(entry, s)
-	sent := l.Drain()
+	sent := l.TakeEffects()
 	require.Len(t, sent, 1)
 	f := sent[0].(Send).Msg.(courier.Finished)
 	require.Equal(t, courier.Succeeded, f.Records[0].Outcome)
@@ -127,7 +127,7 @@
 		deadline time.Duration
 		want     time.Duration
 	}{
-		{"confirmation", time.Minute, FreshFor - time.Second},
+		{"confirmation", time.Minute, FreshnessLimit - time.Second},
 		{"deadline", 500 * time.Millisecond, 500 * time.Millisecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -137,7 +137,7 @@
 			s := start(clock, 1)
 			s.Tasks[0].Deadline = clock.Now().Add(tt.deadline)
 			l.Start(entry, s)
-			require.Equal(t, clock.Now().Add(tt.want), l.Drain()[0].(Run).Until)
+			require.Equal(t, clock.Now().Add(tt.want), l.TakeEffects()[0].(Run).ExpiresAt)
 		})
 	}
 }
@@ -146,7 +146,7 @@
 	clock := clockwork.NewFakeClock()
 	l := newReadyLedger(clock, 1)
 	for _, version := range []uint64{3, 2, 1} {
-		l.Confirm(courier.AnnounceReply{
+		l.HandleAnnounceReply(courier.AnnounceReply{
 			Fresh: true, BundleVersion: version, Policy: &courier.AgentPolicy{BundleVersion: version},
 		})
 	}
@@ -167,8 +167,8 @@
 	s := start(clock, number)
 	l.Start(entry, s)
 	l.Finish(courier.Record{Task: s.Tasks[0].Task, Outcome: courier.Succeeded, Result: json.RawMessage(`"a result of some bytes"`)})
-	l.Acked(courier.Acked{Tasks: []courier.TaskID{s.Tasks[0].Task}})
-	l.Drain()
+	l.Acknowledge(courier.Acked{Tasks: []courier.TaskID{s.Tasks[0].Task}})
+	l.TakeEffects()
 }
 
 // BenchmarkMemory measures what a ledger keeps for a task that has ended.
