--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -113,13 +113,13 @@
 
 // Run serves until ctx ends, then answers every request in flight and stops.
 func (a *Acceptor) Run(ctx context.Context) error {
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	peers := newLinkSet(a)
+	links := newLinkSet(a)
 	a.pid = a.system.Root.Spawn(actor.PropsFromProducer(
 		func() actor.Actor { return newEntryActor(a) },
 		actor.WithMailbox(actor.Bounded(mailboxSize)),
-		actor.WithDispatcher(announcer.NewDispatcher(inner)),
+		actor.WithDispatcher(announcer.NewDispatcher(runCtx)),
 	))
 	defer a.system.Shutdown()
 	front := announcer.NewGracefulServer(a.deps.Clock, &http.Server{
@@ -132,13 +132,13 @@
 	metrics := &http.Server{Handler: announcer.NewMetricsHandler(a.deps, a), ReadHeaderTimeout: headerTimeout}
 
 	var g run.Group
-	g.Add(func() error { return a.drainOnShutdown(ctx, inner, front) }, func(error) { cancel() })
-	g.Add(func() error { return front.Serve(inner) }, func(error) { front.Close() })
+	g.Add(func() error { return a.drainOnShutdown(ctx, runCtx, front) }, func(error) { cancel() })
+	g.Add(func() error { return front.Serve(runCtx) }, func(error) { front.Close() })
 	g.Add(func() error { return announcer.Serve(ready, a.listeners.ready) }, func(error) { _ = ready.Close() })
 	g.Add(func() error { return announcer.Serve(metrics, a.listeners.metrics) }, func(error) { _ = metrics.Close() })
-	g.Add(func() error { return a.tick(inner) }, func(error) { cancel() })
-	g.Add(func() error { return newDirectives(a).follow(inner) }, func(error) { cancel() })
-	g.Add(func() error { return peers.follow(inner) }, func(error) { cancel() })
+	g.Add(func() error { return a.tick(runCtx) }, func(error) { cancel() })
+	g.Add(func() error { return newDirectives(a).follow(runCtx) }, func(error) { cancel() })
+	g.Add(func() error { return links.follow(runCtx) }, func(error) { cancel() })
 	a.deps.Log.WithField("front", a.cfg.FrontAddr).Info("entry started")
 	if a.cfg.MinResendDelay < scheduler.AgentLossTimeout {
 		a.deps.Log.WithField("resend", a.cfg.MinResendDelay.String()).WithField("needed", scheduler.AgentLossTimeout.String()).
@@ -156,19 +156,19 @@
 
 // drainOnShutdown waits for the planned stop, turns the balancer away, and waits
 // until every request has been answered.
-func (a *Acceptor) drainOnShutdown(ctx, inner context.Context, front *announcer.GracefulServer) error {
+func (a *Acceptor) drainOnShutdown(ctx, runCtx context.Context, front *announcer.GracefulServer) error {
 	select {
 	case <-ctx.Done():
-	case <-inner.Done():
+	case <-runCtx.Done():
 		return nil
 	}
 	a.shutdownDeadline.Store(a.deps.Clock.Now().Add(a.cfg.GracePeriod - gracePeriodMargin).UnixNano())
 	a.deps.Log.WithField("in_flight", a.inFlight.Load()).Info("entry draining")
-	limit, cancel := context.WithTimeout(inner, a.cfg.GracePeriod-gracePeriodMargin)
+	drainCtx, cancel := context.WithTimeout(runCtx, a.cfg.GracePeriod-gracePeriodMargin)
 	defer cancel()
 	a.deps.Clock.Sleep(deregistrationDelay)
-	if left := front.Drain(limit); left > 0 {
-		a.deps.Log.WithField("in_flight", left).Warn("requests cut off by the end of the grace period")
+	if remaining := front.Drain(drainCtx); remaining > 0 {
+		a.deps.Log.WithField("in_flight", remaining).Warn("requests cut off by the end of the grace period")
 	}
 	return nil
 }
@@ -180,8 +180,8 @@
 // post sends msg to the actor. It waits while the mailbox is full.
 func (a *Acceptor) post(msg any) { a.system.Root.Send(a.pid, msg) }
 
-func (a *Acceptor) ask(question any) (any, error) {
-	return a.system.Root.RequestFuture(a.pid, question, askTimeout).Result()
+func (a *Acceptor) ask(query any) (any, error) {
+	return a.system.Root.RequestFuture(a.pid, query, askTimeout).Result()
 }
 
 // Dump implements announcer.Dumper.
--- a/acceptor/directives.go
+++ b/acceptor/directives.go
@@ -34,11 +34,11 @@
 // follow keeps the configuration up to date until ctx ends.
 func (d *directives) follow(ctx context.Context) error {
 	a := d.acceptor
-	var first sync.Once
+	var firstRead sync.Once
 	retry := storeBackoffTimer{clock: a.deps.Clock}
 	for ctx.Err() == nil {
 		err := d.sync(ctx)
-		first.Do(func() { close(a.firstReadDone) })
+		firstRead.Do(func() { close(a.firstReadDone) })
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -78,11 +78,11 @@
 // apply puts items into force, all at once.
 func (d *directives) apply(items []platform.Item) {
 	log := d.acceptor.deps.Log
-	for _, i := range items {
-		directive, err := platform.ParseDirective(i)
+	for _, item := range items {
+		directive, err := platform.ParseDirective(item)
 		switch {
 		case err != nil:
-			log.WithError(err).WithField("key", i.Key).Warn("directive passed over")
+			log.WithError(err).WithField("key", item.Key).Warn("directive passed over")
 		case directive.Configuration != nil:
 			d.setConfiguration(*directive.Configuration)
 		case directive.DataCentre != "" && directive.EndEvacuation:
--- a/acceptor/grid.go
+++ b/acceptor/grid.go
@@ -36,16 +36,16 @@
 // gridAgents returns the agents of an entry's row and column. The first agent
 // of each cell that is reached holds it; those before it stay linked, since other
 // entries may reach them.
-func gridAgents(entry string, list []candidate) []string {
-	side := gridSide(len(list))
+func gridAgents(entry string, candidates []candidate) []string {
+	side := gridSide(len(candidates))
 	row, column := gridPosition(entry, side)
 	cells := make(map[int][]string)
-	reached := make(map[string]bool, len(list))
-	for _, c := range list {
+	reachable := make(map[string]bool, len(candidates))
+	for _, c := range candidates {
 		cell := int(xxhash.Sum64String(c.agent) % uint64(side*side))
 		if cell/side == row || cell%side == column {
 			cells[cell] = append(cells[cell], c.agent)
-			reached[c.agent] = c.reachable
+			reachable[c.agent] = c.reachable
 		}
 	}
 	var out []string
@@ -55,7 +55,7 @@
 		})
 		for _, name := range agents {
 			out = append(out, name)
-			if reached[name] {
+			if reachable[name] {
 				break
 			}
 		}
--- a/acceptor/grid_test.go
+++ b/acceptor/grid_test.go
@@ -15,7 +15,7 @@
 			for e := range entries {
 				id := fmt.Sprintf("entry-%d", e)
 				linked[e] = make(map[string]bool)
-				for _, name := range gridAgents(id, fleet(id, agents)) {
+				for _, name := range gridAgents(id, newCandidates(id, agents)) {
 					linked[e][name] = true
 				}
 				require.LessOrEqual(t, len(linked[e]), 2*gridSide(agents)-1)
@@ -36,12 +36,12 @@
 }
 
 func TestEntryThatCannotReachAGridAgentLinksTheNextOneOfTheCell(t *testing.T) {
-	list := fleet("entry-1", 240)
-	before := gridAgents("entry-1", list)
-	for i := range list {
-		list[i].reachable = list[i].agent != before[0]
+	candidates := newCandidates("entry-1", 240)
+	before := gridAgents("entry-1", candidates)
+	for i := range candidates {
+		candidates[i].reachable = candidates[i].agent != before[0]
 	}
-	after := gridAgents("entry-1", list)
+	after := gridAgents("entry-1", candidates)
 	require.Len(t, after, len(before)+1)
 	require.Subset(t, after, before)
 }
--- a/acceptor/jobs.go
+++ b/acceptor/jobs.go
@@ -33,9 +33,9 @@
 func (a *Acceptor) Submit(ctx context.Context, j scheduler.Job) scheduler.Answer {
 	a.inFlight.Add(1)
 	defer a.inFlight.Add(-1)
-	began := a.deps.Clock.Now()
-	if behind := a.lag.current(); behind > maxLag {
-		a.RecordRejection(j.ID, "entry is behind by "+behind.String())
+	receivedAt := a.deps.Clock.Now()
+	if currentLag := a.lag.current(); currentLag > maxLag {
+		a.RecordRejection(j.ID, "entry is behind by "+currentLag.String())
 		return scheduler.Answer{Outcome: scheduler.Overloaded, RetryAfter: time.Second, Why: "entry is behind"}
 	}
 	if announcer.PeerClosed(ctx) {
@@ -46,7 +46,7 @@
 		a.RecordRejection(j.ID, "entry stops before the job can end")
 		return scheduler.Answer{Outcome: scheduler.Unavailable, RetryAfter: time.Second, Why: "entry stops"}
 	}
-	j.EarliestSent = began.Add(-a.lag.maxUnreadAge())
+	j.EarliestSent = receivedAt.Add(-a.lag.maxUnreadAge())
 	ticket := a.lastTicket.Add(1)
 	reply := make(chan scheduler.Answer, 1)
 	a.post(submitJob{ticket: ticket, job: j, reply: reply})
@@ -57,13 +57,13 @@
 		a.post(callerDisconnected{ticket: ticket})
 		answer = scheduler.Answer{Outcome: scheduler.Cancelled, Why: "caller left"}
 	}
-	a.recordAnswer(j, answer, began, a.deps.Clock.Since(began))
+	a.recordAnswer(j, answer, receivedAt, a.deps.Clock.Since(receivedAt))
 	return answer
 }
 
 // recordAnswer writes the log line and the metrics of an answer.
-func (a *Acceptor) recordAnswer(j scheduler.Job, answer scheduler.Answer, began time.Time, took time.Duration) {
-	a.metrics.observeAnswer(answer.Outcome, took.Seconds())
+func (a *Acceptor) recordAnswer(j scheduler.Job, answer scheduler.Answer, receivedAt time.Time, elapsed time.Duration) {
+	a.metrics.observeAnswer(answer.Outcome, elapsed.Seconds())
 	line := a.deps.Log.WithFields(logrus.Fields{
 		"job":      j.ID,
 		"queue":    j.Queue.Name,
@@ -73,8 +73,8 @@
 		"tasks":    j.FirstStep().Count,
 		"estimate": j.FirstStep().Estimate.Milliseconds(),
 		"cpu":      j.FirstStep().Demand.CPU,
-		"patience": j.Deadline.Sub(began).Milliseconds(),
-		"took_ms":  took.Milliseconds(),
+		"patience": j.Deadline.Sub(receivedAt).Milliseconds(),
+		"took_ms":  elapsed.Milliseconds(),
 	})
 	if r := answer.Refusal; r.Point != "" {
 		a.metrics.countRefusal(j.Queue.Name, r.Point)
@@ -91,8 +91,8 @@
 
 // endsAfterShutdown reports whether a planned stop would cut a job off.
 func (a *Acceptor) endsAfterShutdown(j scheduler.Job) bool {
-	by := a.shutdownDeadline.Load()
-	return by != 0 && a.deps.Clock.Now().Add(j.MaxDuration()).UnixNano() > by
+	deadline := a.shutdownDeadline.Load()
+	return deadline != 0 && a.deps.Clock.Now().Add(j.MaxDuration()).UnixNano() > deadline
 }
 
 // State implements platform.Jobs.
@@ -116,8 +116,8 @@
 }
 
 // ask asks the core a question that it answers with a T.
-func ask[T any](a *Acceptor, question any) T {
-	answer, err := a.ask(question)
+func ask[T any](a *Acceptor, query any) T {
+	answer, err := a.ask(query)
 	if err != nil {
 		a.deps.Log.WithError(err).Warn("question to the core not answered")
 	}
--- a/acceptor/lag.go
+++ b/acceptor/lag.go
@@ -31,23 +31,23 @@
 }
 
 // observeTick notes that the core takes in a tick that was sent at a time.
-func (l *lag) observeTick(sent time.Time) {
+func (l *lag) observeTick(sentAt time.Time) {
 	now := l.clock.Now()
-	if last := l.lastTickAt.Swap(now.UnixNano()); last != 0 && now.UnixNano()-last > int64(maxLag) {
-		l.pauseLength.Store(now.UnixNano() - last + int64(l.maxUnreadAgeAt(last)))
+	if lastTick := l.lastTickAt.Swap(now.UnixNano()); lastTick != 0 && now.UnixNano()-lastTick > int64(maxLag) {
+		l.pauseLength.Store(now.UnixNano() - lastTick + int64(l.maxUnreadAgeAt(lastTick)))
 		l.resumedAt.Store(now.UnixNano())
 	}
-	l.tickDelay.Store(int64(now.Sub(sent)))
+	l.tickDelay.Store(int64(now.Sub(sentAt)))
 }
 
 // current returns how far the core is behind.
 func (l *lag) current() time.Duration {
-	seen := l.lastTickAt.Load()
-	if seen == 0 {
+	lastTick := l.lastTickAt.Load()
+	if lastTick == 0 {
 		return 0
 	}
-	waiting := time.Duration(l.clock.Now().UnixNano()-seen) - tickInterval
-	return max(waiting, time.Duration(l.tickDelay.Load()))
+	overdue := time.Duration(l.clock.Now().UnixNano()-lastTick) - tickInterval
+	return max(overdue, time.Duration(l.tickDelay.Load()))
 }
 
 // maxUnreadAge returns how long a request that is taken on now may have waited to be
@@ -56,9 +56,9 @@
 
 // maxUnreadAgeAt is unread at a time in nanoseconds.
 func (l *lag) maxUnreadAgeAt(now int64) time.Duration {
-	woke := l.resumedAt.Load()
-	since := time.Duration(now - woke)
-	if woke == 0 || since > catchUpWindow {
+	resumedAt := l.resumedAt.Load()
+	since := time.Duration(now - resumedAt)
+	if resumedAt == 0 || since > catchUpWindow {
 		return 0
 	}
 	return time.Duration(l.pauseLength.Load()) + since
--- a/acceptor/lag_test.go
+++ b/acceptor/lag_test.go
@@ -22,7 +22,7 @@
 	require.LessOrEqual(t, l.current(), time.Duration(0), "it has caught up")
 }
 
-func TestRequestReadAfterAPauseMayBeAsOldAsThat(t *testing.T) {
+func TestRequestReadAfterAPauseMayBeAsOldAsThePause(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := lag{clock: clock}
 	l.observeTick(clock.Now())
--- a/acceptor/link.go
+++ b/acceptor/link.go
@@ -23,11 +23,11 @@
 
 // recordTimestamp notes the agent's stamp. The first one is echoed at once, since the
 // agent counts the entry as there by that.
-func (l *agentLink) recordTimestamp(stamp time.Duration) {
+func (l *agentLink) recordTimestamp(timestamp time.Duration) {
 	if l.lastTimestamp == 0 {
 		l.heartbeatAt = time.Time{}
 	}
-	l.lastTimestamp = stamp
+	l.lastTimestamp = timestamp
 }
 
 // sendHeartbeats sends heartbeats that are due.
@@ -36,10 +36,10 @@
 	if len(due) == 0 {
 		return
 	}
-	directives, _ := c.acceptor.Configuration()
-	evacuated := slices.Sorted(maps.Keys(directives.Evacuated))
-	want := c.scheduler.Backlog()
-	held := c.scheduler.HeldJobs()
+	configuration, _ := c.acceptor.Configuration()
+	evacuated := slices.Sorted(maps.Keys(configuration.Evacuated))
+	backlog := c.scheduler.Backlog()
+	heldJobs := c.scheduler.HeldJobs()
 	// What has been named counts from before the stamp on.
 	now := c.acceptor.deps.Clock.Now()
 	for _, l := range due {
@@ -47,11 +47,11 @@
 		l.Send(messenger.Heartbeat{
 			Timestamp:    now.Sub(l.openedAt),
 			Echo:         l.lastTimestamp,
-			Revision:     directives.Revision,
+			Revision:     configuration.Revision,
 			Evacuated:    evacuated,
-			Backlog:      want,
+			Backlog:      backlog,
 			AckedOutcome: c.scheduler.LastOutcome(c.agentByLink[l.Link]),
-			HeldJobs:     held,
+			HeldJobs:     heldJobs,
 		})
 	}
 }
@@ -116,19 +116,19 @@
 // releaseIdleLinks ends the links to agents at which the entry has no runs, and returns
 // the names of those that are not linked any more.
 func (c *entryActor) releaseIdleLinks(agents []string) []string {
-	var out []string
+	var released []string
 	for _, name := range agents {
 		if !c.scheduler.Idle(name) {
 			continue
 		}
-		out = append(out, name)
+		released = append(released, name)
 		if l := c.links[name]; l != nil {
 			c.acceptor.deps.Log.WithField("agent", name).Info("link not needed any more")
 			c.handleLinkClosed(l.Link)
 			l.Close()
 		}
 	}
-	return out
+	return released
 }
 
 // Receive implements messenger.Handler.
--- a/acceptor/link_test.go
+++ b/acceptor/link_test.go
@@ -29,7 +29,7 @@
 	return l
 }
 
-func TestLinkThatEndedBeforeItWasTakenInLeavesNoOldOneBehind(t *testing.T) {
+func TestOldLinkIsClosedEvenIfItsReplacementHasEnded(t *testing.T) {
 	c := newEntryActor(&Acceptor{deps: provider.NewDeps(io.Discard)})
 	first, second := newTestLink(t), newTestLink(t)
 	c.handleLinkOpened(linkOpened{agent: "a", link: first})
--- a/acceptor/linkbudget.go
+++ b/acceptor/linkbudget.go
@@ -44,13 +44,13 @@
 // adjust takes in what the entry needs, and reports whether the number has
 // changed. More links than there are agents are of no use.
 func (b *linkBudget) adjust(need scheduler.CapacityNeed, agents int, now time.Time) bool {
-	least := minLinksFor(need.Workers)
-	next := max(b.limit, least)
+	minLinks := minLinksFor(need.Workers)
+	next := max(b.limit, minLinks)
 	switch {
 	case need.Shortage && next < agents:
 		next = min(next+int(linkGrowthRatio*float64(next)), maxLinks)
 	case !need.Shortage && now.Sub(b.cooldownStart) >= linkShrinkInterval:
-		next = max(next-linkShrinkStep, least)
+		next = max(next-linkShrinkStep, minLinks)
 	}
 	if need.Shortage || next != b.limit {
 		b.cooldownStart = now
--- a/acceptor/linkbudget_test.go
+++ b/acceptor/linkbudget_test.go
@@ -13,17 +13,17 @@
 	const agents = 240
 	now := time.Unix(0, 0)
 	b := newLinkBudget()
-	play := func(short bool, span time.Duration) {
-		for range span / reselectInterval {
+	adjustFor := func(shortage bool, duration time.Duration) {
+		for range duration / reselectInterval {
 			now = now.Add(reselectInterval)
-			b.adjust(scheduler.CapacityNeed{Shortage: short, Workers: 1}, agents, now)
+			b.adjust(scheduler.CapacityNeed{Shortage: shortage, Workers: 1}, agents, now)
 		}
 	}
-	play(true, 2*time.Second)
+	adjustFor(true, 2*time.Second)
 	require.Equal(t, maxLinks, b.limit, "within two seconds of an overload")
-	play(false, linkShrinkInterval/2)
+	adjustFor(false, linkShrinkInterval/2)
 	require.Equal(t, maxLinks, b.limit, "between two bursts")
-	play(false, 30*time.Second)
+	adjustFor(false, 30*time.Second)
 	require.Equal(t, baseLinks, b.limit, "in the end")
 }
 
@@ -34,11 +34,11 @@
 }
 
 func TestEntryThatKeepsManyWorkersBusyKeepsTheirLinks(t *testing.T) {
-	const busy = 15.0
+	const busyWorkers = 15.0
 	b := newLinkBudget()
 	for i := range 100 {
-		b.adjust(scheduler.CapacityNeed{Workers: busy}, 240, time.Unix(int64(i), 0))
-		require.Equal(t, int(linksPerBusyWorker*busy), b.limit)
+		b.adjust(scheduler.CapacityNeed{Workers: busyWorkers}, 240, time.Unix(int64(i), 0))
+		require.Equal(t, int(linksPerBusyWorker*busyWorkers), b.limit)
 	}
 }
 
--- a/acceptor/linkset.go
+++ b/acceptor/linkset.go
@@ -78,7 +78,7 @@
 // follow keeps the targets as the directory has them until ctx ends.
 func (s *linkSet) follow(ctx context.Context) error {
 	a := s.acceptor
-	last := ""
+	lastError := ""
 	go s.reselect(ctx)
 	revision := int64(0)
 	retry := storeBackoffTimer{clock: a.deps.Clock}
@@ -92,7 +92,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		last = announcer.LogDependency(a.deps, "directory", last, err)
+		lastError = announcer.LogDependency(a.deps, "directory", lastError, err)
 		retry.wait(err)
 	}
 	return nil
@@ -132,14 +132,14 @@
 	if err != nil {
 		return 0, err
 	}
-	listed := make(map[string]bool, len(items))
-	for _, i := range items {
-		listed[s.register(i)] = true
+	registered := make(map[string]bool, len(items))
+	for _, item := range items {
+		registered[s.register(item)] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, t := range s.agents {
-		if !listed[name] {
+		if !registered[name] {
 			s.markUnregistered(t)
 		}
 	}
@@ -161,12 +161,12 @@
 
 // applyChanges takes in changes of the directory.
 func (s *linkSet) applyChanges(ctx context.Context, items []platform.Item) {
-	for _, i := range items {
-		if i.Deleted {
-			s.handleDeletion(i.Key[len(platform.AgentPrefix):])
+	for _, item := range items {
+		if item.Deleted {
+			s.handleDeletion(item.Key[len(platform.AgentPrefix):])
 			continue
 		}
-		s.register(i)
+		s.register(item)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,26 +174,26 @@
 }
 
 // register notes a registered agent and returns its name.
-func (s *linkSet) register(i platform.Item) string {
-	r, err := platform.ParseRegistration(i)
+func (s *linkSet) register(item platform.Item) string {
+	registration, err := platform.ParseRegistration(item)
 	if err != nil {
-		s.acceptor.deps.Log.WithError(err).WithField("key", i.Key).Warn("registration passed over")
+		s.acceptor.deps.Log.WithError(err).WithField("key", item.Key).Warn("registration passed over")
 		return ""
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.agents[r.Agent]; t != nil {
+	if t := s.agents[registration.Agent]; t != nil {
 		t.registered = true
-		if t.registration.SameEndpoint(r) {
-			return r.Agent
+		if t.registration.SameEndpoint(registration) {
+			return registration.Agent
 		}
 		if t.stopLink != nil {
 			t.stopLink()
 		}
 	}
-	s.agents[r.Agent] = &knownAgent{registration: r, registered: true, rank: rankOf(s.acceptor.cfg.ID, r.Agent)}
+	s.agents[registration.Agent] = &knownAgent{registration: registration, registered: true, rank: rankOf(s.acceptor.cfg.ID, registration.Agent)}
 	s.selectionStale = true
-	return r.Agent
+	return registration.Agent
 }
 
 // reselect links more agents as others fail or the entry is short of room, and
@@ -228,10 +228,10 @@
 	if len(names) == 0 {
 		return
 	}
-	idle := ask[[]string](s.acceptor, releaseLinks{agents: names})
+	released := ask[[]string](s.acceptor, releaseLinks{agents: names})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, name := range idle {
+	for _, name := range released {
 		if t := s.agents[name]; t != nil && t.stopLink != nil {
 			t.stopLink()
 			t.stopLink = nil
@@ -244,37 +244,37 @@
 // updateLinks opens links to the chosen agents, if something has changed since they
 // were last chosen. The caller holds mu.
 func (s *linkSet) updateLinks(ctx context.Context) {
-	c, _ := s.acceptor.Configuration()
-	if !s.selectionStale && c.Revision == s.selectedRevision {
+	configuration, _ := s.acceptor.Configuration()
+	if !s.selectionStale && configuration.Revision == s.selectedRevision {
 		return
 	}
 	s.selectionStale = false
-	s.selectedRevision = c.Revision
-	list := make([]candidate, 0, len(s.agents))
+	s.selectedRevision = configuration.Revision
+	candidates := make([]candidate, 0, len(s.agents))
 	for name, t := range s.agents {
 		dc := t.registration.DataCentre
-		reached := t.dialFailures < maxDialFailures
-		list = append(list, candidate{
+		reachable := t.dialFailures < maxDialFailures
+		candidates = append(candidates, candidate{
 			agent:      name,
 			dataCentre: dc,
 			rank:       t.rank,
-			reachable:  reached,
-			usable:     reached && !c.Evacuated[dc],
+			reachable:  reachable,
+			usable:     reachable && !configuration.Evacuated[dc],
 		})
 	}
-	wanted := s.selectAll(list)
-	for name := range wanted {
+	selected := s.selectAll(candidates)
+	for name := range selected {
 		t := s.agents[name]
 		if t.stopLink != nil {
 			continue
 		}
-		var inner context.Context
-		inner, t.stopLink = context.WithCancel(ctx)
-		go s.maintainLink(inner, t.registration)
+		var linkCtx context.Context
+		linkCtx, t.stopLink = context.WithCancel(ctx)
+		go s.maintainLink(linkCtx, t.registration)
 	}
 	s.surplus = nil
 	for name, t := range s.agents {
-		if t.stopLink != nil && !wanted[name] {
+		if t.stopLink != nil && !selected[name] {
 			s.surplus = append(s.surplus, name)
 		}
 	}
@@ -282,23 +282,23 @@
 
 // selectAll returns the agents to link: those for the entry's tasks, and those at
 // which it meets the other entries.
-func (s *linkSet) selectAll(list []candidate) map[string]bool {
+func (s *linkSet) selectAll(candidates []candidate) map[string]bool {
 	id, dc := s.acceptor.cfg.ID, s.acceptor.cfg.DataCentre
 	out := make(map[string]bool)
-	for _, name := range slices.Concat(selectAgents(dc, list, s.budget.limit), gridAgents(id, list)) {
+	for _, name := range slices.Concat(selectAgents(dc, candidates, s.budget.limit), gridAgents(id, candidates)) {
 		out[name] = true
 	}
 	return out
 }
 
 // recordDial notes the outcome of a dial.
-func (s *linkSet) recordDial(name string, good bool) {
+func (s *linkSet) recordDial(name string, succeeded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.agents[name]
 	switch {
 	case t == nil:
-	case good:
+	case succeeded:
 		s.selectionStale = s.selectionStale || t.dialFailures >= maxDialFailures
 		t.dialFailures = 0
 	default:
@@ -361,9 +361,9 @@
 			a.deps.Log.WithField("agent", r.Agent).Info("agent forgotten")
 			return
 		}
-		pause := redialDelay(failures)
+		delay := redialDelay(failures)
 		failures++
-		a.deps.Clock.Sleep(jittered(pause))
+		a.deps.Clock.Sleep(jittered(delay))
 	}
 }
 
--- a/acceptor/linkset_test.go
+++ b/acceptor/linkset_test.go
@@ -14,13 +14,13 @@
 )
 
 func TestRedialsComeOftenAtFirstAndSeldomInTheEnd(t *testing.T) {
-	var first time.Duration
-	const early = 10
-	for i := range early {
-		first += redialDelay(i)
+	var total time.Duration
+	const redials = 10
+	for i := range redials {
+		total += redialDelay(i)
 	}
 	// Machines that return from an outage start within 300 ms of each other.
-	require.LessOrEqual(t, first, 300*time.Millisecond)
+	require.LessOrEqual(t, total, 300*time.Millisecond)
 	require.Equal(t, maxRedialDelay, redialDelay(100))
 	require.Equal(t, maxRedialDelay, redialDelay(1_000_000))
 }
@@ -54,11 +54,11 @@
 }
 
 func TestFailedCallsToTheStoreAreSpacedByBackoff(t *testing.T) {
-	var span time.Duration
-	const tries = 10
-	for i := range tries {
-		span += storeBackoff(i + 1)
+	var total time.Duration
+	const failures = 10
+	for i := range failures {
+		total += storeBackoff(i + 1)
 	}
-	require.GreaterOrEqual(t, span, 5*time.Second)
+	require.GreaterOrEqual(t, total, 5*time.Second)
 	require.LessOrEqual(t, storeBackoff(1_000_000), maxStoreBackoff)
 }
--- a/acceptor/selection.go
+++ b/acceptor/selection.go
@@ -31,20 +31,20 @@
 // selectAgents returns the agents at which an entry has its tasks run: the first most
 // of its own ranking. Agents that are not usable are passed over in the count, so
 // that others take their place.
-func selectAgents(dataCentre string, list []candidate, most int) []string {
-	sorted := slices.Clone(list)
+func selectAgents(dataCentre string, candidates []candidate, limit int) []string {
+	sorted := slices.Clone(candidates)
 	slices.SortFunc(sorted, func(a, b candidate) int {
 		if c := cmp.Compare(a.rank, b.rank); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.agent, b.agent)
 	})
-	chosen := make(map[string]bool)
-	count := selectMatching(chosen, sorted, int(localLinkShare*float64(most)), func(c candidate) bool { return c.dataCentre == dataCentre })
-	selectMatching(chosen, sorted, most-count, func(candidate) bool { return true })
+	selected := make(map[string]bool)
+	local := selectMatching(selected, sorted, int(localLinkShare*float64(limit)), func(c candidate) bool { return c.dataCentre == dataCentre })
+	selectMatching(selected, sorted, limit-local, func(candidate) bool { return true })
 	var out []string
 	for _, c := range sorted {
-		if chosen[c.agent] {
+		if selected[c.agent] {
 			out = append(out, c.agent)
 		}
 	}
@@ -53,16 +53,16 @@
 
 // selectMatching adds the first candidates that suit until most usable ones have been
 // added, and returns how many were.
-func selectMatching(chosen map[string]bool, list []candidate, most int, suits func(candidate) bool) int {
+func selectMatching(selected map[string]bool, candidates []candidate, limit int, matches func(candidate) bool) int {
 	n := 0
-	for _, c := range list {
-		if n >= most {
+	for _, c := range candidates {
+		if n >= limit {
 			break
 		}
-		if chosen[c.agent] || !suits(c) {
+		if selected[c.agent] || !matches(c) {
 			continue
 		}
-		chosen[c.agent] = true
+		selected[c.agent] = true
 		if c.usable {
 			n++
 		}
--- a/acceptor/selection_test.go
+++ b/acceptor/selection_test.go
@@ -7,25 +7,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-func fleet(entry string, n int) []candidate {
-	var list []candidate
+func newCandidates(entry string, n int) []candidate {
+	var candidates []candidate
 	for i := range n {
 		agent := fmt.Sprintf("agent-%d", i)
-		list = append(list, candidate{agent: agent, dataCentre: fmt.Sprintf("dc-%d", i%3), rank: rankOf(entry, agent), reachable: true, usable: true})
+		candidates = append(candidates, candidate{agent: agent, dataCentre: fmt.Sprintf("dc-%d", i%3), rank: rankOf(entry, agent), reachable: true, usable: true})
 	}
-	return list
+	return candidates
 }
 
 func TestSmallFleetIsLinkedWhole(t *testing.T) {
-	require.Len(t, selectAgents("dc-0", fleet("entry-1", 11), baseLinks), 11)
+	require.Len(t, selectAgents("dc-0", newCandidates("entry-1", 11), baseLinks), 11)
 }
 
 func TestLinksAreBoundedAndMostlyLocal(t *testing.T) {
-	list := fleet("entry-1", 300)
-	chosen := selectAgents("dc-0", list, baseLinks)
-	require.Len(t, chosen, baseLinks)
+	candidates := newCandidates("entry-1", 300)
+	selected := selectAgents("dc-0", candidates, baseLinks)
+	require.Len(t, selected, baseLinks)
 	local := 0
-	for _, name := range chosen {
+	for _, name := range selected {
 		var i int
 		_, err := fmt.Sscanf(name, "agent-%d", &i)
 		require.NoError(t, err)
@@ -39,8 +39,8 @@
 func TestEveryAgentOfAGrownFleetIsLinked(t *testing.T) {
 	links := make(map[string]int)
 	for e := range 12 {
-		list := fleet(fmt.Sprintf("entry-%d", e), 68)
-		for _, name := range selectAgents(fmt.Sprintf("dc-%d", e%3), list, baseLinks) {
+		candidates := newCandidates(fmt.Sprintf("entry-%d", e), 68)
+		for _, name := range selectAgents(fmt.Sprintf("dc-%d", e%3), candidates, baseLinks) {
 			links[name]++
 		}
 	}
@@ -48,15 +48,15 @@
 }
 
 func TestAgentsThatAreNotUsableAreReplaced(t *testing.T) {
-	list := fleet("entry-1", 68)
-	before := selectAgents("dc-0", list, baseLinks)
-	for i := range list {
-		list[i].usable = list[i].dataCentre != "dc-0"
+	candidates := newCandidates("entry-1", 68)
+	before := selectAgents("dc-0", candidates, baseLinks)
+	for i := range candidates {
+		candidates[i].usable = candidates[i].dataCentre != "dc-0"
 	}
-	after := selectAgents("dc-0", list, baseLinks)
+	after := selectAgents("dc-0", candidates, baseLinks)
 	usable := 0
 	for _, name := range after {
-		for _, c := range list {
+		for _, c := range candidates {
 			if c.agent == name && c.usable {
 				usable++
 			}
@@ -66,10 +66,10 @@
 	require.Subset(t, after, before)
 }
 
-func TestEntryShortOfRoomLinksMoreAgentsAndKeepsThoseThatItHas(t *testing.T) {
-	list := fleet("entry-1", 68)
-	before := selectAgents("dc-0", list, baseLinks)
-	after := selectAgents("dc-0", list, baseLinks+linkShrinkStep)
+func TestEntryShortOfCapacityLinksMoreAgentsAndKeepsThoseThatItHas(t *testing.T) {
+	candidates := newCandidates("entry-1", 68)
+	before := selectAgents("dc-0", candidates, baseLinks)
+	after := selectAgents("dc-0", candidates, baseLinks+linkShrinkStep)
 	require.Len(t, after, baseLinks+linkShrinkStep)
 	require.Subset(t, after, before)
 }
--- a/attendant/actor.go
+++ b/attendant/actor.go
@@ -112,13 +112,13 @@
 // handleHeartbeat takes in the worker's word, unless a later one has come before.
 func (c *agentActor) handleHeartbeat(h platform.Heartbeat) {
 	up := c.executor.Upstream()
-	same := h.ID == up.ID && h.Born == up.Born
-	late := h.ID == c.lastHeartbeat.ID && h.Born == c.lastHeartbeat.Born && h.Sequence < c.lastHeartbeat.Sequence
-	if h.Born < up.Born || late {
+	sameIncarnation := h.ID == up.ID && h.Born == up.Born
+	outdated := h.ID == c.lastHeartbeat.ID && h.Born == c.lastHeartbeat.Born && h.Sequence < c.lastHeartbeat.Sequence
+	if h.Born < up.Born || outdated {
 		c.attendant.deps.Log.WithField("worker", h.ID).WithField("sequence", h.Sequence).Info("late heartbeat passed over")
 		return
 	}
-	if !same || h.Draining != up.Draining {
+	if !sameIncarnation || h.Draining != up.Draining {
 		c.attendant.deps.Log.WithFields(logrus.Fields{
 			"worker":   h.ID,
 			"born":     h.Born,
@@ -216,11 +216,11 @@
 }
 
 func (a *Attendant) start(s executor.Start) {
-	out, err := a.worker.Start(a.ctx, s)
+	result, err := a.worker.Start(a.ctx, s)
 	if err != nil {
 		a.deps.Log.WithError(err).WithField("task", s.Run.Task).WithField("run", s.Run.Number).WithField("token", s.Token).Warn("start failed")
 	}
-	a.post(startResult{start: s, result: out})
+	a.post(startResult{start: s, result: result})
 }
 
 func (a *Attendant) stop(s executor.Stop) {
@@ -230,11 +230,11 @@
 }
 
 func (a *Attendant) poll(l executor.Poll) {
-	seen, out, err := a.worker.Poll(a.ctx, l)
+	result, callResult, err := a.worker.Poll(a.ctx, l)
 	if err != nil && a.ctx.Err() == nil {
 		a.deps.Log.WithError(err).WithField("worker", l.Upstream.ID).WithField("token", l.Token).Warn("look failed")
 	}
-	a.post(pollResult{result: seen, callResult: out})
+	a.post(pollResult{result: result, callResult: callResult})
 }
 
 func (a *Attendant) logNote(n executor.Note) {
--- a/attendant/actor_test.go
+++ b/attendant/actor_test.go
@@ -38,21 +38,21 @@
 		worker:          noWorker{},
 		upstreamUpdates: make(chan messenger.Upstream, 1),
 	})
-	beat := func(id string, born, sequence int64, draining bool) {
+	handleHeartbeat := func(id string, born, sequence int64, draining bool) {
 		c.handleHeartbeat(platform.Heartbeat{
 			Upstream: messenger.Upstream{ID: id, Born: born, Service: "quotes", Draining: draining},
 			Sequence: sequence,
 		})
 	}
-	beat("w", 1, 5, false)
-	beat("stranger", 2, 1000, false)
+	handleHeartbeat("w", 1, 5, false)
+	handleHeartbeat("stranger", 2, 1000, false)
 	for _, e := range c.executor.TakeEffects() {
 		if l, ok := e.(executor.Poll); ok {
 			c.executor.HandlePollFailure(l.Number, executor.Misdirected)
 		}
 	}
 	require.Equal(t, "w", c.executor.Upstream().ID)
-	beat("w", 1, 6, true)
+	handleHeartbeat("w", 1, 6, true)
 	require.True(t, c.executor.Upstream().Draining)
 }
 
@@ -63,11 +63,11 @@
 		worker:          noWorker{},
 		upstreamUpdates: make(chan messenger.Upstream, 1),
 	})
-	room := messenger.Resources{CPU: 8000}
-	c.handleHeartbeat(platform.Heartbeat{Upstream: messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: room}, Sequence: 1})
+	capacity := messenger.Resources{CPU: 8000}
+	c.handleHeartbeat(platform.Heartbeat{Upstream: messenger.Upstream{ID: "w", Born: 1, Service: "quotes", Capacity: capacity}, Sequence: 1})
 	link := new(messenger.Link)
 	c.handleLinkMessage(linkMessage{link: link, msg: &messenger.Hello{Entry: "e", Incarnation: 1}})
-	want := messenger.Resources{CPU: 4000}
-	c.handleLinkMessage(linkMessage{link: link, msg: &messenger.Reserve{Number: 1, Demand: want, TTL: time.Second}})
-	require.Equal(t, want, c.executor.ReservedCapacity())
+	demand := messenger.Resources{CPU: 4000}
+	c.handleLinkMessage(linkMessage{link: link, msg: &messenger.Reserve{Number: 1, Demand: demand, TTL: time.Second}})
+	require.Equal(t, demand, c.executor.ReservedCapacity())
 }
--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -118,25 +118,25 @@
 
 // Run serves until ctx ends, then lets what runs come to its end.
 func (a *Attendant) Run(ctx context.Context) error {
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	a.ctx = inner
+	a.ctx = runCtx
 	a.pid = a.system.Root.Spawn(actor.PropsFromProducer(
 		func() actor.Actor { return newAgentActor(a) },
 		actor.WithMailbox(actor.Bounded(mailboxSize)),
-		actor.WithDispatcher(announcer.NewDispatcher(inner)),
+		actor.WithDispatcher(announcer.NewDispatcher(runCtx)),
 	))
 	defer a.system.Shutdown()
 	control := &http.Server{Handler: platform.NewHeartbeatHandler(a), ReadHeaderTimeout: time.Second}
 	metrics := &http.Server{Handler: announcer.NewMetricsHandler(a.deps, a), ReadHeaderTimeout: time.Second}
 
 	var g run.Group
-	g.Add(func() error { return a.drainOnShutdown(ctx, inner) }, func(error) { cancel() })
+	g.Add(func() error { return a.drainOnShutdown(ctx, runCtx) }, func(error) { cancel() })
 	g.Add(func() error { return announcer.Serve(control, a.listeners.control) }, func(error) { _ = control.Close() })
 	g.Add(func() error { return announcer.Serve(metrics, a.listeners.metrics) }, func(error) { _ = metrics.Close() })
-	g.Add(func() error { return a.acceptLinks(inner) }, func(error) { _ = a.listeners.link.Close() })
-	g.Add(func() error { return a.tick(inner) }, func(error) { cancel() })
-	g.Add(func() error { return a.keepRegistered(inner) }, func(error) { cancel() })
+	g.Add(func() error { return a.acceptLinks(runCtx) }, func(error) { _ = a.listeners.link.Close() })
+	g.Add(func() error { return a.tick(runCtx) }, func(error) { cancel() })
+	g.Add(func() error { return a.keepRegistered(runCtx) }, func(error) { cancel() })
 	a.deps.Log.WithField("link", a.cfg.LinkAddr).WithField("token", a.identity.Token).Info("agent started")
 	err := g.Run()
 	a.deps.Log.Info("agent stopped")
@@ -145,24 +145,24 @@
 
 // drainOnShutdown waits for the planned stop, refuses what is new and waits for
 // what runs.
-func (a *Attendant) drainOnShutdown(ctx, inner context.Context) error {
+func (a *Attendant) drainOnShutdown(ctx, runCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-inner.Done():
+	case <-runCtx.Done():
 		return nil
 	}
 	a.deps.Log.Info("agent draining")
 	a.post(shutdown{})
-	limit, cancel := context.WithTimeout(inner, a.cfg.GracePeriod-gracePeriodMargin)
+	drainCtx, cancel := context.WithTimeout(runCtx, a.cfg.GracePeriod-gracePeriodMargin)
 	defer cancel()
-	for limit.Err() == nil {
-		if answer, err := a.ask(idleQuery{}); err == nil && answer == true {
+	for drainCtx.Err() == nil {
+		if idle, err := a.ask(idleQuery{}); err == nil && idle == true {
 			break
 		}
 		a.deps.Clock.Sleep(tickInterval)
 	}
 	a.deps.Clock.Sleep(reportFlushDelay)
-	if err := a.directory.Deregister(inner); err != nil {
+	if err := a.directory.Deregister(runCtx); err != nil {
 		a.deps.Log.WithError(err).Warn("registration not removed")
 	}
 	return nil
@@ -170,7 +170,7 @@
 
 func (a *Attendant) acceptLinks(ctx context.Context) error {
 	for {
-		socket, err := a.listeners.link.Accept()
+		conn, err := a.listeners.link.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -179,7 +179,7 @@
 			a.deps.Clock.Sleep(tickInterval)
 			continue
 		}
-		messenger.NewLink(socket, a)
+		messenger.NewLink(conn, a)
 	}
 }
 
@@ -190,20 +190,20 @@
 // keepRegistered keeps the agent in the directory.
 func (a *Attendant) keepRegistered(ctx context.Context) error {
 	up, err := a.directory.LastUpstream(ctx)
-	last := announcer.LogDependency(a.deps, "store", "", err)
+	lastError := announcer.LogDependency(a.deps, "store", "", err)
 	if up.Born != 0 {
 		a.post(upstreamRestored{upstream: up})
 		a.directory.SetUpstream(up)
 	}
 	for {
-		pause, err := a.directory.Renew(ctx)
-		last = announcer.LogDependency(a.deps, "store", last, err)
+		delay, err := a.directory.Renew(ctx)
+		lastError = announcer.LogDependency(a.deps, "store", lastError, err)
 		select {
 		case <-ctx.Done():
 			return nil
 		case up := <-a.upstreamUpdates:
 			a.directory.SetUpstream(up)
-		case <-a.deps.Clock.After(pause):
+		case <-a.deps.Clock.After(delay):
 		}
 	}
 }
@@ -220,8 +220,8 @@
 // post sends msg to the actor. It waits while the mailbox is full.
 func (a *Attendant) post(msg any) { a.system.Root.Send(a.pid, msg) }
 
-func (a *Attendant) ask(question any) (any, error) {
-	return a.system.Root.RequestFuture(a.pid, question, askTimeout).Result()
+func (a *Attendant) ask(query any) (any, error) {
+	return a.system.Root.RequestFuture(a.pid, query, askTimeout).Result()
 }
 
 // Dump implements announcer.Dumper.
--- a/attendant/callpool_test.go
+++ b/attendant/callpool_test.go
@@ -9,27 +9,27 @@
 )
 
 func TestCallsDoNotWaitForEachOther(t *testing.T) {
-	const many = 5 * pooledGoroutines
+	const calls = 5 * pooledGoroutines
 	c := newCallPool(t.Context())
 	for range 3 {
-		var began, ended sync.WaitGroup
+		var started, ended sync.WaitGroup
 		release := make(chan struct{})
-		began.Add(many)
-		ended.Add(many)
-		for range many {
+		started.Add(calls)
+		ended.Add(calls)
+		for range calls {
 			c.run(func() {
-				began.Done()
+				started.Done()
 				<-release
 				ended.Done()
 			})
 		}
-		all := make(chan struct{})
+		allStarted := make(chan struct{})
 		go func() {
-			began.Wait()
-			close(all)
+			started.Wait()
+			close(allStarted)
 		}()
 		select {
-		case <-all:
+		case <-allStarted:
 		case <-time.After(5 * time.Second):
 			t.Fatal("a call waits for another one")
 		}
