--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -1,7 +1,7 @@
-// Package acceptor is the entry process: it takes callers' requests, keeps
-// links to the agents, follows the operators' directives, and carries out what
-// a scheduler decides. One actor owns the scheduler; everything else sends it
-// typed messages through its bounded mailbox.
+// Package acceptor implements the entry process: it accepts callers' requests, keeps
+// links to the agents, follows the operators' directives, and applies the effects that
+// a scheduler decides on. One actor owns the scheduler; everything else sends it typed
+// messages through its bounded mailbox.
 package acceptor
 
 import (
@@ -21,45 +21,46 @@
 )
 
 const (
-	// tickInterval is the time between two looks at what has come due.
+	// tickInterval is the time between two checks for due work.
 	tickInterval = 10 * time.Millisecond
 	// mailboxSize bounds the messages that wait for the actor.
 	mailboxSize = 8192
-	// askTimeout bounds the wait for the actor's answer to a question.
+	// askTimeout bounds the wait for the actor's answer to a query.
 	askTimeout = time.Second
-	// gracePeriodMargin is what a planned stop leaves of the time it has.
+	// gracePeriodMargin is the part of the grace period that remains after the drain.
 	gracePeriodMargin = 700 * time.Millisecond
-	// deregistrationDelay is how long a stopping entry still takes connections, so that
-	// the balancer can turn away from it.
+	// deregistrationDelay is how long an entry that shuts down still accepts
+	// connections, so that the balancer can stop sending requests to it.
 	deregistrationDelay = 3200 * time.Millisecond
-	// idleConnTimeout closes callers' connections that are not used.
+	// idleConnTimeout is the time without use after which a caller's connection is
+	// closed.
 	idleConnTimeout = 2 * time.Minute
 	headerTimeout   = 3 * time.Second
 )
 
-// Store is what an entry needs of the platform's store.
+// Store is the part of the platform's store that an entry uses.
 type Store interface {
 	List(ctx context.Context, prefix string) ([]platform.Item, int64, error)
 	Watch(ctx context.Context, prefix string, revision int64, wait time.Duration) ([]platform.Item, int64, error)
 }
 
-// Config describes one entry.
+// Config configures one entry.
 type Config struct {
 	ID         string
 	DataCentre string
-	// FrontAddr is where callers arrive.
+	// FrontAddr is the address that serves callers.
 	FrontAddr string
-	// ReadyAddr is where the balancer asks.
+	// ReadyAddr is the address that serves the balancer's readiness checks.
 	ReadyAddr string
-	// MetricsAddr is where metrics and the state dump are served.
+	// MetricsAddr is the address that serves metrics and the state dump.
 	MetricsAddr string
-	// GracePeriod bounds a planned stop.
+	// GracePeriod bounds a shutdown.
 	GracePeriod time.Duration
-	// MinResendDelay is the least time after which a caller that got no answer sends
-	// its job again.
+	// MinResendDelay is the minimum time after which a caller that got no answer
+	// sends its job again.
 	MinResendDelay time.Duration
-	// FarFactor is how many times as long a task takes away from its data; 0 or 1
-	// means that this makes no difference.
+	// FarFactor is the factor by which a task takes longer away from its data; 0 or
+	// 1 means that this makes no difference.
 	FarFactor float64
 }
 
@@ -72,14 +73,15 @@
 	listeners   struct{ front, ready, metrics net.Listener }
 	system      *actor.ActorSystem
 	pid         *actor.PID
-	// configuration is the one in force; nil before the first.
+	// configuration is the one in force; nil before the first one.
 	configuration atomic.Pointer[scheduler.Configuration]
-	// firstReadDone is closed when the first read of the operators' directives has an
-	// outcome.
+	// firstReadDone is closed when the first read of the operators' directives has
+	// succeeded or failed.
 	firstReadDone chan struct{}
-	// hasLinks is whether a worker can be reached.
+	// hasLinks reports whether a link to an agent is open.
 	hasLinks atomic.Bool
-	// shutdownDeadline is when a planned stop ends, in Unix nanoseconds; zero before one.
+	// shutdownDeadline is when the drain of a shutdown ends, in Unix nanoseconds; zero
+	// before a shutdown.
 	shutdownDeadline atomic.Int64
 	lastTicket       atomic.Uint64
 	inFlight         atomic.Int64
@@ -87,7 +89,8 @@
 	lag              lag
 }
 
-// NewAcceptor returns an entry that listens already.
+// NewAcceptor returns an entry whose listeners are open. It fails if an address cannot
+// be listened on.
 func NewAcceptor(deps provider.Deps, cfg Config, store Store) (*Acceptor, error) {
 	a := &Acceptor{
 		deps:          deps.WithField("entry", cfg.ID).WithField("data_centre", cfg.DataCentre),
@@ -111,7 +114,8 @@
 	return a, nil
 }
 
-// Run serves until ctx ends, then answers every request in flight and stops.
+// Run serves until ctx ends. It then waits within the grace period until the requests in
+// flight have been answered, and returns.
 func (a *Acceptor) Run(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -142,20 +146,22 @@
 	a.deps.Log.WithField("front", a.cfg.FrontAddr).Info("entry started")
 	if a.cfg.MinResendDelay < scheduler.AgentLossTimeout {
 		a.deps.Log.WithField("resend", a.cfg.MinResendDelay.String()).WithField("needed", scheduler.AgentLossTimeout.String()).
-			Warn("callers may send jobs again while runs of a lost entry go on")
+			Warn("callers may resend jobs while runs of a lost entry continue")
 	}
 	err := g.Run()
 	a.deps.Log.Info("entry stopped")
 	return err
 }
 
-// isReady reports whether callers are better served here than elsewhere.
+// isReady reports whether the balancer should send callers to this entry: it is not
+// shutting down, has a configuration and has a link to an agent.
 func (a *Acceptor) isReady() bool {
 	return !a.Stopping() && a.configuration.Load() != nil && a.hasLinks.Load()
 }
 
-// drainOnShutdown waits for the planned stop, turns the balancer away, and waits
-// until every request has been answered.
+// drainOnShutdown waits for ctx to end. It then makes the readiness check fail, waits
+// for the balancer to notice, and waits until every request has been answered or only
+// gracePeriodMargin of the grace period remains.
 func (a *Acceptor) drainOnShutdown(ctx, runCtx context.Context, front *announcer.GracefulServer) error {
 	select {
 	case <-ctx.Done():
@@ -168,7 +174,7 @@
 	defer cancel()
 	a.deps.Clock.Sleep(deregistrationDelay)
 	if remaining := front.Drain(drainCtx); remaining > 0 {
-		a.deps.Log.WithField("in_flight", remaining).Warn("requests cut off by the end of the grace period")
+		a.deps.Log.WithField("in_flight", remaining).Warn("requests aborted at the end of the grace period")
 	}
 	return nil
 }
@@ -177,7 +183,7 @@
 	return announcer.Tick(ctx, a.deps.Clock, tickInterval, func() { a.post(tick{sentAt: a.deps.Clock.Now()}) })
 }
 
-// post sends msg to the actor. It waits while the mailbox is full.
+// post sends msg to the actor. It blocks while the mailbox is full.
 func (a *Acceptor) post(msg any) { a.system.Root.Send(a.pid, msg) }
 
 func (a *Acceptor) ask(query any) (any, error) {
--- a/acceptor/actor.go
+++ b/acceptor/actor.go
@@ -10,33 +10,33 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// The messages of the core.
+// Messages to the entry's actor.
 type (
-	// tick asks for a look at what has come due.
+	// tick makes the actor process due work.
 	tick struct{ sentAt time.Time }
 	// dumpQuery asks for a scheduler.Dump.
 	dumpQuery struct{}
-	// submitJob hands a job in.
+	// submitJob submits a job.
 	submitJob struct {
 		ticket uint64
 		job    scheduler.Job
 		reply  chan scheduler.Answer
 	}
-	// callerDisconnected tells that a caller has gone.
+	// callerDisconnected reports that the caller of a job has disconnected.
 	callerDisconnected struct{ ticket uint64 }
 	// configurationChanged carries a new configuration.
 	configurationChanged struct{ configuration scheduler.Configuration }
-	// stateQuery, cancelJob and waitingQuery ask for a job's state,
-	// cancel a job, and count a queue's waiting jobs.
+	// stateQuery asks for a job's state, cancelJob cancels a job, and waitingQuery
+	// asks for the number of a queue's waiting jobs.
 	stateQuery   struct{ job string }
 	cancelJob    struct{ job string }
 	waitingQuery struct{ queue string }
-	// needQuery asks for the scheduler.Need.
+	// needQuery asks for the scheduler.CapacityNeed.
 	needQuery struct{}
-	// releaseLinks asks to end the links to agents on which nothing depends,
-	// and for their names.
+	// releaseLinks closes the links to those agents at which the entry has no runs.
+	// The answer holds the names of the agents that are not linked afterwards.
 	releaseLinks struct{ agents []string }
-	// linkOpened tells of a new link to an agent.
+	// linkOpened carries a new link to an agent.
 	linkOpened struct {
 		agent string
 		link  *messenger.Link
@@ -46,21 +46,24 @@
 		link *messenger.Link
 		msg  any
 	}
-	// linkClosed tells that a link has ended.
+	// linkClosed reports that a link has ended.
 	linkClosed struct{ link *messenger.Link }
 )
 
-// minPause is the least time without any message that counts as a pause.
+// minPause is the minimum time without activity of the actor that counts as a pause of
+// the process.
 const minPause = 200 * time.Millisecond
 
-// entryActor owns the scheduler.
+// entryActor owns the scheduler and applies its effects.
 type entryActor struct {
-	acceptor    *Acceptor
-	scheduler   *scheduler.Scheduler
-	replies     map[uint64]chan scheduler.Answer
+	acceptor  *Acceptor
+	scheduler *scheduler.Scheduler
+	// replies maps the ticket of a submitted job to the channel for its answer.
+	replies map[uint64]chan scheduler.Answer
+	// links maps the name of an agent to the open link to it.
 	links       map[string]*agentLink
 	agentByLink map[*messenger.Link]string
-	// lastActiveAt is when the last message was taken in or had been dealt with.
+	// lastActiveAt is when the processing of the last message began or ended.
 	lastActiveAt time.Time
 }
 
@@ -113,8 +116,9 @@
 	c.detectPause()
 }
 
-// detectPause tells the scheduler of a pause of the process, between messages or
-// within one: a tick comes sooner.
+// detectPause reports a pause of the process to the scheduler. It is called before and
+// after each message, so it finds pauses between messages and during one. Without a
+// pause, a tick comes sooner than minPause.
 func (c *entryActor) detectPause() {
 	now := c.acceptor.deps.Clock.Now()
 	if !c.lastActiveAt.IsZero() && now.Sub(c.lastActiveAt) > minPause {
@@ -123,7 +127,7 @@
 	c.lastActiveAt = now
 }
 
-// applyEffects does what the scheduler decided.
+// applyEffects applies the scheduler's pending effects.
 func (c *entryActor) applyEffects() {
 	for _, e := range c.scheduler.TakeEffects() {
 		switch e := e.(type) {
--- a/acceptor/directives.go
+++ b/acceptor/directives.go
@@ -14,17 +14,21 @@
 )
 
 // directiveWatchTimeout is how long one watch of the directives waits. It bounds how
-// long a connection that has gone silent hides a change.
+// long a connection that no longer responds can hide a change.
 const directiveWatchTimeout = 600 * time.Millisecond
 
-// directives follows what the operators ask for in the store.
+// directives follows the operators' directives in the store.
 type directives struct {
-	acceptor         *Acceptor
-	revision         int64
+	acceptor *Acceptor
+	// revision is the store's revision up to which the directives have been read;
+	// zero if they have to be listed anew.
+	revision int64
+	// lastError is the text of the store's last error; "" if the last call succeeded.
 	lastError        string
 	configuration    scheduler.Configuration
 	hasConfiguration bool
-	evacuated        map[string]bool
+	// evacuated holds the data centres under evacuation.
+	evacuated map[string]bool
 }
 
 func newDirectives(a *Acceptor) *directives {
@@ -51,7 +55,8 @@
 	return nil
 }
 
-// sync takes in one list or one watch.
+// sync applies the result of one list, or of one watch if the directives have been
+// listed before.
 func (d *directives) sync(ctx context.Context) error {
 	store := d.acceptor.store
 	if d.revision == 0 {
@@ -75,14 +80,14 @@
 	return nil
 }
 
-// apply puts items into force, all at once.
+// apply parses items and puts all of them into force in one configuration.
 func (d *directives) apply(items []platform.Item) {
 	log := d.acceptor.deps.Log
 	for _, item := range items {
 		directive, err := platform.ParseDirective(item)
 		switch {
 		case err != nil:
-			log.WithError(err).WithField("key", item.Key).Warn("directive passed over")
+			log.WithError(err).WithField("key", item.Key).Warn("invalid directive ignored")
 		case directive.Configuration != nil:
 			d.setConfiguration(*directive.Configuration)
 		case directive.DataCentre != "" && directive.EndEvacuation:
@@ -107,10 +112,10 @@
 	}).Info("configuration in force")
 }
 
-// setConfiguration takes a configuration that is not older than the present one.
+// setConfiguration sets the configuration, unless c is older than the present one.
 func (d *directives) setConfiguration(c scheduler.Configuration) {
 	if d.hasConfiguration && c.Version < d.configuration.Version {
-		d.acceptor.deps.Log.WithField("version", c.Version).Warn("older configuration passed over")
+		d.acceptor.deps.Log.WithField("version", c.Version).Warn("older configuration ignored")
 		return
 	}
 	d.configuration = c
--- a/acceptor/grid.go
+++ b/acceptor/grid.go
@@ -7,24 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entries tell each other of long jobs by way of the agents that both are linked
-// to. Where each entry links a few agents out of hundreds, two entries might have
-// none in common. So some agents stand in a square grid; each entry belongs to
-// one row and one column by its name and links the agents of both. Any two
-// entries then have two agents in common, at a cost that grows with the square
-// root of the fleet.
+// Entries announce long jobs to each other by way of the agents that both are linked
+// to. If each entry linked only a few agents out of hundreds, two entries might have
+// none in common. Agents are therefore arranged in a square grid, as in a grid quorum:
+// the hash of an entry's name assigns it one row and one column, and the entry links
+// agents of both. Any two entries then have two agents in common, at a cost that grows
+// with the square root of the number of agents.
 
 const (
-	// minAgentsPerCell is the least number of agents for each cell of the grid. A
-	// cell that has several keeps a holder when one is lost.
+	// minAgentsPerCell is the minimum mean number of agents per cell of the grid. A
+	// cell with several agents still has one to link when another is lost.
 	minAgentsPerCell = 9
-	// gridGrowthFactor is the step from one size of the grid to the next. The steps are
-	// coarse since entries that see fleets of slightly different sizes have to
-	// agree on the grid.
+	// gridGrowthFactor is the factor between one size of the grid and the next. The
+	// steps are coarse since entries that know slightly different numbers of agents
+	// have to agree on the grid.
 	gridGrowthFactor = 2
 )
 
-// gridSide returns the number of rows, and of columns, for a number of agents.
+// gridSide returns the number of rows, which is also that of columns, for a number of
+// agents.
 func gridSide(agents int) int {
 	side := 1
 	for next := side * gridGrowthFactor; minAgentsPerCell*next*next <= agents; next *= gridGrowthFactor {
@@ -33,9 +34,9 @@
 	return side
 }
 
-// gridAgents returns the agents of an entry's row and column. The first agent
-// of each cell that is reached holds it; those before it stay linked, since other
-// entries may reach them.
+// gridAgents returns the agents to link in the cells of an entry's row and column: in
+// each cell the first reachable agent, by an order that all entries share, and those
+// before it. The latter stay selected since other entries may be able to reach them.
 func gridAgents(entry string, candidates []candidate) []string {
 	side := gridSide(len(candidates))
 	row, column := gridPosition(entry, side)
--- a/acceptor/jobs.go
+++ b/acceptor/jobs.go
@@ -19,9 +19,9 @@
 	return *c, true
 }
 
-// AwaitConfiguration implements platform.Jobs. The first read of the store
-// takes milliseconds; callers who arrive meanwhile are better off waiting for
-// its outcome than coming back later.
+// AwaitConfiguration implements platform.Jobs. The first read of the store takes
+// milliseconds, so it is better for callers who arrive meanwhile to wait for its outcome
+// than to try again later.
 func (a *Acceptor) AwaitConfiguration(ctx context.Context) {
 	select {
 	case <-a.firstReadDone:
@@ -35,15 +35,15 @@
 	defer a.inFlight.Add(-1)
 	receivedAt := a.deps.Clock.Now()
 	if currentLag := a.lag.current(); currentLag > maxLag {
-		a.RecordRejection(j.ID, "entry is behind by "+currentLag.String())
+		a.RecordRejection(j.ID, "entry lags by "+currentLag.String())
 		return scheduler.Answer{Outcome: scheduler.Overloaded, RetryAfter: time.Second, Why: "entry is behind"}
 	}
 	if announcer.PeerClosed(ctx) {
-		a.RecordRejection(j.ID, "caller left before the job was taken on")
+		a.RecordRejection(j.ID, "caller disconnected before the job was submitted")
 		return scheduler.Answer{Outcome: scheduler.Cancelled, Why: "caller left"}
 	}
 	if a.endsAfterShutdown(j) {
-		a.RecordRejection(j.ID, "entry stops before the job can end")
+		a.RecordRejection(j.ID, "entry shuts down before the job can end")
 		return scheduler.Answer{Outcome: scheduler.Unavailable, RetryAfter: time.Second, Why: "entry stops"}
 	}
 	j.EarliestSent = receivedAt.Add(-a.lag.maxUnreadAge())
@@ -89,7 +89,7 @@
 	line.Info("job answered")
 }
 
-// endsAfterShutdown reports whether a planned stop would cut a job off.
+// endsAfterShutdown reports whether the entry may shut down before a job has ended.
 func (a *Acceptor) endsAfterShutdown(j scheduler.Job) bool {
 	deadline := a.shutdownDeadline.Load()
 	return deadline != 0 && a.deps.Clock.Now().Add(j.MaxDuration()).UnixNano() > deadline
@@ -112,14 +112,15 @@
 // RecordRejection implements platform.Jobs.
 func (a *Acceptor) RecordRejection(id, why string) {
 	a.metrics.requestsRejected.Inc()
-	a.deps.Log.WithField("job", id).WithField("why", why).Warn("request turned down")
+	a.deps.Log.WithField("job", id).WithField("why", why).Warn("request rejected")
 }
 
-// ask asks the core a question that it answers with a T.
+// ask sends a query to the actor and returns the answer, or the zero T if there is none
+// in time.
 func ask[T any](a *Acceptor, query any) T {
 	answer, err := a.ask(query)
 	if err != nil {
-		a.deps.Log.WithError(err).Warn("question to the core not answered")
+		a.deps.Log.WithError(err).Warn("query to the actor not answered")
 	}
 	out, _ := answer.(T)
 	return out
--- a/acceptor/jobs_test.go
+++ b/acceptor/jobs_test.go
@@ -17,7 +17,7 @@
 	job := func(estimate time.Duration) scheduler.Job {
 		return scheduler.Job{Steps: []scheduler.Step{{Count: 1, Estimate: estimate}}}
 	}
-	require.False(t, a.endsAfterShutdown(job(time.Hour)), "no stop is planned")
+	require.False(t, a.endsAfterShutdown(job(time.Hour)), "no shutdown is in progress")
 	a.shutdownDeadline.Store(clock.Now().Add(2 * time.Second).UnixNano())
 	require.False(t, a.endsAfterShutdown(job(time.Second)))
 	require.True(t, a.endsAfterShutdown(job(1500*time.Millisecond)), "the estimate may be too low")
--- a/acceptor/lag.go
+++ b/acceptor/lag.go
@@ -7,30 +7,30 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// maxLag is how far the core may be behind for requests to be handed to it.
-// Beyond it, heartbeats would soon come too late and agents drop the runs.
+// maxLag is the maximum lag of the actor at which it is still given requests. With
+// more, heartbeats would soon be late and agents would drop the runs.
 const maxLag = 80 * time.Millisecond
 
-// catchUpWindow is how long after a pause requests are still read that came meanwhile.
+// catchUpWindow is how long after a pause of the process requests are still read that
+// arrived during it.
 const catchUpWindow = 100 * time.Millisecond
 
-// lag measures how far the core is behind what is sent to it. An entry that
-// has fallen behind refuses new requests before they cost it more, so that it
-// catches up.
+// lag measures how late the actor processes its messages. An entry that lags rejects new
+// requests before they cost it more time, so that it catches up.
 type lag struct {
 	clock clockwork.Clock
-	// lastTickAt is when the core last took a tick in, and delay how old that was,
-	// both in nanoseconds.
+	// lastTickAt is when the actor last processed a tick, in Unix nanoseconds, and
+	// tickDelay how old that tick was, in nanoseconds.
 	lastTickAt atomic.Int64
 	tickDelay  atomic.Int64
 	// resumedAt is when the last gap between two ticks ended that was longer than
-	// maxLag, and gap how long it was, with those shortly before it, both in
-	// nanoseconds.
+	// maxLag, in Unix nanoseconds, and pauseLength how long it was, together with
+	// those shortly before it, in nanoseconds.
 	resumedAt   atomic.Int64
 	pauseLength atomic.Int64
 }
 
-// observeTick notes that the core takes in a tick that was sent at a time.
+// observeTick records that the actor processes a tick now that was sent at sentAt.
 func (l *lag) observeTick(sentAt time.Time) {
 	now := l.clock.Now()
 	if lastTick := l.lastTickAt.Swap(now.UnixNano()); lastTick != 0 && now.UnixNano()-lastTick > int64(maxLag) {
@@ -40,7 +40,7 @@
 	l.tickDelay.Store(int64(now.Sub(sentAt)))
 }
 
-// current returns how far the core is behind.
+// current returns the present lag of the actor.
 func (l *lag) current() time.Duration {
 	lastTick := l.lastTickAt.Load()
 	if lastTick == 0 {
@@ -50,11 +50,12 @@
 	return max(overdue, time.Duration(l.tickDelay.Load()))
 }
 
-// maxUnreadAge returns how long a request that is taken on now may have waited to be
-// read at most: after a pause of the process, as long as that was.
+// maxUnreadAge returns the maximum time for which a request that is accepted now may
+// have waited to be read: after a pause of the process, the length of that pause and the
+// time since.
 func (l *lag) maxUnreadAge() time.Duration { return l.maxUnreadAgeAt(l.clock.Now().UnixNano()) }
 
-// maxUnreadAgeAt is unread at a time in nanoseconds.
+// maxUnreadAgeAt is maxUnreadAge at a time in Unix nanoseconds.
 func (l *lag) maxUnreadAgeAt(now int64) time.Duration {
 	resumedAt := l.resumedAt.Load()
 	since := time.Duration(now - resumedAt)
--- a/acceptor/lag_test.go
+++ b/acceptor/lag_test.go
@@ -11,15 +11,15 @@
 func TestLag(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := lag{clock: clock}
-	require.Zero(t, l.current(), "nothing is known before the first tick")
+	require.Zero(t, l.current(), "before the first tick there is no lag")
 	l.observeTick(clock.Now())
 	require.LessOrEqual(t, l.current(), time.Duration(0))
 	clock.Advance(200 * time.Millisecond)
-	require.Greater(t, l.current(), maxLag, "the core takes no ticks in")
+	require.Greater(t, l.current(), maxLag, "the actor processes no ticks")
 	l.observeTick(clock.Now().Add(-150 * time.Millisecond))
-	require.Equal(t, 150*time.Millisecond, l.current(), "the ticks are old")
+	require.Equal(t, 150*time.Millisecond, l.current(), "the ticks are processed late")
 	l.observeTick(clock.Now())
-	require.LessOrEqual(t, l.current(), time.Duration(0), "it has caught up")
+	require.LessOrEqual(t, l.current(), time.Duration(0), "the actor has caught up")
 }
 
 func TestRequestReadAfterAPauseMayBeAsOldAsThePause(t *testing.T) {
@@ -36,7 +36,7 @@
 	require.Equal(t, time.Second+tickInterval, l.maxUnreadAge())
 	clock.Advance(time.Second - tickInterval)
 	l.observeTick(clock.Now())
-	require.Equal(t, 2*time.Second, l.maxUnreadAge(), "one pause after the other")
+	require.Equal(t, 2*time.Second, l.maxUnreadAge(), "two pauses within the catch-up window add up")
 	clock.Advance(catchUpWindow + 1)
 	require.Zero(t, l.maxUnreadAge())
 }
--- a/acceptor/link.go
+++ b/acceptor/link.go
@@ -8,21 +8,25 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// heartbeatBatchWindow is the time after a heartbeat from which the next one goes out with
-// those that are due on other links.
+// heartbeatBatchWindow is the time after a heartbeat from which the next one may be sent
+// early, together with those that are due on other links.
 const heartbeatBatchWindow = messenger.HeartbeatInterval / 2
 
-// agentLink is an open link to an agent as the core sees it.
+// agentLink is the actor's state of an open link to an agent.
 type agentLink struct {
 	*messenger.Link
-	openedAt    time.Time
+	// openedAt is when the actor handled the opening; timestamps count from it.
+	openedAt time.Time
+	// heartbeatAt is when the last heartbeat was sent, or openedAt before the first.
+	// It is zero if one is to be sent at once.
 	heartbeatAt time.Time
-	// lastTimestamp is the agent's last stamp.
+	// lastTimestamp is the timestamp of the agent's last report, which heartbeats
+	// echo; zero before the first.
 	lastTimestamp time.Duration
 }
 
-// recordTimestamp notes the agent's stamp. The first one is echoed at once, since the
-// agent counts the entry as there by that.
+// recordTimestamp records the agent's timestamp. The first one is echoed at once, since
+// the agent regards the entry as connected only by the echo.
 func (l *agentLink) recordTimestamp(timestamp time.Duration) {
 	if l.lastTimestamp == 0 {
 		l.heartbeatAt = time.Time{}
@@ -30,7 +34,7 @@
 	l.lastTimestamp = timestamp
 }
 
-// sendHeartbeats sends heartbeats that are due.
+// sendHeartbeats sends the heartbeats that are due.
 func (c *entryActor) sendHeartbeats() {
 	due := c.linksDue(c.acceptor.deps.Clock.Now())
 	if len(due) == 0 {
@@ -40,7 +44,8 @@
 	evacuated := slices.Sorted(maps.Keys(configuration.Evacuated))
 	backlog := c.scheduler.Backlog()
 	heldJobs := c.scheduler.HeldJobs()
-	// What has been named counts from before the stamp on.
+	// The timestamp is taken after the held jobs are collected, so that they count as
+	// announced from a time before it.
 	now := c.acceptor.deps.Clock.Now()
 	for _, l := range due {
 		l.heartbeatAt = now
@@ -56,9 +61,10 @@
 	}
 }
 
-// linksDue returns the links whose heartbeat is due: all when the entry asks for room.
-// With one that is due go those that will be soon, so that the agents answer
-// together and the entry wakes for all of them at once.
+// linksDue returns the links on which a heartbeat is to be sent: all of them if jobs have
+// begun to wait for capacity. Otherwise, if a heartbeat is due, those that will be due
+// soon are sent with it, so that the agents answer together and the entry wakes once for
+// all of them.
 func (c *entryActor) linksDue(now time.Time) []*agentLink {
 	if c.scheduler.EarlyHeartbeatDue() {
 		return c.linksWithoutHeartbeatFor(0, now)
@@ -69,7 +75,8 @@
 	return c.linksWithoutHeartbeatFor(heartbeatBatchWindow, now)
 }
 
-// linksWithoutHeartbeatFor returns the links on which no heartbeat went out for a time.
+// linksWithoutHeartbeatFor returns the links on which no heartbeat was sent for d or
+// longer.
 func (c *entryActor) linksWithoutHeartbeatFor(d time.Duration, now time.Time) []*agentLink {
 	var out []*agentLink
 	for _, l := range c.links {
@@ -88,13 +95,15 @@
 	if m.link.Ended() {
 		return
 	}
-	// The scheduler must not date the entry's stamps later than they are.
+	// The scheduler has to open the link before openedAt is read: it adds echoed
+	// timestamps to its own time of the opening, and a later one would date the
+	// entry's heartbeats later than they were sent.
 	c.scheduler.LinkOpened(m.agent)
 	now := c.acceptor.deps.Clock.Now()
 	c.links[m.agent] = &agentLink{Link: m.link, openedAt: now, heartbeatAt: now}
 	c.agentByLink[m.link] = m.agent
 	c.acceptor.hasLinks.Store(true)
-	c.acceptor.deps.Log.WithField("agent", m.agent).Info("agent in touch")
+	c.acceptor.deps.Log.WithField("agent", m.agent).Info("agent connected")
 	m.link.Send(messenger.Hello{
 		Entry:       c.acceptor.cfg.ID,
 		Incarnation: c.acceptor.incarnation,
@@ -113,8 +122,8 @@
 	c.scheduler.LinkClosed(name)
 }
 
-// releaseIdleLinks ends the links to agents at which the entry has no runs, and returns
-// the names of those that are not linked any more.
+// releaseIdleLinks closes the links to those of the agents at which the entry has no
+// runs, and returns the names of those that are not linked any more.
 func (c *entryActor) releaseIdleLinks(agents []string) []string {
 	var released []string
 	for _, name := range agents {
@@ -123,7 +132,7 @@
 		}
 		released = append(released, name)
 		if l := c.links[name]; l != nil {
-			c.acceptor.deps.Log.WithField("agent", name).Info("link not needed any more")
+			c.acceptor.deps.Log.WithField("agent", name).Info("surplus link closed")
 			c.handleLinkClosed(l.Link)
 			l.Close()
 		}
--- a/acceptor/link_test.go
+++ b/acceptor/link_test.go
@@ -14,7 +14,7 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// discardHandler takes no messages.
+// discardHandler ignores messages and the end of the link.
 type discardHandler struct{}
 
 func (discardHandler) Receive(*messenger.Link, any) {}
--- a/acceptor/linkbudget_test.go
+++ b/acceptor/linkbudget_test.go
@@ -24,7 +24,7 @@
 	adjustFor(false, linkShrinkInterval/2)
 	require.Equal(t, maxLinks, b.limit, "between two bursts")
 	adjustFor(false, 30*time.Second)
-	require.Equal(t, baseLinks, b.limit, "in the end")
+	require.Equal(t, baseLinks, b.limit, "long after the overload")
 }
 
 func TestLinksDoNotGrowBeyondTheFleet(t *testing.T) {
--- a/acceptor/linkset.go
+++ b/acceptor/linkset.go
@@ -16,58 +16,63 @@
 )
 
 const (
-	// minRedialDelay and maxRedialDelay bound the pause before a link is opened again;
-	// the pause doubles after each redialsPerDoubling failures and is jittered. Agents
-	// that return together with their entry are found within a few base pauses.
+	// minRedialDelay and maxRedialDelay bound the delay before a link is opened again,
+	// without jitter. The delay doubles after every redialsPerDoubling failures. Agents
+	// that restart together with their entry are found within a few minimum delays.
 	minRedialDelay     = 20 * time.Millisecond
 	maxRedialDelay     = 500 * time.Millisecond
 	redialsPerDoubling = 5
 	// directoryWatchTimeout is how long one watch of the directory waits.
 	directoryWatchTimeout = 2 * time.Second
-	// directoryBatchDelay is the pause after a watch that was answered. Agents that
-	// start together are then read together and not each by a call of its own.
+	// directoryBatchDelay is the delay after a watch that returned changes. Agents that
+	// start together are then read together, not each with a call of its own.
 	directoryBatchDelay = 250 * time.Millisecond
-	// minStoreBackoff is the pause after a failed call to the store. It doubles with
-	// each further failure up to maxStoreBackoff, and is jittered.
+	// minStoreBackoff is the delay after a failed call to the store, without jitter.
+	// It doubles with each further failure up to maxStoreBackoff.
 	minStoreBackoff = 150 * time.Millisecond
 	maxStoreBackoff = 600 * time.Millisecond
-	// evictAfter drops an agent that is out of touch and out of the directory
-	// for so long.
+	// evictAfter is how long an agent has to be missing from the directory before it
+	// is evicted. It is evicted only if it cannot be reached either.
 	evictAfter = 20 * time.Second
-	// reselectInterval is the time between two looks at which agents to link.
+	// reselectInterval is the time between two selections of the agents to link.
 	reselectInterval = 250 * time.Millisecond
-	// maxDialFailures is the number of dials that fail in a row before another
-	// agent takes the place.
+	// maxDialFailures is the number of failed dials in a row after which another agent
+	// is selected in place of the unreachable one.
 	maxDialFailures = 3
 )
 
-// knownAgent is an agent that may be linked.
+// knownAgent is an agent that is in the directory, or that was in it and has not been
+// evicted.
 type knownAgent struct {
 	registration platform.Registration
-	// registered is whether the directory holds it.
-	registered     bool
+	// registered reports whether the agent is in the directory.
+	registered bool
+	// unregisteredAt is when the directory lost the agent, if registered is false.
 	unregisteredAt time.Time
-	// rank is the agent's place in the entry's ranking.
+	// rank is the agent's position in the entry's ranking; see rankOf.
 	rank uint64
-	// dialFailures counts the dials in a row that failed.
+	// dialFailures is the number of failed dials since the last successful one.
 	dialFailures int
-	// stopLink ends the goroutine that keeps the link; nil without one.
+	// stopLink stops the goroutine that maintains the link; nil if there is none.
 	stopLink context.CancelFunc
 }
 
-// linkSet follows the directory of agents and keeps links to those that choose
-// names. A link that is no longer chosen is closed once no run depends on it.
+// linkSet follows the directory of agents and keeps links to the selected ones; see
+// selectAll. The link to an agent that is no longer selected is closed once no run
+// depends on it.
 type linkSet struct {
 	acceptor *Acceptor
 
-	mu     sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// agents maps names to the known agents.
 	agents map[string]*knownAgent
 	budget linkBudget
-	// selectedRevision is that of the directives by which agents were last chosen.
+	// selectedRevision is the revision of the directives at the last selection.
 	selectedRevision int64
-	// selectionStale means that something has changed since agents were last chosen.
+	// selectionStale means that something has changed since the last selection.
 	selectionStale bool
-	// surplus lists the linked agents that were not chosen last.
+	// surplus lists the agents that are linked but were not selected the last time.
 	surplus []string
 }
 
@@ -75,7 +80,7 @@
 	return &linkSet{acceptor: a, agents: make(map[string]*knownAgent), budget: newLinkBudget()}
 }
 
-// follow keeps the targets as the directory has them until ctx ends.
+// follow keeps the known agents up to date with the directory until ctx ends.
 func (s *linkSet) follow(ctx context.Context) error {
 	a := s.acceptor
 	lastError := ""
@@ -98,14 +103,14 @@
 	return nil
 }
 
-// storeBackoffTimer spaces the calls to the store that follow failed ones.
+// storeBackoffTimer delays the next call to the store after failed ones.
 type storeBackoffTimer struct {
 	clock clockwork.Clock
-	// failures counts the calls in a row that failed.
+	// failures is the number of failed calls since the last successful one.
 	failures int
 }
 
-// wait waits after a call that failed.
+// wait sleeps if err, the outcome of the last call, is not nil.
 func (r *storeBackoffTimer) wait(err error) {
 	if err == nil {
 		r.failures = 0
@@ -115,13 +120,13 @@
 	r.clock.Sleep(jittered(storeBackoff(r.failures)))
 }
 
-// storeBackoff is the pause after some calls to the store that failed in a row,
+// storeBackoff returns the delay after a number of failed calls to the store in a row,
 // without jitter.
 func storeBackoff(failures int) time.Duration {
 	return min(minStoreBackoff<<min(max(failures-1, 0), 2), maxStoreBackoff)
 }
 
-// jittered returns a pause of half to one and a half times d.
+// jittered returns a random duration from half to one and a half times d.
 func jittered(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
@@ -138,17 +143,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, t := range s.agents {
+	for name, agent := range s.agents {
 		if !registered[name] {
-			s.markUnregistered(t)
+			s.markUnregistered(agent)
 		}
 	}
 	s.updateLinks(ctx)
 	return revision, nil
 }
 
-// watchDirectory waits for changes of the directory. Any error but a lost answer asks
-// for a new list.
+// watchDirectory waits for changes of the directory and applies them. It returns the
+// revision from which to watch next, or zero with any error, so that the directory is
+// then loaded anew.
 func (s *linkSet) watchDirectory(ctx context.Context, revision int64) (int64, error) {
 	items, next, err := s.acceptor.store.Watch(ctx, platform.AgentPrefix, revision, directoryWatchTimeout)
 	if err != nil || len(items) == 0 {
@@ -159,7 +165,7 @@
 	return next, nil
 }
 
-// applyChanges takes in changes of the directory.
+// applyChanges applies changes of the directory and updates the links.
 func (s *linkSet) applyChanges(ctx context.Context, items []platform.Item) {
 	for _, item := range items {
 		if item.Deleted {
@@ -173,22 +179,23 @@
 	s.updateLinks(ctx)
 }
 
-// register notes a registered agent and returns its name.
+// register adds or updates a registered agent and returns its name, or "" if the
+// registration is invalid. A link to an earlier address of the agent is closed.
 func (s *linkSet) register(item platform.Item) string {
 	registration, err := platform.ParseRegistration(item)
 	if err != nil {
-		s.acceptor.deps.Log.WithError(err).WithField("key", item.Key).Warn("registration passed over")
+		s.acceptor.deps.Log.WithError(err).WithField("key", item.Key).Warn("invalid registration ignored")
 		return ""
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.agents[registration.Agent]; t != nil {
-		t.registered = true
-		if t.registration.SameEndpoint(registration) {
+	if agent := s.agents[registration.Agent]; agent != nil {
+		agent.registered = true
+		if agent.registration.SameEndpoint(registration) {
 			return registration.Agent
 		}
-		if t.stopLink != nil {
-			t.stopLink()
+		if agent.stopLink != nil {
+			agent.stopLink()
 		}
 	}
 	s.agents[registration.Agent] = &knownAgent{registration: registration, registered: true, rank: rankOf(s.acceptor.cfg.ID, registration.Agent)}
@@ -196,34 +203,35 @@
 	return registration.Agent
 }
 
-// reselect links more agents as others fail or the entry is short of room, and
-// fewer when it is not, until ctx ends.
+// reselect adjusts the links at intervals until ctx ends: it links more agents if others
+// fail or the entry is short of capacity, and fewer if it is not.
 func (s *linkSet) reselect(ctx context.Context) {
 	// Tick ends with ctx and has no other error.
 	_ = announcer.Tick(ctx, s.acceptor.deps.Clock, reselectInterval, func() {
 		need := ask[scheduler.CapacityNeed](s.acceptor, needQuery{})
 		if s.acceptor.lag.current() > maxLag/2 {
-			// What this entry lacks is processor time, which more links cost.
+			// The entry is short of processor time, and more links would cost more.
 			need = scheduler.CapacityNeed{}
 		}
 		s.releaseSurplus(s.reselectOnce(ctx, need))
 	})
 }
 
-// reselectOnce chooses the agents by the present need and returns the linked ones that
-// are not needed any more.
+// reselectOnce adjusts the link budget to the present need, selects the agents if
+// something has changed, and returns the surplus ones.
 func (s *linkSet) reselectOnce(ctx context.Context, need scheduler.CapacityNeed) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.budget.adjust(need, len(s.agents), s.acceptor.deps.Clock.Now()) {
 		s.selectionStale = true
-		s.acceptor.deps.Log.WithField("links", s.budget.limit).WithField("short", need.Shortage).WithField("workers", need.Workers).Info("number of links changed")
+		s.acceptor.deps.Log.WithField("links", s.budget.limit).WithField("short", need.Shortage).WithField("workers", need.Workers).Info("link budget changed")
 	}
 	s.updateLinks(ctx)
 	return slices.Clone(s.surplus)
 }
 
-// releaseSurplus ends the links to agents on which nothing depends.
+// releaseSurplus closes the links to those of the named agents at which the entry has no
+// runs.
 func (s *linkSet) releaseSurplus(names []string) {
 	if len(names) == 0 {
 		return
@@ -232,17 +240,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, name := range released {
-		if t := s.agents[name]; t != nil && t.stopLink != nil {
-			t.stopLink()
-			t.stopLink = nil
-			// Agents are chosen once more: it may have been chosen again meanwhile.
+		if agent := s.agents[name]; agent != nil && agent.stopLink != nil {
+			agent.stopLink()
+			agent.stopLink = nil
+			// The agent may have been selected again meanwhile, so a new selection
+			// has to link it again.
 			s.selectionStale = true
 		}
 	}
 }
 
-// updateLinks opens links to the chosen agents, if something has changed since they
-// were last chosen. The caller holds mu.
+// updateLinks selects the agents to link, opens the missing links and sets surplus. It
+// does nothing if nothing has changed since the last selection. The caller holds mu.
 func (s *linkSet) updateLinks(ctx context.Context) {
 	configuration, _ := s.acceptor.Configuration()
 	if !s.selectionStale && configuration.Revision == s.selectedRevision {
@@ -251,37 +260,37 @@
 	s.selectionStale = false
 	s.selectedRevision = configuration.Revision
 	candidates := make([]candidate, 0, len(s.agents))
-	for name, t := range s.agents {
-		dc := t.registration.DataCentre
-		reachable := t.dialFailures < maxDialFailures
+	for name, agent := range s.agents {
+		dc := agent.registration.DataCentre
+		reachable := agent.dialFailures < maxDialFailures
 		candidates = append(candidates, candidate{
 			agent:      name,
 			dataCentre: dc,
-			rank:       t.rank,
+			rank:       agent.rank,
 			reachable:  reachable,
 			usable:     reachable && !configuration.Evacuated[dc],
 		})
 	}
 	selected := s.selectAll(candidates)
 	for name := range selected {
-		t := s.agents[name]
-		if t.stopLink != nil {
+		agent := s.agents[name]
+		if agent.stopLink != nil {
 			continue
 		}
 		var linkCtx context.Context
-		linkCtx, t.stopLink = context.WithCancel(ctx)
-		go s.maintainLink(linkCtx, t.registration)
+		linkCtx, agent.stopLink = context.WithCancel(ctx)
+		go s.maintainLink(linkCtx, agent.registration)
 	}
 	s.surplus = nil
-	for name, t := range s.agents {
-		if t.stopLink != nil && !selected[name] {
+	for name, agent := range s.agents {
+		if agent.stopLink != nil && !selected[name] {
 			s.surplus = append(s.surplus, name)
 		}
 	}
 }
 
-// selectAll returns the agents to link: those for the entry's tasks, and those at
-// which it meets the other entries.
+// selectAll returns the agents to link: those for the entry's tasks, within the link
+// budget, and those of the grid, which it has in common with the other entries.
 func (s *linkSet) selectAll(candidates []candidate) map[string]bool {
 	id, dc := s.acceptor.cfg.ID, s.acceptor.cfg.DataCentre
 	out := make(map[string]bool)
@@ -291,49 +300,50 @@
 	return out
 }
 
-// recordDial notes the outcome of a dial.
+// recordDial records whether a dial of an agent succeeded. The selection becomes stale
+// if that makes the agent reachable or unreachable.
 func (s *linkSet) recordDial(name string, succeeded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.agents[name]
+	agent := s.agents[name]
 	switch {
-	case t == nil:
+	case agent == nil:
 	case succeeded:
-		s.selectionStale = s.selectionStale || t.dialFailures >= maxDialFailures
-		t.dialFailures = 0
+		s.selectionStale = s.selectionStale || agent.dialFailures >= maxDialFailures
+		agent.dialFailures = 0
 	default:
-		t.dialFailures++
-		s.selectionStale = s.selectionStale || t.dialFailures == maxDialFailures
+		agent.dialFailures++
+		s.selectionStale = s.selectionStale || agent.dialFailures == maxDialFailures
 	}
 }
 
 func (s *linkSet) handleDeletion(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.agents[name]; t != nil {
-		s.markUnregistered(t)
+	if agent := s.agents[name]; agent != nil {
+		s.markUnregistered(agent)
 	}
 }
 
-// markUnregistered notes that the directory no longer holds a target. It is kept as long
-// as it can be reached, since an entry of the directory may lapse while its
-// agent lives.
-func (s *linkSet) markUnregistered(t *knownAgent) {
-	if t.registered {
-		t.registered = false
-		t.unregisteredAt = s.acceptor.deps.Clock.Now()
+// markUnregistered records that an agent is no longer in the directory. The agent stays
+// known as long as it can be reached, since its registration may expire while it runs.
+func (s *linkSet) markUnregistered(agent *knownAgent) {
+	if agent.registered {
+		agent.registered = false
+		agent.unregisteredAt = s.acceptor.deps.Clock.Now()
 	}
 }
 
-// evictIfExpired reports whether an agent that cannot be reached is to be dropped.
+// evictIfExpired evicts an agent that cannot be reached, if it has been missing from the
+// directory for evictAfter. It reports whether the agent is no longer known.
 func (s *linkSet) evictIfExpired(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.agents[name]
-	if t == nil {
+	agent := s.agents[name]
+	if agent == nil {
 		return true
 	}
-	if t.registered || s.acceptor.deps.Clock.Since(t.unregisteredAt) < evictAfter {
+	if agent.registered || s.acceptor.deps.Clock.Since(agent.unregisteredAt) < evictAfter {
 		return false
 	}
 	delete(s.agents, name)
@@ -341,24 +351,24 @@
 	return true
 }
 
-// maintainLink holds one link to an agent open until ctx ends or the agent is
-// forgotten.
-func (s *linkSet) maintainLink(ctx context.Context, r platform.Registration) {
+// maintainLink keeps a link to an agent open, redialling as needed, until ctx ends or the
+// agent is evicted.
+func (s *linkSet) maintainLink(ctx context.Context, registration platform.Registration) {
 	a := s.acceptor
 	failures := 0
 	for ctx.Err() == nil {
-		l, err := messenger.Dial(ctx, r.Link, a)
-		s.recordDial(r.Agent, err == nil)
+		l, err := messenger.Dial(ctx, registration.Link, a)
+		s.recordDial(registration.Agent, err == nil)
 		if err == nil {
 			failures = 0
-			a.post(linkOpened{agent: r.Agent, link: l})
+			a.post(linkOpened{agent: registration.Agent, link: l})
 			select {
 			case <-l.Done():
 			case <-ctx.Done():
 				l.Close()
 			}
-		} else if s.evictIfExpired(r.Agent) {
-			a.deps.Log.WithField("agent", r.Agent).Info("agent forgotten")
+		} else if s.evictIfExpired(registration.Agent) {
+			a.deps.Log.WithField("agent", registration.Agent).Info("agent evicted")
 			return
 		}
 		delay := redialDelay(failures)
@@ -367,7 +377,8 @@
 	}
 }
 
-// redialDelay is the pause after some dials that failed, without jitter.
+// redialDelay returns the delay before the next dial after a number of failed ones,
+// without jitter.
 func redialDelay(failures int) time.Duration {
 	const doublings = 10
 	return min(minRedialDelay<<min(failures/redialsPerDoubling, doublings), maxRedialDelay)
--- a/acceptor/linkset_test.go
+++ b/acceptor/linkset_test.go
@@ -19,13 +19,13 @@
 	for i := range redials {
 		total += redialDelay(i)
 	}
-	// Machines that return from an outage start within 300 ms of each other.
+	// Machines that come back after an outage start within 300 ms of each other.
 	require.LessOrEqual(t, total, 300*time.Millisecond)
 	require.Equal(t, maxRedialDelay, redialDelay(100))
 	require.Equal(t, maxRedialDelay, redialDelay(1_000_000))
 }
 
-// growingStore is a store that tells of one more agent each time that it is asked.
+// growingStore is a store whose watch returns one more agent with each call.
 type growingStore struct{ calls int }
 
 func (s *growingStore) List(context.Context, string) ([]platform.Item, int64, error) {
@@ -49,7 +49,7 @@
 		revision, err = s.watchDirectory(ctx, revision)
 		require.NoError(t, err)
 	}
-	// Hundreds of entries share the store's two thousand reads a second.
+	// Hundreds of entries share a store that serves two thousand reads a second.
 	require.LessOrEqual(t, store.calls, 5)
 }
 
--- a/acceptor/metrics.go
+++ b/acceptor/metrics.go
@@ -23,23 +23,24 @@
 	}
 }
 
-// observeAnswer counts an answer and the seconds it took.
+// observeAnswer counts an answer by its outcome and records the seconds it took.
 func (m entryMetrics) observeAnswer(o scheduler.Outcome, seconds float64) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("pomeloferry_entry_answers_total{outcome=%q}", o)).Inc()
 	m.set.GetOrCreateHistogram(fmt.Sprintf("pomeloferry_entry_answer_seconds{outcome=%q}", o)).Update(seconds)
 }
 
-// countDecision counts a decision that the log tells of.
+// countDecision counts a logged decision.
 func (m entryMetrics) countDecision(what string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("pomeloferry_entry_decisions_total{what=%q}", what)).Inc()
 }
 
-// countRefusal counts a refusal for lack of room by its queue and point.
+// countRefusal counts a refusal for lack of capacity by its queue and point.
 func (m entryMetrics) countRefusal(queue string, point scheduler.RefusalPoint) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("pomeloferry_entry_refusals_total{queue=%q,point=%q}", queue, point)).Inc()
 }
 
-// observeWait counts a placement and the seconds for which its tasks waited.
+// observeWait records the seconds for which the tasks of a placement waited, by the
+// size of the tasks.
 func (m entryMetrics) observeWait(size scheduler.Size, seconds float64) {
 	m.set.GetOrCreateHistogram(fmt.Sprintf("pomeloferry_entry_wait_seconds{size=%q}", size)).Update(seconds)
 }
--- a/acceptor/selection.go
+++ b/acceptor/selection.go
@@ -7,30 +7,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// localLinkShare is the share of an entry's links that is in its own data centre,
-// if there are as many agents.
+// localLinkShare is the share of an entry's links that lead to its own data centre, if
+// that has enough agents.
 const localLinkShare = 0.6
 
-// candidate is an agent that may be linked.
+// candidate is a known agent as the selection of the agents to link sees it.
 type candidate struct {
 	agent      string
 	dataCentre string
-	// rank is the place of the agent among all for this entry; see rankOf.
+	// rank is the agent's position in the entry's ranking; see rankOf.
 	rank uint64
-	// reachable is whether the agent is linked, or has not failed to be.
+	// reachable reports whether the last maxDialFailures dials have not all failed.
 	reachable bool
-	// usable is whether tasks may be placed there: it is reached and its data
-	// centre is not evacuated.
+	// usable reports whether tasks may be placed there: the agent is reachable and
+	// its data centre is not evacuated.
 	usable bool
 }
 
-// rankOf ranks an agent for an entry by a hash of both names, so that the
-// entries share the agents out evenly without a word between them.
+// rankOf returns the position of an agent in an entry's ranking; lower ones come first.
+// It is a hash of both names, so that the entries spread evenly over the agents without
+// coordination.
 func rankOf(entry, agent string) uint64 { return xxhash.Sum64String(entry + "/" + agent) }
 
-// selectAgents returns the agents at which an entry has its tasks run: the first most
-// of its own ranking. Agents that are not usable are passed over in the count, so
-// that others take their place.
+// selectAgents returns the agents at which an entry runs its tasks, in the order of its
+// ranking. A share of localLinkShare is selected first among the agents of the entry's
+// own data centre, the rest among all, each time those that come first in the ranking,
+// until limit usable ones are selected in all. Agents that are not usable are selected
+// but not counted, so that others are added in their place.
 func selectAgents(dataCentre string, candidates []candidate, limit int) []string {
 	sorted := slices.Clone(candidates)
 	slices.SortFunc(sorted, func(a, b candidate) int {
@@ -51,8 +54,8 @@
 	return out
 }
 
-// selectMatching adds the first candidates that suit until most usable ones have been
-// added, and returns how many were.
+// selectMatching adds the first matching candidates to selected until limit usable ones
+// have been added. It returns the number of usable ones that it added.
 func selectMatching(selected map[string]bool, candidates []candidate, limit int, matches func(candidate) bool) int {
 	n := 0
 	for _, c := range candidates {
--- a/acceptor/selection_test.go
+++ b/acceptor/selection_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// newCandidates returns n usable agents of three data centres, ranked for an entry.
 func newCandidates(entry string, n int) []candidate {
 	var candidates []candidate
 	for i := range n {
--- a/attendant/actor.go
+++ b/attendant/actor.go
@@ -9,13 +9,13 @@
 	"github.com/pomeloferry/pomeloferry/platform"
 )
 
-// The messages of the core.
+// Messages to the agent's actor.
 type (
-	// tick asks for a look at what has come due.
+	// tick makes the actor process due work.
 	tick struct{}
-	// shutdown begins a planned stop.
+	// shutdown begins the shutdown of the agent.
 	shutdown struct{}
-	// idleQuery asks whether nothing runs.
+	// idleQuery asks whether no run is left.
 	idleQuery struct{}
 	// dumpQuery asks for an executor.Dump.
 	dumpQuery struct{}
@@ -24,34 +24,35 @@
 		link *messenger.Link
 		msg  any
 	}
-	// linkClosed tells that a link has ended.
+	// linkClosed reports that a link has ended.
 	linkClosed struct{ link *messenger.Link }
-	// heartbeat carries the worker's word on itself.
+	// heartbeat carries a heartbeat of the worker. It is answered once processed.
 	heartbeat struct{ platform.Heartbeat }
-	// upstreamRestored carries the worker that an earlier incarnation knew.
+	// upstreamRestored carries the worker that an earlier incarnation of the agent
+	// registered.
 	upstreamRestored struct{ upstream messenger.Upstream }
-	// workerDeparted tells that the worker has left.
+	// workerDeparted reports that the worker has left.
 	workerDeparted struct{ id string }
-	// startResult carries the outcome of a start.
+	// startResult carries the call result of a start.
 	startResult struct {
 		start  executor.Start
 		result executor.CallResult
 	}
-	// pollResult carries the answer to a look.
+	// pollResult carries the outcome of a poll.
 	pollResult struct {
 		result     executor.PollResult
 		callResult executor.CallResult
 	}
 )
 
-// agentActor owns the executor.
+// agentActor owns the executor and applies its effects.
 type agentActor struct {
 	attendant *Attendant
 	executor  *executor.Executor
 	// links maps the name of an entry to its newest link.
 	links       map[string]*messenger.Link
 	entryByLink map[*messenger.Link]string
-	// lastHeartbeat is the last heartbeat that was taken in.
+	// lastHeartbeat is the last heartbeat that was accepted.
 	lastHeartbeat platform.Heartbeat
 	callPool      *callPool
 	metrics       agentMetrics
@@ -109,13 +110,14 @@
 	c.executor.HandlePollFailure(m.result.Number, m.callResult)
 }
 
-// handleHeartbeat takes in the worker's word, unless a later one has come before.
+// handleHeartbeat applies a heartbeat. It ignores one that was sent before the last one
+// of the same incarnation, and one of a worker that was started before the present one.
 func (c *agentActor) handleHeartbeat(h platform.Heartbeat) {
 	up := c.executor.Upstream()
 	sameIncarnation := h.ID == up.ID && h.Born == up.Born
 	outdated := h.ID == c.lastHeartbeat.ID && h.Born == c.lastHeartbeat.Born && h.Sequence < c.lastHeartbeat.Sequence
 	if h.Born < up.Born || outdated {
-		c.attendant.deps.Log.WithField("worker", h.ID).WithField("sequence", h.Sequence).Info("late heartbeat passed over")
+		c.attendant.deps.Log.WithField("worker", h.ID).WithField("sequence", h.Sequence).Info("outdated heartbeat ignored")
 		return
 	}
 	if !sameIncarnation || h.Draining != up.Draining {
@@ -132,14 +134,15 @@
 	c.executor.SetUpstream(h.Upstream)
 }
 
-// restoreUpstream uses what an earlier incarnation knew of the worker, unless the
-// worker has announced itself already. Its first look shows whether it still
-// holds, since each call names the incarnation that it is meant for.
+// restoreUpstream uses the worker that an earlier incarnation of the agent registered,
+// unless the worker has sent a heartbeat already. The first poll shows whether that
+// worker is still there, since each call names the incarnation of the worker that it is
+// meant for.
 func (c *agentActor) restoreUpstream(u messenger.Upstream) {
 	if up := c.executor.Upstream(); up.ID != "" {
 		return
 	}
-	c.attendant.deps.Log.WithField("worker", u.ID).WithField("born", u.Born).Info("worker recalled")
+	c.attendant.deps.Log.WithField("worker", u.ID).WithField("born", u.Born).Info("worker restored from the registration")
 	c.executor.SetUpstream(u)
 }
 
@@ -150,7 +153,7 @@
 	}
 	name, ok := c.entryByLink[m.link]
 	if !ok {
-		return // A link that another one of the same entry has replaced.
+		return // A newer link of the same entry has replaced this one.
 	}
 	switch msg := m.msg.(type) {
 	case *messenger.Heartbeat:
@@ -171,7 +174,7 @@
 	}
 	c.links[h.Entry] = l
 	c.entryByLink[l] = h.Entry
-	c.attendant.deps.Log.WithField("entry", h.Entry).Info("entry in touch")
+	c.attendant.deps.Log.WithField("entry", h.Entry).Info("entry connected")
 	c.executor.HandleHello(h)
 }
 
@@ -182,11 +185,11 @@
 	}
 	delete(c.entryByLink, l)
 	delete(c.links, name)
-	c.attendant.deps.Log.WithField("entry", name).Info("entry out of touch")
+	c.attendant.deps.Log.WithField("entry", name).Info("entry disconnected")
 	c.executor.HandleLinkClosed(name)
 }
 
-// applyEffects does what the executor decided.
+// applyEffects applies the executor's pending effects.
 func (c *agentActor) applyEffects() {
 	a := c.attendant
 	for _, e := range c.executor.TakeEffects() {
@@ -232,7 +235,7 @@
 func (a *Attendant) poll(l executor.Poll) {
 	result, callResult, err := a.worker.Poll(a.ctx, l)
 	if err != nil && a.ctx.Err() == nil {
-		a.deps.Log.WithError(err).WithField("worker", l.Upstream.ID).WithField("token", l.Token).Warn("look failed")
+		a.deps.Log.WithError(err).WithField("worker", l.Upstream.ID).WithField("token", l.Token).Warn("poll failed")
 	}
 	a.post(pollResult{result: result, callResult: callResult})
 }
--- a/attendant/actor_test.go
+++ b/attendant/actor_test.go
@@ -14,7 +14,7 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// noWorker is a worker that takes nothing.
+// noWorker is the client of a worker to which no call can be sent.
 type noWorker struct{}
 
 func (noWorker) Start(context.Context, executor.Start) (executor.CallResult, error) {
@@ -31,6 +31,10 @@
 
 func (noWorker) ObserveClock(string, int64, float64) {}
 
+// TestDrainingWorkerIsHandledAfterAHeartbeatOfAnotherWorker guards against a worker's
+// heartbeat being ignored as outdated because of another worker's higher sequence number.
+// The agent takes a later started worker for its own because of a heartbeat, until a poll
+// turns out to be misdirected; then its own worker announces that it drains.
 func TestDrainingWorkerIsHandledAfterAHeartbeatOfAnotherWorker(t *testing.T) {
 	c := newAgentActor(&Attendant{
 		deps:            provider.NewDeps(io.Discard),
@@ -45,7 +49,7 @@
 		})
 	}
 	handleHeartbeat("w", 1, 5, false)
-	handleHeartbeat("stranger", 2, 1000, false)
+	handleHeartbeat("other", 2, 1000, false)
 	for _, e := range c.executor.TakeEffects() {
 		if l, ok := e.(executor.Poll); ok {
 			c.executor.HandlePollFailure(l.Number, executor.Misdirected)
@@ -56,7 +60,7 @@
 	require.True(t, c.executor.Upstream().Draining)
 }
 
-// TestReserveReachesTheExecutor guards against a core that drops the message.
+// TestReserveReachesTheExecutor guards against an actor that drops Reserve messages.
 func TestReserveReachesTheExecutor(t *testing.T) {
 	c := newAgentActor(&Attendant{
 		deps:            provider.NewDeps(io.Discard),
--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -1,6 +1,6 @@
-// Package attendant is the agent process: it stands beside one worker, takes
-// runs from entries over links, and carries out what an executor decides. One
-// actor owns the executor; everything else sends it typed messages through its
+// Package attendant implements the agent process: it runs beside one worker, receives
+// placements from entries over links, and applies the effects that an executor decides
+// on. One actor owns the executor; everything else sends it typed messages through its
 // bounded mailbox.
 package attendant
 
@@ -21,54 +21,61 @@
 )
 
 const (
-	// tickInterval is the time between two looks at what has come due.
+	// tickInterval is the time between two checks for due work.
 	tickInterval = 20 * time.Millisecond
 	// mailboxSize bounds the messages that wait for the actor.
 	mailboxSize = 8192
-	// askTimeout bounds the wait for the actor's answer to a question.
+	// askTimeout bounds the wait for the actor's answer to a query.
 	askTimeout = time.Second
-	// gracePeriodMargin is what a planned stop leaves of the time it has.
+	// gracePeriodMargin is the part of the grace period that remains after the drain.
 	gracePeriodMargin = 1500 * time.Millisecond
-	// reportFlushDelay is the time for the last reports to reach the entries.
+	// reportFlushDelay is the time after the drain in which the last reports reach the
+	// entries.
 	reportFlushDelay = 50 * time.Millisecond
-	// tokensPerMillisecond spaces the fencing tokens of incarnations, so that each
-	// starts above all that an earlier one has used.
+	// tokensPerMillisecond spaces the fencing tokens of incarnations: the first token
+	// of one is its start in Unix milliseconds times this, which is above all tokens
+	// that an earlier one has used.
 	tokensPerMillisecond = 1000
 )
 
-// WorkerClient is what an agent needs of the worker beside it.
+// WorkerClient calls the worker beside the agent.
 type WorkerClient interface {
 	Start(ctx context.Context, s executor.Start) (executor.CallResult, error)
 	Stop(ctx context.Context, s executor.Stop) (executor.CallResult, error)
 	Poll(ctx context.Context, l executor.Poll) (executor.PollResult, executor.CallResult, error)
+	// ObserveClock records the clock reading of an incarnation of a worker, from its
+	// heartbeat.
 	ObserveClock(id string, born int64, clockMillis float64)
 }
 
 // Directory registers the agent where entries find it.
 type Directory interface {
-	// LastUpstream returns the worker that an earlier incarnation registered.
+	// LastUpstream returns the worker that an earlier incarnation of the agent
+	// registered.
 	LastUpstream(ctx context.Context) (messenger.Upstream, error)
 	// SetUpstream changes the worker that the next Renew registers.
 	SetUpstream(u messenger.Upstream)
-	// Renew returns when to call it again.
+	// Renew renews the registration. It returns the time after which to call it
+	// again, also with an error.
 	Renew(ctx context.Context) (time.Duration, error)
+	// Deregister removes the registration.
 	Deregister(ctx context.Context) error
 }
 
-// Config describes one agent.
+// Config configures one agent.
 type Config struct {
 	ID         string
 	DataCentre string
-	// LinkAddr is where entries reach the agent.
+	// LinkAddr is the address at which entries open links.
 	LinkAddr string
-	// ControlAddr is where the worker announces itself.
+	// ControlAddr is the address that receives the worker's heartbeats.
 	ControlAddr string
-	// MetricsAddr is where metrics and the state dump are served.
+	// MetricsAddr is the address that serves metrics and the state dump.
 	MetricsAddr string
-	// GracePeriod bounds a planned stop.
+	// GracePeriod bounds a shutdown.
 	GracePeriod time.Duration
-	// DrainTimeout is how long after the worker's notice to leave tasks may
-	// still start on it.
+	// DrainTimeout is how long tasks may still start on a worker after it has announced
+	// that it drains.
 	DrainTimeout time.Duration
 }
 
@@ -82,12 +89,14 @@
 	system    *actor.ActorSystem
 	pid       *actor.PID
 	identity  executor.Identity
-	ctx       context.Context
-	// upstreamUpdates carries the newest worker to the directory.
+	// ctx is set by Run and bounds the calls to the worker.
+	ctx context.Context
+	// upstreamUpdates holds the newest worker until it is registered.
 	upstreamUpdates chan messenger.Upstream
 }
 
-// NewAttendant returns an agent that listens already.
+// NewAttendant returns an agent whose listeners are open. It fails if an address cannot
+// be listened on.
 func NewAttendant(deps provider.Deps, cfg Config, w WorkerClient, d Directory) (*Attendant, error) {
 	now := deps.Clock.Now()
 	a := &Attendant{
@@ -116,7 +125,8 @@
 	return a, nil
 }
 
-// Run serves until ctx ends, then lets what runs come to its end.
+// Run serves until ctx ends. It then waits within the grace period until the present
+// runs have ended, and returns.
 func (a *Attendant) Run(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -143,8 +153,9 @@
 	return err
 }
 
-// drainOnShutdown waits for the planned stop, refuses what is new and waits for
-// what runs.
+// drainOnShutdown waits for ctx to end. It then makes the executor refuse new runs, waits
+// until the present ones have ended or only gracePeriodMargin of the grace period
+// remains, and deregisters the agent.
 func (a *Attendant) drainOnShutdown(ctx, runCtx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -163,7 +174,7 @@
 	}
 	a.deps.Clock.Sleep(reportFlushDelay)
 	if err := a.directory.Deregister(runCtx); err != nil {
-		a.deps.Log.WithError(err).Warn("registration not removed")
+		a.deps.Log.WithError(err).Warn("agent not deregistered")
 	}
 	return nil
 }
@@ -187,7 +198,8 @@
 	return announcer.Tick(ctx, a.deps.Clock, tickInterval, func() { a.post(tick{}) })
 }
 
-// keepRegistered keeps the agent in the directory.
+// keepRegistered keeps the agent and its worker registered in the directory until ctx
+// ends. It first restores the worker that an earlier incarnation registered, if any.
 func (a *Attendant) keepRegistered(ctx context.Context) error {
 	up, err := a.directory.LastUpstream(ctx)
 	lastError := announcer.LogDependency(a.deps, "store", "", err)
@@ -208,7 +220,8 @@
 	}
 }
 
-// publishUpstream has the newest worker registered.
+// publishUpstream makes keepRegistered register u. It replaces an update that is still
+// pending, and does not block.
 func (a *Attendant) publishUpstream(u messenger.Upstream) {
 	select {
 	case <-a.upstreamUpdates:
@@ -217,7 +230,7 @@
 	a.upstreamUpdates <- u
 }
 
-// post sends msg to the actor. It waits while the mailbox is full.
+// post sends msg to the actor. It blocks while the mailbox is full.
 func (a *Attendant) post(msg any) { a.system.Root.Send(a.pid, msg) }
 
 func (a *Attendant) ask(query any) (any, error) {
@@ -235,9 +248,9 @@
 
 // HandleHeartbeat implements platform.HeartbeatReceiver.
 func (a *Attendant) HandleHeartbeat(h platform.Heartbeat) {
-	// The acknowledgement must not be sent before the state is in force.
+	// The heartbeat must not be acknowledged before the actor has processed it.
 	if _, err := a.ask(heartbeat{h}); err != nil {
-		a.deps.Log.WithError(err).Warn("heartbeat not taken in")
+		a.deps.Log.WithError(err).Warn("heartbeat not processed in time")
 	}
 }
 
@@ -246,5 +259,5 @@
 
 // HandleInvalid implements platform.HeartbeatReceiver.
 func (a *Attendant) HandleInvalid(err error) {
-	a.deps.Log.WithError(err).Warn("heartbeat passed over")
+	a.deps.Log.WithError(err).Warn("invalid heartbeat ignored")
 }
--- a/attendant/callpool.go
+++ b/attendant/callpool.go
@@ -2,15 +2,15 @@
 
 import "context"
 
-// pooledGoroutines is the number of goroutines that are kept for calls to the worker.
+// pooledGoroutines is the maximum number of goroutines that are kept for reuse.
 const pooledGoroutines = 8
 
-// callPool runs calls to the worker beside the actor, on goroutines that it keeps: a
-// new one would have to grow its stack for each call.
+// callPool runs calls to the worker concurrently with the actor. It reuses goroutines,
+// since a new one would have to grow its stack for each call.
 type callPool struct {
 	ctx  context.Context
 	work chan func()
-	// idleSlots has a token for each goroutine that is kept.
+	// idleSlots holds a token for each goroutine that is kept for reuse.
 	idleSlots chan struct{}
 }
 
@@ -18,7 +18,8 @@
 	return &callPool{ctx: ctx, work: make(chan func()), idleSlots: make(chan struct{}, pooledGoroutines)}
 }
 
-// run has f called at once. It does not wait.
+// run calls f at once on a goroutine of the pool, or on a new one if none is idle. It
+// does not block.
 func (c *callPool) run(f func()) {
 	select {
 	case c.work <- f:
@@ -27,7 +28,8 @@
 	}
 }
 
-// runAndReuse calls f, and what comes after it if the goroutine is kept.
+// runAndReuse calls f. If the pool has a free slot, it then calls further functions until
+// the pool's context ends.
 func (c *callPool) runAndReuse(f func()) {
 	f()
 	select {
--- a/attendant/callpool_test.go
+++ b/attendant/callpool_test.go
@@ -31,7 +31,7 @@
 		select {
 		case <-allStarted:
 		case <-time.After(5 * time.Second):
-			t.Fatal("a call waits for another one")
+			t.Fatal("a call waits for another call")
 		}
 		close(release)
 		ended.Wait()
--- a/attendant/metrics.go
+++ b/attendant/metrics.go
@@ -13,7 +13,8 @@
 	stops   *metrics.Counter
 	polls   *metrics.Counter
 	reports *metrics.Counter
-	// reservedMillicores is the room kept for a large task, in thousandths of a core.
+	// reservedMillicores is the capacity reserved for a large task, in thousandths of
+	// a core.
 	reservedMillicores *metrics.Gauge
 }
 
@@ -28,7 +29,7 @@
 	}
 }
 
-// countDecision counts a decision that the log tells of.
+// countDecision counts a logged decision.
 func (m agentMetrics) countDecision(what string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("pomeloferry_agent_decisions_total{what=%q}", what)).Inc()
 }
