--- a/acceptor/link_test.go
+++ b/acceptor/link_test.go
@@ -14,7 +14,7 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// discardHandler takes no messages.
+// discardHandler ignores messages and the end of the link.
 type discardHandler struct{}
 
 func (discardHandler) Receive(*messenger.Link, any) {}
@@ -29,7 +29,7 @@
 	return l
 }
 
-func TestLinkThatEndedBeforeItWasTakenInLeavesNoOldOneBehind(t *testing.T) {
+func TestOldLinkIsClosedEvenIfItsReplacementHasEnded(t *testing.T) {
 	c := newEntryActor(&Acceptor{deps: provider.NewDeps(io.Discard)})
 	first, second := newTestLink(t), newTestLink(t)
 	c.handleLinkOpened(linkOpened{agent: "a", link: first})
