--- a/executor/calltime.go
+++ b/executor/calltime.go
@@ -10,30 +10,31 @@
 	// before it counts as unanswered. The worker is one hop away.
 	minCallTimeout = 10 * time.Millisecond
 	maxCallTimeout = 40 * time.Millisecond
-	// callTimeoutFactor is the timeout of a call over the median time of recent ones.
+	// callTimeoutFactor is the ratio of a call's timeout to the median duration of
+	// recent calls.
 	callTimeoutFactor = 8
-	// maxCallSamples bounds the calls that are kept, minCallSamples is the number that must be
-	// known, and callSampleTTL the age up to which they count: after a pause a call may have
-	// to open a connection.
+	// maxCallSamples bounds the samples that are kept, minCallSamples is the number
+	// that is needed, and callSampleTTL is the age up to which they count: after a
+	// quiet period a call may have to open a connection.
 	maxCallSamples = 15
 	minCallSamples = 8
 	callSampleTTL  = 5 * time.Second
 )
 
-// callTimes holds the times of recent calls to the worker, from which the timeout of
-// the next ones is derived.
+// callTimes holds the durations of recent calls to the worker, from which the timeout
+// of the next ones is derived.
 type callTimes struct {
 	// samples is ordered by age, the oldest first.
 	samples []callSample
 }
 
-// callSample is the duration of a call and when it ended.
+// callSample is the duration of a call and the time at which it ended.
 type callSample struct {
 	took time.Duration
 	at   time.Time
 }
 
-// addAnswered notes a call that was answered.
+// addAnswered adds the sample of an answered call.
 func (t *callTimes) addAnswered(took time.Duration, now time.Time) {
 	t.samples = append(t.samples, callSample{took: took, at: now})
 	if len(t.samples) > maxCallSamples {
@@ -41,12 +42,12 @@
 	}
 }
 
-// addUnanswered notes a call that was not answered. It counts as one that took the
-// longest time, so that calls which have become slower lengthen the wait.
+// addUnanswered adds the sample of an unanswered call. It counts as one that took the
+// longest timeout, so that calls that have become slower raise the timeout.
 func (t *callTimes) addUnanswered(now time.Time) { t.addAnswered(maxCallTimeout, now) }
 
-// timeout returns how long a call may take now. The median keeps a few calls that
-// were lost from lengthening it.
+// timeout returns the timeout of a call that is sent now. It follows the median, so
+// that a few lost calls do not raise it.
 func (t *callTimes) timeout(now time.Time) time.Duration {
 	var list []time.Duration
 	for _, c := range t.samples {
--- a/executor/dump.go
+++ b/executor/dump.go
@@ -2,18 +2,19 @@
 
 import "github.com/pomeloferry/pomeloferry/messenger"
 
-// Dump is the state of an executor, for people.
+// Dump is the state of an executor in a form for operators.
 type Dump struct {
 	Identity Identity
 	Token    uint64
 	Upstream messenger.Upstream
 	Free     messenger.Resources
-	// Kept is the part of Free that is kept for a large task of Holder's.
+	// Kept is the part of Free that is reserved for a large task of the entry Holder.
 	Kept       messenger.Resources
 	Holder     string
 	Leaving    bool
 	Unanswered int
-	// Speed is that of the worker, and SpeedJobs the weight behind it in jobs.
+	// Speed is the estimated speed of the worker, and SpeedJobs the weight of the
+	// samples behind it, in jobs.
 	Speed     float64
 	SpeedJobs int
 	Runs      []RunDump
@@ -28,12 +29,12 @@
 	Percent int
 }
 
-// String names the phase.
+// String returns the name of the phase.
 func (p phase) String() string {
 	return [...]string{"Waiting", "Starting", "Doubtful", "Running", "Stopping", "Detached"}[p]
 }
 
-// Dump returns the state.
+// Dump returns the present state of the executor.
 func (x *Executor) Dump() Dump {
 	d := Dump{
 		Identity:   x.identity,
--- a/executor/effect.go
+++ b/executor/effect.go
@@ -7,7 +7,7 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// Effect is something that the agent process has to do.
+// Effect is an action that the agent process has to carry out.
 type Effect interface{ effect() }
 
 // Start sends a start to the worker.
@@ -16,13 +16,13 @@
 	Spec string
 	// Token fences off all earlier calls.
 	Token uint64
-	// LeaseUntil is how long the run may go on without word, and when the start has
-	// to have arrived. It is set when the start is decided on, so that one that
-	// is held up does not lengthen the lease unseen.
+	// LeaseUntil is when the lease of the run expires, and when the start has to have
+	// arrived at the latest. It is set when the start is decided on, so that a delayed
+	// start does not extend the lease unnoticed.
 	LeaseUntil time.Time
 	// Timeout is how long the call may take before it counts as unanswered.
 	Timeout time.Duration
-	// Upstream is the incarnation that is meant.
+	// Upstream is the incarnation of the worker that the start is meant for.
 	Upstream messenger.Upstream
 }
 
@@ -35,15 +35,15 @@
 	Upstream messenger.Upstream
 }
 
-// Poll asks the worker for what it runs and what has ended.
+// Poll asks the worker which runs it has and which have ended.
 type Poll struct {
 	Number uint64
 	Token  uint64
-	// AckedEnd is the number of the last end that was taken in.
+	// AckedEnd is the number of the last end that has been processed.
 	AckedEnd int64
-	// LeaseUntil is how long the runs may go on; zero renews nothing.
+	// LeaseUntil is when the leases of the runs expire; zero renews nothing.
 	LeaseUntil time.Time
-	// MaxWait is how long the worker may wait for an end before it answers.
+	// MaxWait is how long the worker may hold the poll open, waiting for an end.
 	MaxWait  time.Duration
 	Upstream messenger.Upstream
 }
@@ -54,16 +54,16 @@
 	Report messenger.Report
 }
 
-// TickAfter asks for a Tick after a while.
+// TickAfter asks for a call of Tick after a delay.
 type TickAfter struct {
 	Delay time.Duration
 }
 
-// Note is a line for the log about one run.
+// Note is a log line about a decision, mostly on one run.
 type Note struct {
 	Run   messenger.Run
 	Owner string
-	// Worker is the id of the worker that the run was sent to.
+	// Worker is the ID of the worker that the run was sent to.
 	Worker string
 	What   string
 	Why    string
--- a/executor/entry.go
+++ b/executor/entry.go
@@ -10,53 +10,55 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// entry is what the agent knows of one entry.
+// entry is the agent's state for one entry.
 type entry struct {
 	name        string
 	incarnation int64
-	// lastSeenAt is when the entry is last known to have been there.
+	// lastSeenAt is when the entry is last known to have been running.
 	lastSeenAt time.Time
-	// lastTimestamp is the entry's last stamp.
+	// lastTimestamp is the last timestamp received from the entry, which reports echo.
 	lastTimestamp time.Duration
 	// lastPlace is the number of the last Place.
 	lastPlace uint64
-	// lastPlaceAt is when the last Place came.
+	// lastPlaceAt is when the last Place was received.
 	lastPlaceAt time.Time
 	// linkOpen is whether a link is open.
 	linkOpen bool
-	// runsSent is whether the entry has had a list of all its runs on this link.
+	// runsSent is whether a list of all its runs has been sent on this link.
 	runsSent bool
-	// upstreamSent is whether the entry has had what is known of the worker.
+	// upstreamSent is whether the present state of the worker has been sent on this
+	// link.
 	upstreamSent bool
-	// stateChanged is whether the entry has not heard of the present state, and
-	// capacityChanged whether that is of the room alone.
+	// stateChanged is whether the state has changed since the last report, and
+	// capacityChanged whether the capacity has.
 	stateChanged    bool
 	capacityChanged bool
 	reportedAt      time.Time
-	// reportedFree is the room that the entry was last told of.
+	// reportedFree is the free capacity in the last report.
 	reportedFree messenger.Resources
-	// reportedBackfill is the same of the room for tasks that end soon.
+	// reportedBackfill is the capacity for backfill in the last report.
 	reportedBackfill messenger.Resources
-	// reportedSpeed is the speed of the worker that the entry was last told of.
+	// reportedSpeed is the last speed of the worker that was reported on this link.
 	reportedSpeed speedEstimate
-	// backlog is what waits there, and share the room that it has had in
-	// proportion to that.
+	// backlog is what waits for capacity at the entry. weightedUse is the number of
+	// tasks that it has placed, in proportion to its backlog.
 	backlog     messenger.Backlog
 	weightedUse float64
-	// waitingSince is since when tasks have waited there.
+	// waitingSince is when the backlog last became non-empty.
 	waitingSince time.Time
-	// turnTimestamp is the stamp of the report that began its last turn, zero once it
-	// has been answered, and reaction the mean time that it takes to answer.
+	// turnTimestamp is the timestamp of the report that began its last turn, zero once
+	// the entry has reacted to it. meanReaction is the mean time that it takes to
+	// react.
 	turnTimestamp time.Duration
 	meanReaction  time.Duration
-	// lastHeartbeatAt is when the progress of runs was last told.
+	// heartbeatAt is when the last heartbeat, with the progress of runs, was sent.
 	heartbeatAt time.Time
 	outcomes    outcomeQueue
 	held        heldJobs
 }
 
-// HandleHello opens a link of an entry. Runs of an earlier incarnation are dropped,
-// since their callers are gone.
+// HandleHello processes a Hello, which opens a link of an entry. Runs of an earlier
+// incarnation are cancelled, since their callers are disconnected.
 func (x *Executor) HandleHello(h messenger.Hello) {
 	now := x.clock.Now()
 	x.expireSilent(now)
@@ -93,7 +95,7 @@
 	}
 }
 
-// HandleLinkClosed notes that the link of an entry has ended.
+// HandleLinkClosed records that the link of an entry has closed.
 func (x *Executor) HandleLinkClosed(name string) {
 	if e := x.entries[name]; e != nil {
 		e.linkOpen = false
@@ -101,40 +103,41 @@
 	}
 }
 
-// HandleHeartbeat notes an entry's heartbeat.
-func (x *Executor) HandleHeartbeat(name string, b messenger.Heartbeat) {
+// HandleHeartbeat processes an entry's heartbeat.
+func (x *Executor) HandleHeartbeat(name string, h messenger.Heartbeat) {
 	e := x.entries[name]
 	if e == nil {
 		return
 	}
-	if b.Timestamp-e.lastTimestamp > 2*messenger.HeartbeatInterval {
+	if h.Timestamp-e.lastTimestamp > 2*messenger.HeartbeatInterval {
 		// The entry was paused and waits for an echo.
 		e.stateChanged = true
 	}
-	e.lastTimestamp = b.Timestamp
-	e.outcomes.acknowledge(b.AckedOutcome)
-	x.applyDirectives(name, b)
-	x.updateBacklog(e, b.Backlog)
-	x.updateHeld(e, b.HeldJobs)
-	x.recordContact(e, b.Echo)
-	// The answer goes out while both sides are awake for this one.
+	e.lastTimestamp = h.Timestamp
+	e.outcomes.acknowledge(h.AckedOutcome)
+	x.applyDirectives(name, h)
+	x.updateBacklog(e, h.Backlog)
+	x.updateHeld(e, h.HeldJobs)
+	x.recordContact(e, h.Echo)
+	// The agent's own heartbeat goes out with this one, while both processes are
+	// running.
 	if now := x.clock.Now(); e.linkOpen && now.Sub(e.heartbeatAt) >= earlyHeartbeatAfter {
 		x.sendReport(e, now, true)
 	}
 }
 
-// recordContact notes that an entry was there when it had seen one of our stamps. The
-// message may have been read late.
+// recordContact records that an entry was running when it received the timestamp that
+// it echoes. Its message may have been read late.
 func (x *Executor) recordContact(e *entry, echo time.Duration) {
 	if echo == 0 {
 		return
 	}
-	said := x.startedAt.Add(echo + echoTolerance)
-	if now := x.clock.Now(); said.After(now) {
-		said = now
+	sentAt := x.startedAt.Add(echo + echoTolerance)
+	if now := x.clock.Now(); sentAt.After(now) {
+		sentAt = now
 	}
-	if said.After(e.lastSeenAt) {
-		e.lastSeenAt = said
+	if sentAt.After(e.lastSeenAt) {
+		e.lastSeenAt = sentAt
 	}
 }
 
@@ -148,8 +151,8 @@
 	return false
 }
 
-// orphanRunsOf drops the runs of an earlier incarnation of an entry. The next one may
-// claim them.
+// orphanRunsOf cancels the runs of an earlier incarnation of an entry and clears their
+// owner, so that the next incarnation may claim them.
 func (x *Executor) orphanRunsOf(name string) {
 	x.cancelRunsOf(name)
 	for _, r := range x.runs {
@@ -159,16 +162,17 @@
 	}
 }
 
-// applyDirectives takes in the operators' directives, unless newer ones are known.
-func (x *Executor) applyDirectives(name string, b messenger.Heartbeat) {
-	if b.Revision < x.directivesRevision {
+// applyDirectives applies the operators' directives in a heartbeat, unless newer ones
+// are known.
+func (x *Executor) applyDirectives(name string, h messenger.Heartbeat) {
+	if h.Revision < x.directivesRevision {
 		return
 	}
-	evacuated := slices.Contains(b.Evacuated, x.identity.DataCentre)
+	evacuated := slices.Contains(h.Evacuated, x.identity.DataCentre)
 	if evacuated != x.evacuated {
 		x.emit(Note{Owner: name, What: "evacuation changed", Why: strconv.FormatBool(evacuated)})
 	}
-	x.directivesRevision = b.Revision
+	x.directivesRevision = h.Revision
 	x.evacuated = evacuated
 	if evacuated {
 		x.endReservation("data centre evacuated")
@@ -176,54 +180,57 @@
 	}
 }
 
-// expireSilent drops the runs of entries that have been silent for too long, so
-// that their callers may have the jobs run elsewhere.
+// expireSilent cancels the runs of entries that have timed out, so that their callers
+// may have the jobs run elsewhere. It also cancels orphans that no entry has claimed in
+// time.
 func (x *Executor) expireSilent(now time.Time) {
 	for _, e := range slices.Clone(x.sortedEntries) {
 		if now.Sub(e.lastSeenAt) <= entryTimeout {
 			continue
 		}
 		x.cancelRunsOf(e.name)
-		x.endReservationOf(e, "its entry is silent")
+		x.endReservationOf(e, "its entry timed out")
 		if !e.linkOpen && now.Sub(e.lastSeenAt) > endRetention {
 			delete(x.entries, e.name)
 			x.sortedEntries = slices.DeleteFunc(x.sortedEntries, func(o *entry) bool { return o == e })
 		}
 	}
-	unclaimed := func(r *run) bool { return r.owner == "" && !r.cancelled && now.After(r.expiresAt) }
-	for _, r := range x.sortedRunsWhere(unclaimed) {
+	orphaned := func(r *run) bool { return r.owner == "" && !r.cancelled && now.After(r.expiresAt) }
+	for _, r := range x.sortedRunsWhere(orphaned) {
 		x.cancelWithDeadline(r, now)
 	}
 }
 
+// cancelRunsOf cancels the runs of an entry. They have to end soon.
 func (x *Executor) cancelRunsOf(owner string) {
 	for _, r := range x.sortedRunsWhere(func(r *run) bool { return r.owner == owner && !r.cancelled }) {
-		x.emit(Note{Run: r.Run, Owner: owner, What: "run dropped", Why: "entry silent or restarted"})
+		x.emit(Note{Run: r.Run, Owner: owner, What: "run dropped", Why: "entry timed out or restarted"})
 		x.cancelWithDeadline(r, x.clock.Now())
 	}
 }
 
-// cancelWithDeadline drops a run that nobody waits for any more, and that has to end soon.
+// cancelWithDeadline cancels a run that no entry waits for any more and that has to end
+// within stopTimeout.
 func (x *Executor) cancelWithDeadline(r *run, now time.Time) {
 	x.cancel(r)
 	r.stopDeadline = now.Add(stopTimeout)
 }
 
-// markStateChanged marks that entries have not heard of the present state.
+// markStateChanged marks that a changed state has to be reported to all entries.
 func (x *Executor) markStateChanged() {
 	for _, e := range x.entries {
 		e.stateChanged = true
 	}
 }
 
-// markCapacityChanged marks that entries have not heard of the present room.
+// markCapacityChanged marks that changed capacity has to be reported to all entries.
 func (x *Executor) markCapacityChanged() {
 	for _, e := range x.entries {
 		e.capacityChanged = true
 	}
 }
 
-// markUpstreamChanged marks that entries have not heard of the present worker.
+// markUpstreamChanged marks that the present worker has to be sent to all entries.
 func (x *Executor) markUpstreamChanged() {
 	for _, e := range x.entries {
 		e.upstreamSent = false
@@ -231,7 +238,7 @@
 	x.markStateChanged()
 }
 
-// sendDueReports reports to the entries that have something to hear.
+// sendDueReports sends a report to each entry for which one is due.
 func (x *Executor) sendDueReports() {
 	now := x.clock.Now()
 	x.updateTurn(now)
@@ -243,8 +250,8 @@
 	}
 }
 
-// reportDue reports whether an entry has something to hear now. Interval is the least
-// time between two reports of room.
+// reportDue reports whether a report to an entry is due. Interval is the least time
+// between two reports of changed capacity.
 func (x *Executor) reportDue(e *entry, interval time.Duration, now time.Time) bool {
 	since := now.Sub(e.reportedAt)
 	switch {
@@ -258,7 +265,8 @@
 	return false
 }
 
-// sendHeartbeats reports to the entries that have heard nothing for a while.
+// sendHeartbeats sends a heartbeat to each entry whose last one is older than
+// messenger.HeartbeatInterval.
 func (x *Executor) sendHeartbeats(now time.Time) {
 	for _, e := range x.sortedEntries {
 		if e.linkOpen && now.Sub(e.heartbeatAt) >= messenger.HeartbeatInterval {
@@ -267,9 +275,9 @@
 	}
 }
 
-// sendReport sends one report, with the progress of runs in a heartbeat. Ends and
-// refusals are kept for the next link when none is open.
-func (x *Executor) sendReport(e *entry, now time.Time, beat bool) {
+// sendReport sends one report, which as a heartbeat has the progress of runs. When no
+// link is open, ends and refusals are kept for the next one.
+func (x *Executor) sendReport(e *entry, now time.Time, heartbeat bool) {
 	r := messenger.Report{
 		Agent:                 x.identity.Agent,
 		DataCentre:            x.identity.DataCentre,
@@ -290,25 +298,25 @@
 	if e.backlog.WantsForecast {
 		r.Forecast = x.forecast(now)
 	}
-	s := x.speedToReport(e, now, beat)
+	s := x.speedToReport(e, now, heartbeat)
 	r.Speed, r.SpeedJobs = s.value, s.jobs
 	if !e.upstreamSent {
 		up := x.usableUpstream()
 		r.Upstream = &up
 		e.upstreamSent = true
 	}
-	if (beat || !e.runsSent) && !e.held.sent {
+	if (heartbeat || !e.runsSent) && !e.held.sent {
 		others := x.heldByOthers(e)
 		r.HeldJobs = &others
 		e.held.sent = true
 	}
-	// A list of runs is complete only after the worker has been seen.
+	// A list of runs is complete only once it is known which runs the worker has.
 	if !e.runsSent && x.runsKnown {
 		r.RunsComplete = true
 		e.runsSent = true
 		r.Ended = append(r.Ended, x.sortedUnclaimedEnds()...)
 	}
-	if beat || r.RunsComplete {
+	if heartbeat || r.RunsComplete {
 		e.heartbeatAt = now
 		r.Runs = x.progressFor(e, r.RunsComplete)
 	}
@@ -334,8 +342,8 @@
 	return n
 }
 
-// progressFor lists the runs of an entry, and those that it may claim in a complete
-// list.
+// progressFor lists the progress of an entry's runs. A complete list has the orphans
+// too, which the entry may claim.
 func (x *Executor) progressFor(e *entry, complete bool) []messenger.Progress {
 	var out []messenger.Progress
 	for _, r := range x.sortedRuns() {
@@ -347,12 +355,13 @@
 	return out
 }
 
-// joinedProgress lists the placements of an entry that get the outcome of a run.
+// joinedProgress lists the placements of an entry that have joined the run and get its
+// outcome.
 func (r *run) joinedProgress(name string) []messenger.Progress {
 	var out []messenger.Progress
-	for _, c := range r.joined {
-		if c.entry == name {
-			out = append(out, messenger.Progress{Run: c.run})
+	for _, j := range r.joined {
+		if j.entry == name {
+			out = append(out, messenger.Progress{Run: j.run})
 		}
 	}
 	return out
@@ -362,7 +371,8 @@
 	return messenger.Progress{Run: r.Run, Percent: r.percent, Age: r.progressAge}
 }
 
-// usableUpstream returns the worker as entries may use it.
+// usableUpstream returns the worker as it is reported to entries: without its details
+// once it has departed.
 func (x *Executor) usableUpstream() messenger.Upstream {
 	if x.departed {
 		return messenger.Upstream{ID: x.upstream.ID}
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -1,7 +1,7 @@
-// Package executor holds an agent's decisions on a worker that runs tasks
-// under leases: what starts, what is stopped, and what is known to have ended.
-// It does no input or output and reads time from a clock interface. It returns
-// effects; the agent process carries them out.
+// Package executor decides, for one agent, which runs start and stop on its worker and
+// which are known to have ended. Runs have leases, which the agent renews. The package
+// does no input or output and reads time from a clock interface. It returns effects,
+// which the agent process applies.
 package executor
 
 import (
@@ -13,59 +13,61 @@
 )
 
 const (
-	// LeaseDuration is how long the worker runs on without word from its agent.
+	// LeaseDuration is how long the worker keeps runs going without a call from its
+	// agent.
 	LeaseDuration = 600 * time.Millisecond
-	// leaseClockDrift is the largest share by which the worker's clock is slow.
+	// leaseClockDrift is the largest share by which the worker's clock may be slow.
 	leaseClockDrift = 0.02
 	// leaseTransitMargin covers the time that a call takes to arrive.
 	leaseTransitMargin = 30 * time.Millisecond
-	// busyPollWait is how long a look at a worker with runs waits for an end. It
-	// bounds the age of what is known of their progress.
+	// busyPollWait is how long the worker may hold a poll open, waiting for a run to
+	// end, while it has runs. It bounds the age of their known progress.
 	busyPollWait = 50 * time.Millisecond
 	// idlePollWait is the same for a worker without runs.
 	idlePollWait = 250 * time.Millisecond
-	// minPollRetryDelay is the pause after a look that failed. It doubles with
-	// each further failure up to maxPollRetryDelay, since each opens a connection; a
-	// heartbeat of the worker ends it.
+	// minPollRetryDelay is the delay after a failed poll. It doubles with each further
+	// failure up to maxPollRetryDelay, since each poll opens a connection. A heartbeat
+	// of the worker ends the delay.
 	minPollRetryDelay = 40 * time.Millisecond
 	maxPollRetryDelay = 640 * time.Millisecond
-	// entryTimeout is how long an entry may be silent before its runs are
-	// stopped.
+	// entryTimeout is how long nothing may be received from an entry before its runs
+	// are cancelled.
 	entryTimeout = messenger.IdleTimeout
-	// echoTolerance is how long after the stamp that it echoes an entry's word
-	// counts as said at most, however late it is read.
+	// echoTolerance is how long after the timestamp that it echoes a message of an
+	// entry counts as sent at most, however late it is read.
 	echoTolerance = messenger.HeartbeatInterval
-	// stopTimeout is how long runs that must end may take to be stopped. Then
-	// no lease is renewed until they are over.
+	// stopTimeout is how long runs that must end may take to stop. After it, no lease
+	// is renewed until they have ended.
 	stopTimeout = 100 * time.Millisecond
 	// endRetention is how long the ends of a lost entry's runs are kept for it.
 	endRetention = 10 * time.Second
-	// orphanTimeout is how long a run without an owner is kept for an entry
-	// that may claim it. No lease is renewed meanwhile.
+	// orphanTimeout is how long a run without an owner is kept for an entry that may
+	// claim it. No lease is renewed during that time.
 	orphanTimeout = 150 * time.Millisecond
-	// maxPlaceAge is the greatest age of a Place that is still carried out.
+	// maxPlaceAge is the greatest age at which a Place is still processed.
 	maxPlaceAge = messenger.IdleTimeout
 	// stopRetryInterval is the time after which a stop is sent again.
 	stopRetryInterval = 100 * time.Millisecond
 	// maxStartAttempts bounds how often one run is sent to the worker.
 	maxStartAttempts = 3
-	// capacityReportInterval, times the number of entries, is the least time between two
-	// reports of changed room to one entry. It bounds what an agent sends.
+	// capacityReportInterval, times the number of connected entries, is the least time
+	// between two reports of changed capacity to one entry. It bounds how much an agent
+	// sends.
 	capacityReportInterval = 4 * time.Millisecond
-	// relaxedReportInterval is the same for an entry at which nothing waits. It asks when
-	// something does. One that has placed nothing for entryIdleAfter hears of room with
-	// its heartbeats alone.
+	// relaxedReportInterval is the same for an entry without waiting tasks, which
+	// reports its backlog when it has one. An entry that has placed nothing for
+	// entryIdleAfter gets changed capacity in its heartbeats alone.
 	relaxedReportInterval = messenger.HeartbeatInterval / 2
 	entryIdleAfter        = 500 * time.Millisecond
-	// earlyHeartbeatAfter is the time after a heartbeat from which a report that is sent
-	// anyhow serves as the next one.
+	// earlyHeartbeatAfter is the time after a heartbeat from which a report that is
+	// sent for another reason serves as the next heartbeat.
 	earlyHeartbeatAfter = messenger.HeartbeatInterval / 2
-	// minTokenStep is the least step of the fencing token when the worker has
-	// seen a higher one.
+	// minTokenStep is the least step by which the fencing token is raised when the
+	// worker has seen a higher one.
 	minTokenStep = 1_000_000
 )
 
-// Identity names an agent.
+// Identity identifies an agent.
 type Identity struct {
 	Agent      string
 	DataCentre string
@@ -75,14 +77,14 @@
 	Token uint64
 }
 
-// Config bounds what an executor does.
+// Config limits what an executor does.
 type Config struct {
-	// DrainTimeout is how long after an upstream's notice to leave a task may
-	// still be started on it.
+	// DrainTimeout is how long after the upstream's drain notice a task may still be
+	// started on it.
 	DrainTimeout time.Duration
 }
 
-// Executor decides for one worker.
+// Executor makes the decisions for one worker. It is not safe for concurrent use.
 type Executor struct {
 	clock     clockwork.Clock
 	startedAt time.Time
@@ -90,30 +92,31 @@
 	cfg       Config
 
 	upstream messenger.Upstream
-	// previousUpstream is the worker whose place upstream has taken, until a look has shown
-	// that upstream is there.
+	// previousUpstream is the worker that upstream has replaced, until a poll has shown
+	// that upstream is reachable.
 	previousUpstream messenger.Upstream
-	// departed is whether the worker has said that it leaves for good. It gets
-	// nothing new; what runs there is followed to its end.
+	// departed is whether the worker has said that it leaves for good. It gets no new
+	// runs; those that it has are followed to their ends.
 	departed bool
-	// leaseRenewedAt is when a call was last sent that may have lengthened the lease
-	// of all that the worker runs.
+	// leaseRenewedAt is when a call was last sent that may have extended the lease of
+	// all runs at the worker.
 	leaseRenewedAt time.Time
-	// runsKnown is whether it is known what runs: the worker has answered a look,
-	// or the leases of an earlier incarnation of the agent are over.
+	// runsKnown is whether it is known which runs the worker has: the worker has
+	// answered a poll, or the leases that an earlier incarnation of the agent set have
+	// expired.
 	runsKnown bool
-	// drainingSince is when the upstream first said that it leaves.
+	// drainingSince is when the upstream first announced that it drains.
 	drainingSince time.Time
 	shuttingDown  bool
-	// directivesRevision is the revision of the newest directives heard; evacuated is
-	// whether they evacuate the agent's data centre.
+	// directivesRevision is the revision of the newest directives received; evacuated
+	// is whether they evacuate the agent's data centre.
 	directivesRevision int64
 	evacuated          bool
 
-	// token is sent with each call; calls with a lower one have no effect at
-	// the worker once it has seen this one.
+	// token is sent with each call. Calls with a lower one have no effect at the worker
+	// once it has seen this one.
 	token uint64
-	// fenceStep is the next step of token when it is too low.
+	// fenceStep is the amount by which token is raised when it is next too low.
 	fenceStep uint64
 
 	runs    map[messenger.Run]*run
@@ -121,28 +124,29 @@
 	waiting []*run
 	used    messenger.Resources
 
-	// unclaimed keeps the ends of runs that no entry had claimed.
+	// unclaimed holds the ends of runs that no entry had claimed.
 	unclaimed map[messenger.Run]unclaimedEnd
 
 	entries map[string]*entry
 	// sortedEntries lists the entries by name.
 	sortedEntries []*entry
 	poll          pollState
-	// paceSamples and failures tell entries how sound the worker is.
+	// paceSamples and failures are the evidence on the health of the worker that is
+	// reported to entries.
 	paceSamples  paceSamples
 	failures     failureStreak
 	speedSamples speedSamples
 	callTimes    callTimes
 	turn         turnState
-	// reservation is the room that is kept for a large task.
+	// reservation is the capacity that is reserved for a large task.
 	reservation reservation
-	// reservationEnded is whether a reservation has ended since waiting runs were looked at.
+	// reservationEnded is whether a reservation has ended since startWaiting last ran.
 	reservationEnded bool
 
 	effects []Effect
 }
 
-// NewExecutor returns an executor that knows no worker yet.
+// NewExecutor returns an executor that has no worker yet.
 func NewExecutor(clock clockwork.Clock, identity Identity, cfg Config) *Executor {
 	return &Executor{
 		clock:     clock,
@@ -169,21 +173,23 @@
 
 func (x *Executor) emit(e Effect) { x.effects = append(x.effects, e) }
 
-// timestamp returns the agent's clock as it is written into messages.
+// timestamp returns the time since the executor was created, as it is written into
+// messages.
 func (x *Executor) timestamp() time.Duration { return x.clock.Since(x.startedAt) }
 
-// BeginShutdown begins a planned stop: nothing new is taken.
+// BeginShutdown begins the planned stop of the agent: waiting runs are refused and no
+// new ones are admitted.
 func (x *Executor) BeginShutdown() {
 	x.shuttingDown = true
-	x.endReservation("agent leaves")
+	x.endReservation("agent shutting down")
 	x.refuseWaiting(messenger.RefusedLeaving)
 	x.markStateChanged()
 }
 
-// Idle reports whether nothing runs or waits here.
+// Idle reports whether no run is active or waiting here.
 func (x *Executor) Idle() bool { return len(x.runs) == 0 }
 
-// Tick looks at what has come due.
+// Tick handles everything that has come due: timeouts, retries, polls and heartbeats.
 func (x *Executor) Tick() {
 	now := x.clock.Now()
 	x.expireSilent(now)
@@ -197,10 +203,10 @@
 	x.sendHeartbeats(now)
 }
 
-// freeCapacity returns the room that nothing holds.
+// freeCapacity returns the capacity that no run holds.
 func (x *Executor) freeCapacity() messenger.Resources { return x.upstream.Capacity.Minus(x.used) }
 
-// uncommittedCapacity returns the room that nothing holds or waits for.
+// uncommittedCapacity returns the capacity that no run holds or waits for.
 func (x *Executor) uncommittedCapacity() messenger.Resources {
 	d := x.freeCapacity()
 	for _, r := range x.waiting {
--- a/executor/expectedend.go
+++ b/executor/expectedend.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// minProgressPercent is the progress, in percent, from which it tells more of a
-	// run's end than the estimate does.
+	// minProgressPercent is the progress, in percent, from which it predicts the end of
+	// a run better than the estimate does.
 	minProgressPercent = 10
-	// overrunFactor is the share of its age for which a run that is past its
-	// expected end is taken to go on.
+	// overrunFactor is the share of its age for which a run that is past its expected
+	// end is assumed to go on.
 	overrunFactor = 0.25
 )
 
-// expectedEnd returns when a run that holds room is expected to end: by its
-// estimate, or by its progress once enough is done.
+// expectedEnd returns when a run that holds capacity is expected to end: by its
+// estimate, or by its progress once that is at least minProgressPercent.
 func (x *Executor) expectedEnd(r *run, now time.Time) time.Time {
 	start := r.startedAt
 	if start.IsZero() {
@@ -20,7 +20,7 @@
 	}
 	end := start.Add(r.Estimate)
 	if r.percent >= minProgressPercent && r.progressAge > 0 {
-		// Age counts from the sending of the start.
+		// progressAge is counted from the sending of the start.
 		end = r.sentAt.Add(r.progressAge * 100 / time.Duration(r.percent))
 	}
 	if end.After(now) {
--- a/executor/forecast.go
+++ b/executor/forecast.go
@@ -6,8 +6,8 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// forecast returns the room that runs are expected to have given back after each of
-// messenger.ForecastHorizons; nil when none is.
+// forecast returns the capacity that runs are expected to have freed after each of
+// messenger.ForecastHorizons, or nil if they free none.
 func (x *Executor) forecast(now time.Time) []messenger.Resources {
 	if !x.acceptsRuns() {
 		return nil
@@ -30,13 +30,13 @@
 	return out
 }
 
-// acceptsRuns reports whether room that falls free may be used for new runs.
+// acceptsRuns reports whether capacity that becomes free may be used for new runs.
 func (x *Executor) acceptsRuns() bool {
 	return !x.shuttingDown && !x.evacuated && !x.departed && !x.upstream.Draining && x.upstream.Born != 0
 }
 
-// endIsPredictable reports whether anything is known of how long a run takes. A run
-// that was found at the worker has no estimate.
+// endIsPredictable reports whether the run has an estimate or enough progress to
+// predict its end. A run that was found at the worker has no estimate.
 func (r *run) endIsPredictable() bool {
 	return r.Estimate > 0 || (r.percent >= minProgressPercent && r.progressAge > 0)
 }
--- a/executor/heldjobs.go
+++ b/executor/heldjobs.go
@@ -7,25 +7,25 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// heldJobs is what an entry and the others have to know of each other's jobs.
+// heldJobs are the jobs that an entry holds, as announced to the other entries.
 type heldJobs struct {
-	// jobs are those of the entry's last heartbeat, which came at.
+	// jobs are those of the entry's last heartbeat, which was received at receivedAt.
 	jobs       messenger.HeldJobs
 	receivedAt time.Time
-	// earlier are the jobs of earlier incarnations of the entry, whose runs may go
-	// on.
+	// earlier are the jobs of earlier incarnations of the entry, whose runs may go on.
 	earlier []earlierJobs
-	// sent is whether the entry has heard of the jobs that the others hold.
+	// sent is whether the jobs that the other entries hold have been sent to the entry.
 	sent bool
 }
 
-// earlierJobs are told of until a time.
+// earlierJobs are the jobs of one earlier incarnation. They are announced until they
+// expire.
 type earlierJobs struct {
 	jobs      []string
 	expiresAt time.Time
 }
 
-// retire keeps the jobs of an earlier incarnation of an entry for a while.
+// retire moves the present jobs to the earlier ones when their entry has restarted.
 func (h *heldJobs) retire() {
 	if jobs := slices.Concat(h.jobs.Running, h.jobs.Yielding, h.jobs.Finished); len(jobs) > 0 {
 		h.earlier = append(h.earlier, earlierJobs{jobs: jobs, expiresAt: h.receivedAt.Add(messenger.HeldJobsTTL)})
@@ -33,23 +33,23 @@
 	}
 }
 
-// expire drops what is too old, and reports whether there was something.
+// expire removes the jobs that have expired, and reports whether there were any.
 func (h *heldJobs) expire(now time.Time) bool {
 	n := len(h.earlier)
 	h.earlier = slices.DeleteFunc(h.earlier, func(p earlierJobs) bool { return now.After(p.expiresAt) })
-	forgotten := len(h.earlier) < n
+	expired := len(h.earlier) < n
 	if now.Sub(h.receivedAt) > messenger.HeldJobsTTL && !equalHeld(h.jobs, messenger.HeldJobs{}) {
 		h.jobs = messenger.HeldJobs{}
-		forgotten = true
+		expired = true
 	}
-	return forgotten
+	return expired
 }
 
 func equalHeld(a, b messenger.HeldJobs) bool {
 	return slices.Equal(a.Running, b.Running) && slices.Equal(a.Yielding, b.Yielding) && slices.Equal(a.Finished, b.Finished)
 }
 
-// updateHeld takes in the jobs that an entry holds. The others hear of a change.
+// updateHeld records the jobs that an entry holds. A change is sent to the others.
 func (x *Executor) updateHeld(e *entry, jobs messenger.HeldJobs) {
 	e.held.receivedAt = x.clock.Now()
 	if !equalHeld(e.held.jobs, jobs) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// markHeldChanged marks that the others have not heard of what an entry holds. They
-// hear of it in the next heartbeat, which bounds what the lists cost.
+// markHeldChanged marks that the jobs that an entry holds have to be sent to the
+// others. They go out with the next heartbeat, which bounds the cost of the lists.
 func (x *Executor) markHeldChanged(e *entry) {
 	for _, o := range x.sortedEntries {
 		if o != e {
@@ -68,7 +68,8 @@
 	}
 }
 
-// expireHeld drops the jobs of entries that have sent no heartbeat for long.
+// expireHeld removes the jobs of entries that have sent no heartbeat for longer than
+// messenger.HeldJobsTTL.
 func (x *Executor) expireHeld(now time.Time) {
 	for _, e := range x.sortedEntries {
 		if e.held.expire(now) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// heldByOthers returns the jobs that the other entries hold.
+// heldByOthers returns the jobs that the entries other than e hold.
 func (x *Executor) heldByOthers(e *entry) messenger.HeldJobs {
 	var out messenger.HeldJobs
 	for _, o := range x.sortedEntries {
@@ -88,7 +89,8 @@
 		out.Yielding = append(out.Yielding, o.held.jobs.Yielding...)
 		out.Finished = append(out.Finished, o.held.jobs.Finished...)
 		for _, p := range o.held.earlier {
-			// Its callers have gone, and its runs are being stopped.
+			// The callers of an earlier incarnation are disconnected, and its runs are
+			// being stopped.
 			out.Finished = append(out.Finished, p.jobs...)
 		}
 	}
--- a/executor/outcome.go
+++ b/executor/outcome.go
@@ -7,40 +7,41 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// outcome is the end of a run, or its refusal; the other is empty.
+// outcome is the end of a run or its refusal; the other field is empty.
 type outcome struct {
 	number  uint64
 	end     messenger.RunEnd
 	refused messenger.Refusal
 }
 
-// outcomeQueue are what an entry has to hear of its runs. They are kept until the
-// entry says that it has taken them in, since a link that breaks loses what is
-// on its way.
+// outcomeQueue holds the outcomes that have to be reported to an entry. They are kept
+// until the entry has acknowledged them, since a link that breaks loses what is in
+// transit.
 type outcomeQueue struct {
-	// list holds what has not been acknowledged, by rising numbers.
+	// list holds the unacknowledged outcomes, by rising numbers.
 	list []outcome
-	// lastNumber is the number of the last outcome; told that of the last one sent on
-	// the present link.
+	// lastNumber is the number of the last outcome, and sentNumber that of the last one
+	// sent on the present link.
 	lastNumber, sentNumber uint64
 }
 
-// add adds an outcome.
+// add appends an outcome and gives it the next number.
 func (o *outcomeQueue) add(c outcome) {
 	o.lastNumber++
 	c.number = o.lastNumber
 	o.list = append(o.list, c)
 }
 
-// contains reports whether the outcome of a run has not been acknowledged yet.
+// contains reports whether an outcome of a run is still unacknowledged.
 func (o *outcomeQueue) contains(r messenger.Run) bool {
 	return slices.ContainsFunc(o.list, func(c outcome) bool { return c.end.Run == r || c.refused.Run == r })
 }
 
-// hasUnsent reports whether there is something to tell.
+// hasUnsent reports whether an outcome has not been sent on the present link.
 func (o *outcomeQueue) hasUnsent() bool { return len(o.list) > 0 && o.sentNumber < o.lastNumber }
 
-// acknowledge drops what the entry has taken in on the present link.
+// acknowledge drops the outcomes up to number, unless number was not sent on the
+// present link.
 func (o *outcomeQueue) acknowledge(number uint64) {
 	if number > o.sentNumber {
 		return
@@ -48,8 +49,8 @@
 	o.list = slices.DeleteFunc(o.list, func(c outcome) bool { return c.number <= number })
 }
 
-// takeUnsent returns what has not been told on the present link, and the number of
-// the last outcome.
+// takeUnsent returns the outcomes that have not been sent on the present link, and the
+// number of the last outcome. It marks them as sent.
 func (o *outcomeQueue) takeUnsent() ([]messenger.RunEnd, []messenger.Refusal, uint64) {
 	var ends []messenger.RunEnd
 	var refusals []messenger.Refusal
@@ -66,7 +67,7 @@
 	return ends, refusals, o.lastNumber
 }
 
-// queueOutcome has an entry, if it is known, hear of an outcome.
+// queueOutcome queues an outcome for an entry, if the entry is known.
 func (x *Executor) queueOutcome(name string, c outcome) {
 	if e := x.entries[name]; e != nil {
 		e.outcomes.add(c)
@@ -79,8 +80,8 @@
 	at time.Time
 }
 
-// sortedUnclaimedEnds returns the ends of runs that no entry had claimed, in a fixed
-// order.
+// sortedUnclaimedEnds returns the ends of runs that no entry had claimed, ordered by
+// task and number.
 func (x *Executor) sortedUnclaimedEnds() []messenger.RunEnd {
 	var out []messenger.RunEnd
 	for _, e := range x.unclaimed {
@@ -90,7 +91,7 @@
 	return out
 }
 
-// expireUnclaimedEnds drops the ends that no entry has asked for in time.
+// expireUnclaimedEnds removes the ends that no entry has asked for within endRetention.
 func (x *Executor) expireUnclaimedEnds(now time.Time) {
 	for r, e := range x.unclaimed {
 		if now.Sub(e.at) > endRetention {
--- a/executor/pace.go
+++ b/executor/pace.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// minPaceJobs is the number of jobs whose paces are kept.
+	// maxPaceSamples is the number of jobs whose paces are kept.
 	maxPaceSamples = 7
-	// paceSampleTTL is how long the pace of a job tells of the worker.
+	// paceSampleTTL is how long the pace of a job counts as evidence on the worker.
 	paceSampleTTL = 1500 * time.Millisecond
-	// minPaceAge is the least age of a run whose progress tells of the pace.
+	// minPaceAge is the least age of a run whose progress gives a pace.
 	minPaceAge = 25 * time.Millisecond
-	// maxPaceEndDelay is how much later than it came an end may be seen for the run
-	// still to tell of the pace.
+	// maxPaceEndDelay is the longest time since the previous answer to a poll for which
+	// the end of a run still gives a pace: the run may have ended at any time in
+	// between.
 	maxPaceEndDelay = 2 * busyPollWait
 )
 
-// paceSample is how fast the last seen run of a job was: the work done over the
-// work expected in the time.
+// paceSample is the pace of the run of a job that was seen last: the ratio of the work
+// done to the work expected in that time.
 type paceSample struct {
 	job  string
 	pace float64
 	at   time.Time
 }
 
-// paceSamples keeps the last paces, one for each job, since the estimates of a job's
+// paceSamples holds the last paces, one for each job, since the estimates of a job's
 // tasks are wrong together.
 type paceSamples struct {
 	list []paceSample
 }
 
-// add takes a sample in. The lowest of a job's recent samples counts.
+// add adds a sample. It replaces the earlier one of the same job.
 func (p *paceSamples) add(s paceSample) {
 	p.list = slices.DeleteFunc(p.list, func(o paceSample) bool { return o.job == s.job })
 	p.list = append(p.list, s)
@@ -42,7 +43,7 @@
 	}
 }
 
-// median returns the median pace and of how many jobs it is.
+// median returns the median of the recent paces, and the number of jobs behind it.
 func (p *paceSamples) median(now time.Time) (float64, int) {
 	var recent []float64
 	for _, s := range p.list {
@@ -57,7 +58,7 @@
 	return recent[len(recent)/2], len(recent)
 }
 
-// recordPace notes how fast a run goes.
+// recordPace adds a sample of the pace of a run from its progress.
 func (x *Executor) recordPace(r *run) {
 	if r.startTimeUnknown || r.progressAge < minPaceAge || r.Estimate <= 0 || r.owner == "" || r.percent >= 100 {
 		return
@@ -66,16 +67,17 @@
 	x.paceSamples.add(paceSample{job: r.job, pace: done / float64(r.progressAge), at: x.clock.Now()})
 }
 
-// failureStreak counts the jobs in a row that had a failed run. The runs of one job
-// count once, since a job may be one that can never be done.
+// failureStreak counts the jobs in a row that had a failed run. All runs of one job
+// count once, since the job may be one that can never succeed.
 type failureStreak struct {
 	jobs    int
 	lastJob string
 }
 
-// recordRunEnd counts the end of a run as evidence on the state of the worker.
-func (x *Executor) recordRunEnd(r *run, how messenger.EndReason) {
-	switch how {
+// recordRunEnd updates the evidence on the health and the speed of the worker with the
+// end of a run.
+func (x *Executor) recordRunEnd(r *run, reason messenger.EndReason) {
+	switch reason {
 	case messenger.RunDone:
 		x.failures = failureStreak{}
 		timed := !r.startTimeUnknown && x.clock.Since(x.poll.answeredAt) <= maxPaceEndDelay
--- a/executor/poll.go
+++ b/executor/poll.go
@@ -6,85 +6,88 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// pollState is the state of the looks at the worker. One look follows the other;
-// each renews the lease and brings the ends.
+// pollState is the state of the polls of the worker. Polls follow one another, and only
+// the answer to the last one counts. Each renews the lease and returns the ends of
+// runs.
 type pollState struct {
 	number uint64
-	// open is whether a look has not been answered.
+	// open is whether the last poll has not been answered.
 	open   bool
 	sentAt time.Time
 	token  uint64
-	// immediate is whether the open look asks for an answer at once.
+	// immediate is whether the open poll asks for an answer at once.
 	immediate bool
-	// dueNow asks for a look now, beside an open one.
+	// dueNow requests a poll now, even if one is open.
 	dueNow bool
-	// notBefore is the earliest time of the next look.
+	// notBefore is the earliest time of the next poll.
 	notBefore time.Time
-	// answered is whether the worker has answered a look, and answeredAt when it
-	// last did.
+	// answered is whether the worker has answered a poll, and answeredAt when it last
+	// did.
 	answered   bool
 	answeredAt time.Time
-	// lastEnd is the number of the last end that was taken in.
+	// lastEnd is the number of the last end that was processed.
 	lastEnd int64
 	// unanswered counts the calls without an answer since the last answer.
 	unanswered int
 }
 
-func (l *pollState) reset() {
-	*l = pollState{number: l.number}
+func (s *pollState) reset() {
+	*s = pollState{number: s.number}
 }
 
-// fences reports whether an open look shows soon what has become of a start, and
-// keeps it from taking effect later.
-func (l *pollState) fences(token uint64) bool { return l.open && l.immediate && l.token > token }
+// fences reports whether the open poll will soon show what became of a start that
+// carried token, and keeps that start from taking effect later.
+func (s *pollState) fences(token uint64) bool { return s.open && s.immediate && s.token > token }
 
-// retryDelay is how long to wait after a look that failed.
-func (l *pollState) retryDelay() time.Duration {
+// retryDelay returns how long to wait after a failed poll.
+func (s *pollState) retryDelay() time.Duration {
 	const doublings = 4
-	return min(minPollRetryDelay<<min(max(l.unanswered-1, 0), doublings), maxPollRetryDelay)
+	return min(minPollRetryDelay<<min(max(s.unanswered-1, 0), doublings), maxPollRetryDelay)
 }
 
-// latestLeaseExpiry is when a lease has ended for certain that was asked for at t.
-func latestLeaseExpiry(t time.Time) time.Time {
-	most := time.Duration(float64(LeaseDuration) * (1 + leaseClockDrift))
-	return t.Add(most + leaseTransitMargin)
+// latestLeaseExpiry returns the time at which a lease that was asked for at t has
+// expired for certain.
+func latestLeaseExpiry(requestedAt time.Time) time.Time {
+	maxDuration := time.Duration(float64(LeaseDuration) * (1 + leaseClockDrift))
+	return requestedAt.Add(maxDuration + leaseTransitMargin)
 }
 
-// sendDuePoll sends the next look when it is due.
+// sendDuePoll sends the next poll if it is due.
 func (x *Executor) sendDuePoll() {
-	l := &x.poll
+	state := &x.poll
 	now := x.clock.Now()
 	if x.departed && !x.hasRunsAtWorker() {
 		x.dropUpstream()
 	}
-	if x.upstream.Born == 0 || (l.open && !l.dueNow) || (now.Before(l.notBefore) && !l.dueNow) {
+	if x.upstream.Born == 0 || (state.open && !state.dueNow) || (now.Before(state.notBefore) && !state.dueNow) {
 		return
 	}
 	wait := idlePollWait
 	if len(x.runs) > 0 {
 		wait = busyPollWait
 	}
-	if l.unanswered > 0 || !l.answered || x.hasUnconfirmed() {
-		// What runs is not known yet, and nothing is placed here before it is.
+	if state.unanswered > 0 || !state.answered || x.hasUnconfirmed() {
+		// It is not known yet which runs the worker has, and nothing is placed here
+		// before it is.
 		wait = 0
 	}
-	l.number++
-	l.open = true
-	l.sentAt = now
-	l.token = x.token
-	l.dueNow = false
-	l.immediate = wait == 0
-	look := Poll{Number: l.number, Token: x.token, AckedEnd: l.lastEnd, MaxWait: wait, Upstream: x.upstream}
-	// What is not answered must not keep runs alive for ever, nor what does not
-	// end when it is stopped.
+	state.number++
+	state.open = true
+	state.sentAt = now
+	state.token = x.token
+	state.dueNow = false
+	state.immediate = wait == 0
+	next := Poll{Number: state.number, Token: x.token, AckedEnd: state.lastEnd, MaxWait: wait, Upstream: x.upstream}
+	// Neither a worker that does not answer nor a run that does not end when it is
+	// stopped may get its lease renewed for ever.
 	if !x.workerUnresponsive() && !x.leaseWithheld(now) {
-		look.LeaseUntil = x.renewLease(now)
+		next.LeaseUntil = x.renewLease(now)
 	}
-	x.emit(look)
+	x.emit(next)
 }
 
-// renewLease notes that a call may lengthen the lease of all runs, and returns until
-// when.
+// renewLease records that a call that is sent now may extend the leases of all runs,
+// and returns their new expiry.
 func (x *Executor) renewLease(now time.Time) time.Time {
 	x.leaseRenewedAt = now
 	for _, r := range x.runs {
@@ -95,9 +98,10 @@
 	return now.Add(LeaseDuration)
 }
 
-// leaseWithheld reports whether a run goes on that has to end, or that an earlier
-// incarnation of the agent started and no entry has claimed: its entry may have
-// given it up, and counts on its lease.
+// leaseWithheld reports whether leases must not be renewed. That is so while a run goes
+// on past its stop deadline, or while no entry has claimed an orphan, for instance one
+// that an earlier incarnation of the agent started: its entry may have given it up, and
+// relies on the expiry of its lease.
 func (x *Executor) leaseWithheld(now time.Time) bool {
 	for _, r := range x.runs {
 		unclaimed := r.owner == "" && !r.cancelled
@@ -108,7 +112,7 @@
 	return false
 }
 
-// hasRunsAtWorker reports whether the worker may run anything of ours.
+// hasRunsAtWorker reports whether the worker may have runs of this agent.
 func (x *Executor) hasRunsAtWorker() bool {
 	for _, r := range x.runs {
 		if r.holdsCapacity() {
@@ -118,7 +122,7 @@
 	return false
 }
 
-// hasUnconfirmed reports whether a run may have started or not.
+// hasUnconfirmed reports whether a run may or may not have started.
 func (x *Executor) hasUnconfirmed() bool {
 	for _, r := range x.runs {
 		if r.phase == unconfirmed {
@@ -128,8 +132,8 @@
 	return false
 }
 
-// hasLongUnconfirmed reports whether a run that may have started was sent so long ago that
-// the worker should have answered.
+// hasLongUnconfirmed reports whether an unconfirmed run was sent so long ago that the
+// worker should have answered.
 func (x *Executor) hasLongUnconfirmed() bool {
 	for _, r := range x.runs {
 		if r.phase == unconfirmed && x.clock.Since(r.sentAt) >= maxCallTimeout {
@@ -139,82 +143,83 @@
 	return false
 }
 
-// workerUnresponsive reports whether the worker has left several calls unanswered.
+// workerUnresponsive reports whether the worker has left at least two calls in a row
+// unanswered.
 func (x *Executor) workerUnresponsive() bool { return x.poll.unanswered >= 2 }
 
-// EndRecord is one end as the worker lists it.
+// EndRecord is the end of one run as the worker lists it.
 type EndRecord struct {
-	// Number rises with each end of one incarnation.
+	// Number rises with each end within one incarnation of the worker.
 	Number int64
 	messenger.RunEnd
 }
 
-// PollResult is the worker's answer to a look.
+// PollResult is the worker's answer to a Poll.
 type PollResult struct {
 	Number uint64
-	// Born is the incarnation that answered; zero when it did not say.
+	// Born identifies the incarnation that answered; zero if the answer has none.
 	Born    int64
 	Running []messenger.Progress
 	Ended   []EndRecord
 }
 
-// HandlePollFailure notes a look without an answer.
-func (x *Executor) HandlePollFailure(number uint64, out CallResult) {
-	l := &x.poll
-	if number != l.number {
+// HandlePollFailure processes a poll that failed.
+func (x *Executor) HandlePollFailure(number uint64, result CallResult) {
+	state := &x.poll
+	if number != state.number {
 		return
 	}
-	l.open = false
-	switch out {
+	state.open = false
+	switch result {
 	case Fenced:
-		x.raiseToken(l.token)
+		x.raiseToken(state.token)
 	case Misdirected:
 		x.handleMisdirected()
 		return
 	case Unanswered:
-		l.unanswered++
+		state.unanswered++
 		x.token++
 		if x.workerUnresponsive() {
-			// The first one is looked into at once.
-			l.notBefore = x.clock.Now().Add(l.retryDelay())
+			// The first unanswered call is followed by another poll at once.
+			state.notBefore = x.clock.Now().Add(state.retryDelay())
 		}
 	default:
-		l.unanswered++
-		l.notBefore = x.clock.Now().Add(l.retryDelay())
+		state.unanswered++
+		state.notBefore = x.clock.Now().Add(state.retryDelay())
 	}
 	x.markStateChanged()
 	x.sendDuePoll()
 }
 
-// HandlePollResult takes in the answer to a look.
-func (x *Executor) HandlePollResult(s PollResult) {
-	l := &x.poll
-	if s.Number != l.number {
+// HandlePollResult processes the answer to a poll.
+func (x *Executor) HandlePollResult(result PollResult) {
+	state := &x.poll
+	if result.Number != state.number {
 		return
 	}
-	l.open = false
-	l.notBefore = time.Time{}
-	if s.Born != 0 && s.Born != x.upstream.Born {
-		x.handleWorkerRestart(s.Born)
+	state.open = false
+	state.notBefore = time.Time{}
+	if result.Born != 0 && result.Born != x.upstream.Born {
+		x.handleWorkerRestart(result.Born)
 		return
 	}
-	if l.unanswered > 0 || !l.answered {
-		l.unanswered = 0
-		l.answered = true
+	if state.unanswered > 0 || !state.answered {
+		state.unanswered = 0
+		state.answered = true
 		x.markStateChanged()
 	}
 	x.previousUpstream = messenger.Upstream{}
 	x.runsKnown = true
-	x.recordEnds(s.Ended)
-	x.reconcileRuns(s.Running)
-	l.answeredAt = x.clock.Now()
+	x.recordEnds(result.Ended)
+	x.reconcileRuns(result.Running)
+	state.answeredAt = x.clock.Now()
 	x.startWaiting()
 	x.sendDuePoll()
 }
 
-// handleWorkerRestart notes that the worker has restarted. It counts as without
-// room before it has announced itself, since it may be of another size. Its
-// start may be the earlier one by its clock, which may have been set back.
+// handleWorkerRestart records that the worker has restarted. Until its next heartbeat
+// it counts as without capacity, since it may be of another size. Its new start time
+// may be earlier than the last one, since its clock may have been set back.
 func (x *Executor) handleWorkerRestart(born int64) {
 	x.resetWorkerState()
 	x.upstream = messenger.Upstream{ID: x.upstream.ID, Born: born, Service: x.upstream.Service}
@@ -223,6 +228,8 @@
 	x.sendDuePoll()
 }
 
+// recordEnds processes the ends in a poll result, except those that were processed
+// before.
 func (x *Executor) recordEnds(ends []EndRecord) {
 	for _, e := range ends {
 		if e.Number <= x.poll.lastEnd {
@@ -233,17 +240,17 @@
 			x.finish(r, e.Reason)
 			continue
 		}
-		// An earlier incarnation of the agent started it.
+		// An earlier incarnation of the agent started the run.
 		x.unclaimed[e.Run] = unclaimedEnd{RunEnd: e.RunEnd, at: x.clock.Now()}
 	}
 }
 
-// reconcileRuns compares what the worker runs with what is known.
+// reconcileRuns compares the runs that the worker lists with the known ones.
 func (x *Executor) reconcileRuns(list []messenger.Progress) {
-	l := &x.poll
-	there := make(map[messenger.Run]bool, len(list))
+	state := &x.poll
+	listed := make(map[messenger.Run]bool, len(list))
 	for _, p := range list {
-		there[p.Run] = true
+		listed[p.Run] = true
 		r := x.runs[p.Run]
 		if r == nil {
 			x.adoptOrphan(p)
@@ -258,24 +265,25 @@
 		x.recordPace(r)
 	}
 	for _, r := range x.sortedRuns() {
-		if there[r.Run] {
+		if listed[r.Run] {
 			continue
 		}
 		switch {
-		case r.phase == unconfirmed && r.token <= l.token && !r.startedAt.IsZero():
+		case r.phase == unconfirmed && r.token <= state.token && !r.startedAt.IsZero():
 			x.finish(r, messenger.RunLapsed)
-		case r.phase == unconfirmed && r.token <= l.token:
-			// The look came under a higher token: the start has done nothing
-			// and can do nothing any more.
+		case r.phase == unconfirmed && r.token <= state.token:
+			// The poll carried a token at least as high as the run's, which was raised
+			// after the start: the start has had no effect and cannot have one any
+			// more.
 			x.retryStart(r)
-		case (r.phase == running || r.phase == stopping) && r.startedAt.Before(l.sentAt):
+		case (r.phase == running || r.phase == stopping) && r.startedAt.Before(state.sentAt):
 			x.finish(r, messenger.RunLapsed)
 		}
 	}
 }
 
-// adoptOrphan keeps a run that this incarnation did not start until its owner claims
-// it.
+// adoptOrphan keeps a run that this incarnation of the agent did not start until its
+// owner claims it.
 func (x *Executor) adoptOrphan(p messenger.Progress) {
 	now := x.clock.Now()
 	r := &run{
--- a/executor/run.go
+++ b/executor/run.go
@@ -7,24 +7,24 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// phase is where a run stands.
+// phase is the state of a run.
 type phase int
 
 const (
 	waiting phase = iota
-	// starting runs have been sent and not answered.
+	// starting runs have been sent to the worker, which has not answered yet.
 	starting
 	// unconfirmed runs were sent and will not be answered: they may have started.
 	unconfirmed
 	running
-	// stopping runs have been told to stop; their room is still held.
+	// stopping runs have been sent a stop; they still hold their capacity.
 	stopping
-	// detached runs are at a worker that has been said to be gone. They hold no
-	// room, and end with their leases unless the worker turns up again.
+	// detached runs are at a worker that has been reported gone. They hold no capacity,
+	// and end with their leases unless the worker is found again.
 	detached
 )
 
-// joinedPlacement is an entry's placement of a task that has a run here already.
+// joinedPlacement is an entry's placement of a task that already has a run here.
 type joinedPlacement struct {
 	entry string
 	run   messenger.Run
@@ -33,38 +33,38 @@
 // run is one run of a task at this agent.
 type run struct {
 	messenger.Task
-	// owner is empty for a run that no entry has claimed: it was found at the
-	// worker, or its entry has restarted.
+	// owner is the entry that the run belongs to. It is empty for an orphan, a run that
+	// no entry has claimed: it was found at the worker, or its entry has restarted.
 	owner string
 	job   string
 	spec  string
 	phase phase
-	// worker is the id of the worker that the run was sent to.
+	// worker is the ID of the worker that the run was sent to.
 	worker string
 	// lapsedBy is when a detached run has ended for certain.
 	lapsedBy time.Time
-	// joined are the other placements of the task that get the outcome.
+	// joined are the other placements of the task, which get the outcome too.
 	joined []joinedPlacement
-	// stopDeadline is when a run that has to end keeps leases from being renewed;
-	// zero for others.
+	// stopDeadline is when a run that has to end begins to keep leases from being
+	// renewed; zero for other runs.
 	stopDeadline time.Time
-	// cancelled runs are stopped as soon as it is known that they have started.
+	// cancelled runs are stopped as soon as they are known to have started.
 	cancelled bool
-	// expiresAt is when a waiting run is refused, and one that was found at the
-	// worker dropped.
+	// expiresAt is when a waiting run is refused, and when an orphan that was found at
+	// the worker is cancelled.
 	expiresAt time.Time
-	// sentAt is when the start was last sent; token is what it carried.
+	// sentAt is when the start was last sent; token is the one that it carried.
 	sentAt   time.Time
 	token    uint64
 	attempts int
-	// startTimeUnknown means that a start was not answered, so that it is not known
-	// when the run began.
+	// startTimeUnknown is whether a start was unanswered, so that it is not known when
+	// the run began.
 	startTimeUnknown bool
-	// startedAt is when the worker is first known, or taken, to have it.
+	// startedAt is when the worker was first known, or taken, to have the run.
 	startedAt time.Time
 	// stopSentAt is when the stop was last sent.
 	stopSentAt time.Time
-	// percent is how far the run had come at age.
+	// percent is the progress of the run at the age progressAge.
 	percent     int
 	progressAge time.Duration
 }
@@ -74,7 +74,7 @@
 	x.byTask[r.Task.Task] = r
 }
 
-// remove forgets a run and frees its room.
+// remove deletes a run and frees its capacity.
 func (x *Executor) remove(r *run) {
 	switch {
 	case r.phase == waiting:
@@ -89,56 +89,61 @@
 	x.markCapacityChanged()
 }
 
-// finish notes the end of a run.
-func (x *Executor) finish(r *run, how messenger.EndReason) {
+// finish records the end of a run and queues its outcome for the owner and the joined
+// placements.
+func (x *Executor) finish(r *run, reason messenger.EndReason) {
 	x.remove(r)
-	x.recordRunEnd(r, how)
-	end := messenger.RunEnd{Run: r.Run, Reason: how}
+	x.recordRunEnd(r, reason)
+	end := messenger.RunEnd{Run: r.Run, Reason: reason}
 	if r.owner == "" {
 		x.unclaimed[r.Run] = unclaimedEnd{RunEnd: end, at: x.clock.Now()}
 	}
 	x.queueOutcome(r.owner, outcome{end: end})
-	for _, c := range r.joined {
-		x.queueOutcome(c.entry, outcome{end: messenger.RunEnd{Run: c.run, Reason: how}})
+	for _, j := range r.joined {
+		x.queueOutcome(j.entry, outcome{end: messenger.RunEnd{Run: j.run, Reason: reason}})
 	}
-	if how != messenger.RunDone {
-		// The entry's line on the job covers runs that end well.
-		x.emit(Note{Run: r.Run, Owner: r.owner, Worker: r.worker, What: "run ended", Why: string(how), Age: x.clock.Since(r.sentAt)})
+	if reason != messenger.RunDone {
+		// Runs that end well are covered by the entry's log line on the job.
+		x.emit(Note{Run: r.Run, Owner: r.owner, Worker: r.worker, What: "run ended", Why: string(reason), Age: x.clock.Since(r.sentAt)})
 	}
 }
 
-// refuse notes that a run has not started and will not start.
-func (x *Executor) refuse(r *run, why messenger.RefusalReason) {
+// refuse records that a run has not started and will not start, and queues its refusal
+// for the owner and the joined placements.
+func (x *Executor) refuse(r *run, reason messenger.RefusalReason) {
 	x.remove(r)
-	x.reportRefusal(r.owner, r.Run, why)
-	for _, c := range r.joined {
-		x.reportRefusal(c.entry, c.run, why)
+	x.reportRefusal(r.owner, r.Run, reason)
+	for _, j := range r.joined {
+		x.reportRefusal(j.entry, j.run, reason)
 	}
 }
 
-// withdrawJoined takes the placement of an entry off the run that it had joined. One that
-// is not known here has not started and will not start.
+// withdrawJoined removes the placement of an entry from the run that it had joined. It
+// reports a refusal unless an outcome of the run is still unacknowledged: a run that is
+// not known here has not started and will not start.
 func (x *Executor) withdrawJoined(owner string, id messenger.Run) {
 	if r := x.byTask[id.Task]; r != nil {
-		r.joined = slices.DeleteFunc(r.joined, func(c joinedPlacement) bool { return c.entry == owner && c.run == id })
+		r.joined = slices.DeleteFunc(r.joined, func(j joinedPlacement) bool { return j.entry == owner && j.run == id })
 	}
 	if e := x.entries[owner]; e != nil && x.runsKnown && !e.outcomes.contains(id) {
 		x.reportRefusal(owner, id, messenger.RefusedWithdrawn)
 	}
 }
 
-func (x *Executor) reportRefusal(owner string, r messenger.Run, why messenger.RefusalReason) {
-	x.queueOutcome(owner, outcome{refused: messenger.Refusal{Run: r, Reason: why}})
-	x.emit(Note{Run: r, Owner: owner, What: "run refused", Why: string(why)})
+// reportRefusal queues the refusal of a run for an entry.
+func (x *Executor) reportRefusal(owner string, r messenger.Run, reason messenger.RefusalReason) {
+	x.queueOutcome(owner, outcome{refused: messenger.Refusal{Run: r, Reason: reason}})
+	x.emit(Note{Run: r, Owner: owner, What: "run refused", Why: string(reason)})
 }
 
-func (x *Executor) refuseWaiting(why messenger.RefusalReason) {
+// refuseWaiting refuses all waiting runs.
+func (x *Executor) refuseWaiting(reason messenger.RefusalReason) {
 	for _, r := range slices.Clone(x.waiting) {
-		x.refuse(r, why)
+		x.refuse(r, reason)
 	}
 }
 
-// holdsCapacity reports whether a run holds room at the present worker.
+// holdsCapacity reports whether a run holds capacity at the present worker.
 func (r *run) holdsCapacity() bool { return r.phase != waiting && r.phase != detached }
 
 // lapseRunsOf ends every run of a worker that is certainly gone.
@@ -149,8 +154,8 @@
 	}
 }
 
-// detachAll holds every run for one that goes on at the last worker until its
-// lease is over for certain.
+// detachAll treats every run as one that goes on at the previous worker until its lease
+// has expired for certain.
 func (x *Executor) detachAll(why string) {
 	for _, r := range x.sortedRunsWhere((*run).holdsCapacity) {
 		x.emit(Note{Run: r.Run, Owner: r.owner, Worker: r.worker, What: "run detached", Why: why, Age: x.clock.Since(x.leaseRenewedAt)})
@@ -160,7 +165,7 @@
 	}
 }
 
-// reattach notes that a detached run goes on at the present worker.
+// reattach records that a detached run is still active at the present worker.
 func (x *Executor) reattach(r *run) {
 	x.emit(Note{Run: r.Run, Owner: r.owner, Worker: x.upstream.ID, What: "run found again"})
 	x.used = x.used.Plus(r.Demand)
@@ -168,10 +173,10 @@
 	r.phase = unconfirmed
 }
 
-// markAllUnconfirmed holds every run for one that may be at the worker or not, until a
-// look under a higher token tells. A start that was on its way when the worker
-// restarted under the same id may have reached its new incarnation, or have begun
-// in the last one.
+// markAllUnconfirmed treats every run as one that may or may not be at the worker,
+// until a poll under a higher token shows it. A start that was in transit when the
+// worker restarted under the same ID may have reached its new incarnation, or have
+// begun in the last one.
 func (x *Executor) markAllUnconfirmed(why string) {
 	x.token++
 	for _, r := range x.sortedRunsWhere((*run).holdsCapacity) {
@@ -185,20 +190,20 @@
 	}
 }
 
-// lapseExpired ends the runs whose leases have run out for certain.
+// lapseExpired ends the runs whose leases have expired for certain.
 func (x *Executor) lapseExpired(now time.Time) {
-	renewed := latestLeaseExpiry(x.leaseRenewedAt)
-	over := func(r *run) bool {
-		return (r.phase == detached && now.After(r.lapsedBy)) || (r.holdsCapacity() && now.After(renewed))
+	latestExpiry := latestLeaseExpiry(x.leaseRenewedAt)
+	expired := func(r *run) bool {
+		return (r.phase == detached && now.After(r.lapsedBy)) || (r.holdsCapacity() && now.After(latestExpiry))
 	}
-	for _, r := range x.sortedRunsWhere(over) {
+	for _, r := range x.sortedRunsWhere(expired) {
 		x.finish(r, messenger.RunLapsed)
 	}
 }
 
-// markRunsKnownAfterLeases notes that every lease that an earlier incarnation of the agent,
-// or a look of this one, has asked for is over: what runs is known then, also
-// without an answer of the worker.
+// markRunsKnownAfterLeases sets runsKnown once every lease that an earlier incarnation
+// of the agent, or a poll of this one, has asked for has expired. It is then known
+// which runs the worker has, even without an answer from it.
 func (x *Executor) markRunsKnownAfterLeases(now time.Time) {
 	if !x.runsKnown && now.After(latestLeaseExpiry(x.startedAt)) && now.After(latestLeaseExpiry(x.leaseRenewedAt)) {
 		x.runsKnown = true
@@ -206,14 +211,14 @@
 	}
 }
 
-// sortedRuns returns the runs in a fixed order.
+// sortedRuns returns all runs, ordered by task and number.
 func (x *Executor) sortedRuns() []*run { return x.sortedRunsWhere(func(*run) bool { return true }) }
 
-// sortedRunsWhere returns the runs of which suits is true, in a fixed order.
-func (x *Executor) sortedRunsWhere(suits func(r *run) bool) []*run {
+// sortedRunsWhere returns the runs that match, ordered by task and number.
+func (x *Executor) sortedRunsWhere(matches func(r *run) bool) []*run {
 	var out []*run
 	for _, r := range x.runs {
-		if suits(r) {
+		if matches(r) {
 			out = append(out, r)
 		}
 	}
--- a/executor/start.go
+++ b/executor/start.go
@@ -11,21 +11,22 @@
 // CallResult is how the worker took a call.
 type CallResult int
 
-// The outcomes.
+// The results of calls.
 const (
 	// Accepted calls have taken effect.
 	Accepted CallResult = iota
-	// Fenced calls carried too low a token; nothing was done.
+	// Fenced calls carried too low a token and had no effect.
 	Fenced
-	// StaleRun starts named a run that is not higher than one that ended there.
+	// StaleRun means that a start named a run whose number is not higher than that of
+	// one that has ended at the worker.
 	StaleRun
-	// Expired calls arrived after their lease; nothing was done.
+	// Expired calls arrived after their lease and had no effect.
 	Expired
-	// Full workers had no room; nothing was done.
+	// Full means that the worker lacked the capacity; the call had no effect.
 	Full
-	// Rejected calls were turned down for another reason; nothing was done.
+	// Rejected calls were turned down for another reason and had no effect.
 	Rejected
-	// Misdirected answered in the place of the one that was meant.
+	// Misdirected means that another worker answered in place of the intended one.
 	Misdirected
 	// NotSent calls never reached the worker.
 	NotSent
@@ -33,7 +34,7 @@
 	Unanswered
 )
 
-// HandlePlace takes in runs from an entry.
+// HandlePlace processes an entry's Place: it admits or refuses each of its runs.
 func (x *Executor) HandlePlace(owner string, p messenger.Place) {
 	e := x.entries[owner]
 	if e == nil {
@@ -46,7 +47,7 @@
 	stale := x.timestamp()-p.Echo > maxPlaceAge
 	x.updateBacklog(e, p.Backlog)
 	x.recordReaction(e, p.Echo)
-	taken := 0
+	admitted := 0
 	for _, t := range p.Tasks {
 		if known := x.byTask[t.Task]; known != nil {
 			x.placeKnownTask(e, known, t, p)
@@ -56,37 +57,39 @@
 			e.outcomes.add(outcome{end: end.RunEnd})
 			continue
 		}
-		if why, ok := x.admit(t, p, stale); !ok {
-			x.reportRefusal(owner, t.Run, why)
+		if reason, ok := x.admit(t, p, stale); !ok {
+			x.reportRefusal(owner, t.Run, reason)
 			continue
 		}
 		r := &run{Task: t, owner: owner, job: p.Job, spec: p.Spec, phase: waiting, expiresAt: now.Add(p.MaxWait)}
 		x.add(r)
 		x.enqueue(r)
-		taken++
+		admitted++
 	}
-	x.chargePlacements(e, taken)
+	x.chargePlacements(e, admitted)
 	x.markCapacityChanged()
 	x.startWaiting()
 	if len(x.waiting) > 0 {
-		// The entry can use the time if it hears of the refusal when it is due.
+		// Runs that do not start in time are refused as soon as their wait ends, so
+		// that the entry can use the time that is left to place them elsewhere.
 		x.emit(TickAfter{Delay: p.MaxWait + time.Millisecond})
 	}
 }
 
-// placeKnownTask takes in the placement of a task that has a run here: the entry gets
-// this run, or its outcome if it is another one's.
+// placeKnownTask processes the placement of a task that has a run here already. The
+// entry claims that run if it is the same one without an owner; otherwise its placement
+// joins the run and gets its outcome.
 func (x *Executor) placeKnownTask(e *entry, known *run, t messenger.Task, p messenger.Place) {
 	switch {
 	case known.Run == t.Run && known.owner == "":
 		x.claimOrphan(known, e.name, t, p)
 	case known.Run != t.Run || known.owner != e.name:
 		known.joined = append(known.joined, joinedPlacement{entry: e.name, run: t.Run})
-		x.emit(Note{Run: t.Run, Owner: e.name, Worker: known.worker, What: "run joined", Why: fmt.Sprintf("run %d of %q goes on", known.Number, known.owner)})
+		x.emit(Note{Run: t.Run, Owner: e.name, Worker: known.worker, What: "run joined", Why: fmt.Sprintf("run %d of entry %q is active", known.Number, known.owner)})
 	}
 }
 
-// claimOrphan gives a run that was found at the worker to the entry that names it.
+// claimOrphan gives a run that was found at the worker to the entry that places it.
 func (x *Executor) claimOrphan(r *run, owner string, t messenger.Task, p messenger.Place) {
 	if r.holdsCapacity() {
 		x.used = x.used.Minus(r.Demand).Plus(t.Demand)
@@ -98,7 +101,7 @@
 	r.Estimate = t.Estimate
 }
 
-// admit reports whether a new run may wait here, and if not, why.
+// admit reports whether a new run may wait here, and if not, the reason.
 func (x *Executor) admit(t messenger.Task, p messenger.Place, stale bool) (messenger.RefusalReason, bool) {
 	switch {
 	case stale:
@@ -117,13 +120,13 @@
 	return "", true
 }
 
-// endsBeforeWorkerLeaves reports whether a task may still start on a worker that is
-// about to leave.
+// endsBeforeWorkerLeaves reports whether a task may still be started on a draining
+// worker.
 func (x *Executor) endsBeforeWorkerLeaves(t messenger.Task) bool {
 	const (
-		// estimateMargin covers estimates that are too low.
+		// estimateMargin is a factor that covers estimates that are too low.
 		estimateMargin = 2
-		// noticeMargin keeps starts well inside the time for them.
+		// noticeMargin keeps starts well within the time that is left for them.
 		noticeMargin = 500 * time.Millisecond
 	)
 	since := x.clock.Since(x.drainingSince)
@@ -131,7 +134,8 @@
 		estimateMargin*t.Estimate+noticeMargin < x.upstream.Remaining-since
 }
 
-// enqueue makes a new run wait for room. One that room is kept for comes first.
+// enqueue adds a new run to the waiting ones. A run that capacity is reserved for goes
+// to the front and ends the reservation.
 func (x *Executor) enqueue(r *run) {
 	if x.reservation.matches(r.owner, r.Demand) {
 		x.endReservation("used")
@@ -141,7 +145,7 @@
 	x.waiting = append(x.waiting, r)
 }
 
-// startWaiting starts the waiting runs that have room.
+// startWaiting starts the waiting runs that fit into the free capacity.
 func (x *Executor) startWaiting() {
 	x.reservationEnded = false
 	if x.departed || x.upstream.Born == 0 {
@@ -154,16 +158,17 @@
 		return
 	}
 	x.updateReservation(now)
-	room := x.freeCapacity()
+	free := x.freeCapacity()
 	for _, r := range slices.Clone(x.waiting) {
-		if x.mayStart(r, room, now) {
-			x.emitBackfillNote(r, room, now)
-			room = room.Minus(r.Demand)
+		if x.mayStart(r, free, now) {
+			x.emitBackfillNote(r, free, now)
+			free = free.Minus(r.Demand)
 			x.startRun(r)
 		}
 	}
 }
 
+// startRun sends the start of a run to the worker.
 func (x *Executor) startRun(r *run) {
 	if r.phase == waiting {
 		x.waiting = slices.DeleteFunc(x.waiting, func(w *run) bool { return w == r })
@@ -177,9 +182,8 @@
 	x.emit(Start{Run: r.Run, Spec: r.spec, Token: x.token, LeaseUntil: x.renewLease(r.sentAt), Timeout: x.startTimeout(r), Upstream: x.upstream})
 }
 
-// startTimeout returns how long the start of a run may take. One that is sent
-// again gets the longest time, so that a run is held up only once by a time that
-// is too short.
+// startTimeout returns the timeout of the start of a run. A repeated start gets the
+// longest timeout, so that a timeout that is too short delays a run only once.
 func (x *Executor) startTimeout(r *run) time.Duration {
 	if r.attempts > 1 {
 		return maxCallTimeout
@@ -187,14 +191,15 @@
 	return x.callTimes.timeout(r.sentAt)
 }
 
-// HandleStartResult notes how the worker took a start that carried token.
-func (x *Executor) HandleStartResult(id messenger.Run, token uint64, out CallResult) {
+// HandleStartResult processes how the worker took the start of a run that carried
+// token.
+func (x *Executor) HandleStartResult(id messenger.Run, token uint64, result CallResult) {
 	r := x.runs[id]
 	if r == nil || r.phase != starting || r.token != token {
 		return
 	}
-	x.recordCallTime(r, out)
-	switch out {
+	x.recordCallTime(r, result)
+	switch result {
 	case Accepted:
 		x.poll.unanswered = 0
 		x.markRunning(r)
@@ -221,10 +226,10 @@
 	x.sendDuePoll()
 }
 
-// recordCallTime notes how long a start took to be answered.
-func (x *Executor) recordCallTime(r *run, out CallResult) {
+// recordCallTime records how long a start took to be answered.
+func (x *Executor) recordCallTime(r *run, result CallResult) {
 	now := x.clock.Now()
-	switch out {
+	switch result {
 	case NotSent:
 	case Unanswered:
 		x.callTimes.addUnanswered(now)
@@ -233,7 +238,7 @@
 	}
 }
 
-// markRunning notes that the worker has a run.
+// markRunning records that the worker has a run. A cancelled run is stopped.
 func (x *Executor) markRunning(r *run) {
 	if r.phase == stopping || r.phase == running {
 		return
@@ -246,10 +251,11 @@
 	}
 }
 
-// markUnconfirmed notes that a start got no answer. A higher token keeps it from taking
-// effect later, and a look under that token tells whether it did. One look does
-// for all starts that were sent before it. The worker counts as silent only if a
-// start was sent the longest time ago; else the look shows whether it is.
+// markUnconfirmed records that a start got no answer. A higher token keeps it from
+// taking effect later, and a poll under that token shows whether it did. One poll is
+// enough for all starts that were sent before it. The start counts as an unanswered
+// call only if one that is unconfirmed was sent at least the longest timeout ago;
+// otherwise the poll shows whether the worker answers.
 func (x *Executor) markUnconfirmed(r *run) {
 	r.phase = unconfirmed
 	r.startTimeUnknown = true
@@ -267,7 +273,8 @@
 	}
 }
 
-// raiseToken lifts the token above one that the worker has fenced off.
+// raiseToken raises the token after the worker has fenced off a call that carried
+// refused, unless the token is higher already.
 func (x *Executor) raiseToken(refused uint64) {
 	if refused < x.token {
 		return
@@ -276,7 +283,8 @@
 	x.fenceStep *= 2
 }
 
-// retryStart sends a start that has done nothing once more, within bounds.
+// retryStart sends a start that had no effect again, unless the run is cancelled, out
+// of attempts, or leases are withheld.
 func (x *Executor) retryStart(r *run) {
 	now := x.clock.Now()
 	x.expireSilent(now)
@@ -290,7 +298,7 @@
 	}
 }
 
-// HandleWithdraw drops or stops runs of an entry.
+// HandleWithdraw processes an entry's Withdraw: it cancels the runs that it names.
 func (x *Executor) HandleWithdraw(owner string, w messenger.Withdraw) {
 	for _, id := range w.Runs {
 		x.withdrawRun(owner, id)
@@ -298,7 +306,8 @@
 	x.startWaiting()
 }
 
-// withdrawRun drops one run of an entry, which hears of its outcome.
+// withdrawRun cancels one run of an entry, or withdraws the entry's placement from the
+// run that it has joined. The outcome is reported to the entry.
 func (x *Executor) withdrawRun(owner string, id messenger.Run) {
 	r := x.runs[id]
 	switch {
@@ -312,6 +321,8 @@
 	}
 }
 
+// cancel refuses a waiting run, stops a running one, and marks others to be stopped
+// once they are known to have started.
 func (x *Executor) cancel(r *run) {
 	switch r.phase {
 	case waiting:
@@ -324,13 +335,15 @@
 	}
 }
 
+// stopRun sends the stop of a run to the worker.
 func (x *Executor) stopRun(r *run) {
 	r.phase = stopping
 	r.stopSentAt = x.clock.Now()
 	x.emit(Stop{Run: r.Run, Token: x.token, Timeout: x.callTimes.timeout(r.stopSentAt), Upstream: x.upstream})
 }
 
-// retryStops repeats stops whose end has not been listed.
+// retryStops repeats the stops of runs whose ends the worker has not listed within
+// stopRetryInterval.
 func (x *Executor) retryStops(now time.Time) {
 	due := func(r *run) bool { return r.phase == stopping && now.Sub(r.stopSentAt) >= stopRetryInterval }
 	for _, r := range x.sortedRunsWhere(due) {
@@ -338,7 +351,7 @@
 	}
 }
 
-// refuseExpired refuses runs that have waited too long for room.
+// refuseExpired refuses runs that have waited too long for capacity.
 func (x *Executor) refuseExpired(now time.Time) {
 	for _, r := range slices.Clone(x.waiting) {
 		if now.After(r.expiresAt) {
--- a/executor/turn.go
+++ b/executor/turn.go
@@ -7,51 +7,51 @@
 )
 
 const (
-	// minTurn and maxTurn bound how long an entry may take to use the room
-	// that it alone has been told of. It covers the way there and back, which
-	// differs between data centres, and a busy entry.
+	// minTurn and maxTurn bound how long an entry may take to use the capacity that is
+	// reported to it alone. The time covers the round trip, which differs between data
+	// centres, and a busy entry.
 	minTurn = 3 * time.Millisecond
 	maxTurn = 12 * time.Millisecond
-	// turnReactionFactor is how much longer than its usual reaction an entry's turn is.
+	// turnReactionFactor is the ratio of an entry's turn to its mean reaction time.
 	turnReactionFactor = 1.5
 	// reactionWeight is the weight of a new sample in the mean reaction time.
 	reactionWeight = 0.25
-	// turnExtension is how long a turn goes on after its entry has placed a run, for
-	// the other runs of the same moment.
+	// turnExtension is how long a turn lasts after its entry has placed a run, for the
+	// other runs that it places at the same time.
 	turnExtension = time.Millisecond
 )
 
-// turnState share scarce room out. When several entries have tasks that wait, the
-// room that falls free is told to one of them at a time. Told to all, it would
-// be taken by the first and refused to the others, whose tasks would have lost
-// the time; and entries with many callers would get no more of it than those
-// with few.
+// turnState is the state of the turns by which entries share scarce capacity. When
+// several entries have waiting tasks, capacity that becomes free is reported to one of
+// them at a time. If it were reported to all, the first would take it and the others
+// would be refused, whose tasks would have lost that time; and entries with many
+// callers would get no more of it than those with few.
 type turnState struct {
 	// holder is the entry whose turn it is; nil when there is none.
 	holder *entry
 	until  time.Time
 	// placed is whether the holder has placed a run in its turn.
 	placed bool
-	// contended is whether several entries have tasks that wait, and more than
-	// there is room for.
+	// contended is whether several entries have waiting tasks, and together more than
+	// fit into the available capacity.
 	contended bool
-	// lastWeightedUse is the share of the last holder when its turn began.
+	// lastWeightedUse is the weighted use of the last holder when its turn began.
 	lastWeightedUse float64
 }
 
-// updateBacklog notes what waits at an entry.
-func (x *Executor) updateBacklog(e *entry, w messenger.Backlog) {
-	if e.backlog.Tasks == 0 && w.Tasks > 0 {
+// updateBacklog records the backlog of an entry.
+func (x *Executor) updateBacklog(e *entry, b messenger.Backlog) {
+	if e.backlog.Tasks == 0 && b.Tasks > 0 {
 		e.stateChanged = true
 		e.waitingSince = x.clock.Now()
-		// What it did not ask for before is not made up for.
+		// Capacity that the entry did not ask for before is not made up for.
 		e.weightedUse = max(e.weightedUse, x.turn.lastWeightedUse)
 	}
-	e.backlog = w
+	e.backlog = b
 }
 
-// chargePlacements counts the tasks that an entry has placed against its share, in
-// proportion to what waits there.
+// chargePlacements adds the tasks that an entry has placed to its weighted use, in
+// proportion to its backlog.
 func (x *Executor) chargePlacements(e *entry, placed int) {
 	e.weightedUse += float64(placed) / float64(max(e.backlog.Tasks+placed, 1))
 	if x.turn.holder == e {
@@ -61,32 +61,34 @@
 	}
 }
 
-// updateTurn ends a turn that is over and gives the next one.
+// updateTurn ends a turn that is over and begins the next one.
 func (x *Executor) updateTurn(now time.Time) {
 	t := &x.turn
 	backfill := x.backfill(now).Resources
-	room := x.sharedCapacity().Plus(backfill)
-	t.contended = x.isContended(room, now)
+	available := x.sharedCapacity().Plus(backfill)
+	t.contended = x.isContended(available, now)
 	if !t.contended {
 		t.holder = nil
 		return
 	}
-	if t.holder != nil && now.Before(t.until) && x.hasTaskThatFits(t.holder, room, now) {
+	if t.holder != nil && now.Before(t.until) && x.hasTaskThatFits(t.holder, available, now) {
 		return
 	}
 	switch {
 	case t.holder == nil || t.placed || now.Before(t.until):
 	case !backfill.IsZero():
-		// What waits there may take too long for the room. The next one's turn comes.
+		// The tasks of the holder may take too long for the capacity. The turn goes to
+		// the next entry.
 		x.chargeUnusedTurn(t.holder)
 	default:
-		// It has not used what it was told of: it wants nothing until it says so. Its
-		// tasks may still wait for other workers, so that it needs the forecast.
+		// The holder has not used the capacity: it counts as having no backlog until it
+		// reports one. Its tasks may still wait for other workers, so that it needs the
+		// forecast.
 		t.holder.backlog = messenger.Backlog{WantsForecast: t.holder.backlog.WantsForecast}
 	}
 	t.holder = nil
 	for _, e := range x.sortedEntries {
-		if x.hasTaskThatFits(e, room, now) && (t.holder == nil || e.weightedUse < t.holder.weightedUse) {
+		if x.hasTaskThatFits(e, available, now) && (t.holder == nil || e.weightedUse < t.holder.weightedUse) {
 			t.holder = e
 		}
 	}
@@ -106,9 +108,9 @@
 	return min(max(span, minTurn), maxTurn)
 }
 
-// recordReaction notes how long an entry took to use the room that it was told of when
-// its turn began. Echo is the stamp of the last report that it had seen. A placement
-// that comes much later was not prompted by the turn.
+// recordReaction records how long an entry took to use the capacity that was reported
+// to it when its turn began. Echo is the timestamp of the last report that it had
+// received. A placement that comes later than maxTurn was not prompted by the turn.
 func (x *Executor) recordReaction(e *entry, echo time.Duration) {
 	if e.turnTimestamp == 0 || echo < e.turnTimestamp {
 		return
@@ -124,9 +126,9 @@
 	}
 }
 
-// isContended reports whether several entries have tasks that wait, and more than
-// there is room for.
-func (x *Executor) isContended(room messenger.Resources, now time.Time) bool {
+// isContended reports whether several entries have waiting tasks, and together more
+// than fit into the available capacity.
+func (x *Executor) isContended(available messenger.Resources, now time.Time) bool {
 	n := 0
 	var sum messenger.Resources
 	for _, e := range x.sortedEntries {
@@ -135,23 +137,25 @@
 			sum = sum.Plus(e.backlog.Total)
 		}
 	}
-	return n > 1 && !sum.FitsIn(room)
+	return n > 1 && !sum.FitsIn(available)
 }
 
-// hasTaskThatFits reports whether an entry has a task that fits the room.
-func (x *Executor) hasTaskThatFits(e *entry, room messenger.Resources, now time.Time) bool {
-	return x.hasWaitingTasks(e, now) && e.backlog.Min.FitsIn(room)
+// hasTaskThatFits reports whether an entry has a waiting task that fits into the
+// available capacity.
+func (x *Executor) hasTaskThatFits(e *entry, available messenger.Resources, now time.Time) bool {
+	return x.hasWaitingTasks(e, now) && e.backlog.Min.FitsIn(available)
 }
 
-// hasWaitingTasks reports whether an entry that is in touch has tasks that wait.
+// hasWaitingTasks reports whether a connected entry that has not timed out has waiting
+// tasks.
 func (x *Executor) hasWaitingTasks(e *entry, now time.Time) bool {
 	return e.linkOpen && e.backlog.Tasks > 0 && now.Sub(e.lastSeenAt) <= entryTimeout
 }
 
-// chargeUnusedTurn counts a turn that an entry has not used against its share.
+// chargeUnusedTurn adds a turn that an entry has not used to its weighted use.
 func (x *Executor) chargeUnusedTurn(e *entry) { e.weightedUse += 1 / float64(max(e.backlog.Tasks, 1)) }
 
-// capacityToReport returns the room that an entry is told of.
+// capacityToReport returns the free capacity that is reported to an entry.
 func (x *Executor) capacityToReport(e *entry) messenger.Resources {
 	reserved := x.completeReservedCapacity(e)
 	if x.outsideTurn(e) {
@@ -163,13 +167,13 @@
 	return x.sharedCapacity().NonNegative().Plus(reserved)
 }
 
-// offerDiffers reports whether an entry was last told of other room than it is
-// offered now.
+// offerDiffers reports whether the capacity to report to an entry differs from that in
+// its last report.
 func (x *Executor) offerDiffers(e *entry, now time.Time) bool {
 	return x.capacityToReport(e) != e.reportedFree || x.backfillFor(e, now).Resources != e.reportedBackfill
 }
 
-// backfillFor returns the room for tasks that end soon that an entry is told of.
+// backfillFor returns the capacity for backfill that is reported to an entry.
 func (x *Executor) backfillFor(e *entry, now time.Time) messenger.Backfill {
 	if x.outsideTurn(e) {
 		return messenger.Backfill{}
@@ -177,5 +181,5 @@
 	return x.backfill(now)
 }
 
-// outsideTurn reports whether scarce room is told to others at present.
+// outsideTurn reports whether capacity is scarce and it is not the entry's turn.
 func (x *Executor) outsideTurn(e *entry) bool { return x.turn.contended && x.turn.holder != e }
--- a/executor/upstream.go
+++ b/executor/upstream.go
@@ -6,8 +6,8 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// SetUpstream notes what the worker says of itself. The word of a worker under
-// another id does not tell that the last one has ended what it runs.
+// SetUpstream processes a heartbeat of the worker. That a worker with another ID
+// announces itself does not show that the runs of the last one have ended.
 func (x *Executor) SetUpstream(u messenger.Upstream) {
 	if u.Born < x.upstream.Born {
 		return
@@ -30,17 +30,18 @@
 	x.upstream = u
 	switch {
 	case u.Draining:
-		x.endReservation("worker leaves")
+		x.endReservation("worker draining")
 	case x.reservation.active() && !x.reservation.demand.FitsIn(u.Capacity):
-		x.endReservation("larger than the worker")
+		x.endReservation("demand exceeds the worker's capacity")
 	}
 	x.poll.notBefore = time.Time{}
 	x.markUpstreamChanged()
 	x.sendDuePoll()
 }
 
-// HandleWorkerDeparture notes that the worker has said that it leaves. That does not
-// tell when its runs end, nor that the word is of its present life.
+// HandleWorkerDeparture processes the worker's notice that it leaves for good. The
+// notice does not tell when its runs end, nor whether it comes from its present
+// incarnation.
 func (x *Executor) HandleWorkerDeparture(id string) {
 	if id != x.upstream.ID || x.upstream.Born == 0 {
 		return
@@ -52,7 +53,8 @@
 	x.sendDuePoll()
 }
 
-// dropUpstream refuses what waits until another worker is known.
+// dropUpstream refuses the waiting runs and accepts no more until another worker is
+// known.
 func (x *Executor) dropUpstream() {
 	x.refuseWaiting(messenger.RefusedNoWorker)
 	x.upstream = messenger.Upstream{ID: x.upstream.ID}
@@ -61,9 +63,9 @@
 	x.markUpstreamChanged()
 }
 
-// handleMisdirected notes that the worker that was meant is not at its address: what
-// ran there has ended. If it had only announced itself, the last one is looked
-// at again.
+// handleMisdirected records that the intended worker is not at its address: its runs
+// have ended. If no poll of it has been answered since it announced itself, the worker
+// before it is polled again.
 func (x *Executor) handleMisdirected() {
 	x.lapseRunsOf(x.upstream.ID)
 	if x.previousUpstream.Born == 0 {
@@ -77,7 +79,7 @@
 	x.sendDuePoll()
 }
 
-// resetWorkerState drops what was learned about one incarnation of the worker.
+// resetWorkerState clears what was learned about one incarnation of the worker.
 func (x *Executor) resetWorkerState() {
 	x.endReservation("worker changed")
 	x.poll.reset()
@@ -88,5 +90,5 @@
 	x.drainingSince = time.Time{}
 }
 
-// Upstream returns what is known of the worker.
+// Upstream returns the last known state of the worker.
 func (x *Executor) Upstream() messenger.Upstream { return x.upstream }
