--- a/executor/executor_test.go
+++ b/executor/executor_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// harness is an executor whose worker and entries the test plays itself.
+// harness is an executor whose worker and entries are played by the test.
 type harness struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
@@ -21,55 +21,55 @@
 	starts []executor.Start
 	stops  []executor.Stop
 	polls  []executor.Poll
-	// lastPoll is the number of the last look that was sent.
+	// lastPoll is the number of the last poll that was sent.
 	lastPoll uint64
-	// firstPoll is the first one.
+	// firstPoll is the first poll.
 	firstPoll executor.Poll
 	reports   []messenger.Report
-	// stamp is the last one that the agent has sent.
-	stamp time.Duration
-	// reportCounts counts the reports of the last effects by entry.
+	// timestamp is the last one that the agent has sent.
+	timestamp time.Duration
+	// reportCounts counts the reports in the last effects by entry.
 	reportCounts map[string]int
-	// reportedHeld is what the last effects told each entry of the others' jobs.
+	// reportedHeld holds, by entry, the other entries' jobs in the last effects.
 	reportedHeld map[string]*messenger.HeldJobs
 }
 
 func newHarness(t *testing.T) *harness {
 	clock := clockwork.NewFakeClock()
-	b := &harness{t: t, clock: clock}
-	b.x = executor.NewExecutor(clock, executor.Identity{Agent: "a", DataCentre: "dc", Incarnation: 1, Token: 100}, executor.Config{DrainTimeout: 2 * time.Second})
-	b.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 1})
-	b.x.SetUpstream(upstream(1))
-	b.collect()
-	return b
+	h := &harness{t: t, clock: clock}
+	h.x = executor.NewExecutor(clock, executor.Identity{Agent: "a", DataCentre: "dc", Incarnation: 1, Token: 100}, executor.Config{DrainTimeout: 2 * time.Second})
+	h.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 1})
+	h.x.SetUpstream(upstream(1))
+	h.collect()
+	return h
 }
 
 func upstream(born int64) messenger.Upstream {
 	return messenger.Upstream{ID: "w", Born: born, Service: "quotes", Capacity: messenger.Resources{CPU: 8000, Memory: 1000}}
 }
 
-func (b *harness) collect() {
-	b.starts, b.stops, b.polls, b.reports = nil, nil, nil, nil
-	b.reportedHeld = make(map[string]*messenger.HeldJobs)
-	b.reportCounts = make(map[string]int)
-	for _, e := range b.x.TakeEffects() {
+func (h *harness) collect() {
+	h.starts, h.stops, h.polls, h.reports = nil, nil, nil, nil
+	h.reportedHeld = make(map[string]*messenger.HeldJobs)
+	h.reportCounts = make(map[string]int)
+	for _, e := range h.x.TakeEffects() {
 		switch e := e.(type) {
 		case executor.Start:
-			b.starts = append(b.starts, e)
+			h.starts = append(h.starts, e)
 		case executor.Stop:
-			b.stops = append(b.stops, e)
+			h.stops = append(h.stops, e)
 		case executor.Poll:
-			b.polls = append(b.polls, e)
-			b.lastPoll = e.Number
+			h.polls = append(h.polls, e)
+			h.lastPoll = e.Number
 			if e.Number == 1 {
-				b.firstPoll = e
+				h.firstPoll = e
 			}
 		case executor.SendReport:
-			b.reports = append(b.reports, e.Report)
-			b.stamp = e.Report.Timestamp
-			b.reportCounts[e.Entry]++
+			h.reports = append(h.reports, e.Report)
+			h.timestamp = e.Report.Timestamp
+			h.reportCounts[e.Entry]++
 			if e.Report.HeldJobs != nil {
-				b.reportedHeld[e.Entry] = e.Report.HeldJobs
+				h.reportedHeld[e.Entry] = e.Report.HeldJobs
 			}
 		}
 	}
@@ -77,261 +77,261 @@
 
 var run1 = messenger.Run{Task: "j.0.0.0", Number: 1}
 
-// place hands one run in.
-func (b *harness) place(r messenger.Run, cpu int) {
-	b.placed++
-	b.x.HandlePlace("e", messenger.Place{
-		Number: b.placed, Job: "j", Spec: "spec", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: b.stamp,
+// place places one run.
+func (h *harness) place(r messenger.Run, cpu int) {
+	h.placed++
+	h.x.HandlePlace("e", messenger.Place{
+		Number: h.placed, Job: "j", Spec: "spec", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: h.timestamp,
 		Tasks: []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: cpu}, Estimate: 60 * time.Millisecond}},
 	})
-	b.collect()
+	h.collect()
 }
 
-// answerPoll answers the last look.
-func (b *harness) answerPoll(number uint64, running []messenger.Progress, ended ...executor.EndRecord) {
-	b.x.HandlePollResult(executor.PollResult{Number: number, Born: 1, Running: running, Ended: ended})
-	b.collect()
+// answerPoll has the worker answer the poll of a number.
+func (h *harness) answerPoll(number uint64, running []messenger.Progress, ended ...executor.EndRecord) {
+	h.x.HandlePollResult(executor.PollResult{Number: number, Born: 1, Running: running, Ended: ended})
+	h.collect()
 }
 
 // ended returns the ends in the last reports.
-func (b *harness) ended() []messenger.RunEnd {
+func (h *harness) ended() []messenger.RunEnd {
 	var out []messenger.RunEnd
-	for _, r := range b.reports {
+	for _, r := range h.reports {
 		out = append(out, r.Ended...)
 	}
 	return out
 }
 
-func (b *harness) refused() []messenger.Refusal {
+func (h *harness) refused() []messenger.Refusal {
 	var out []messenger.Refusal
-	for _, r := range b.reports {
+	for _, r := range h.reports {
 		out = append(out, r.Refused...)
 	}
 	return out
 }
 
-func TestUnansweredStartIsFencedOffAndSentAgainOnlyWhenItDidNothing(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	require.Len(t, b.starts, 1)
-	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Unanswered)
-	b.collect()
-	require.Empty(t, b.starts)
-	require.Len(t, b.polls, 1)
-	require.Greater(t, b.polls[0].Token, uint64(100))
-	look := b.polls[0]
-	b.answerPoll(look.Number, nil)
-	require.Len(t, b.starts, 1)
-	require.Equal(t, look.Token, b.starts[0].Token)
+func TestUnansweredStartIsFencedOffAndSentAgainOnlyWhenItHadNoEffect(t *testing.T) {
+	h := newHarness(t)
+	h.place(run1, 1000)
+	require.Len(t, h.starts, 1)
+	h.x.HandleStartResult(run1, h.starts[0].Token, executor.Unanswered)
+	h.collect()
+	require.Empty(t, h.starts)
+	require.Len(t, h.polls, 1)
+	require.Greater(t, h.polls[0].Token, uint64(100))
+	poll := h.polls[0]
+	h.answerPoll(poll.Number, nil)
+	require.Len(t, h.starts, 1)
+	require.Equal(t, poll.Token, h.starts[0].Token)
 }
 
 func TestUnansweredStartThatTookEffectIsKept(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Unanswered)
-	b.collect()
-	b.answerPoll(b.polls[0].Number, []messenger.Progress{{Run: run1, Percent: 10}})
-	require.Empty(t, b.starts)
-	require.False(t, b.x.Idle())
+	h := newHarness(t)
+	h.place(run1, 1000)
+	h.x.HandleStartResult(run1, h.starts[0].Token, executor.Unanswered)
+	h.collect()
+	h.answerPoll(h.polls[0].Number, []messenger.Progress{{Run: run1, Percent: 10}})
+	require.Empty(t, h.starts)
+	require.False(t, h.x.Idle())
 }
 
-func TestTokenRisesUntilTheWorkerTakesIt(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Fenced)
-	b.collect()
-	require.Len(t, b.starts, 1)
-	first := b.starts[0].Token
+func TestTokenRisesUntilTheWorkerAcceptsIt(t *testing.T) {
+	h := newHarness(t)
+	h.place(run1, 1000)
+	h.x.HandleStartResult(run1, h.starts[0].Token, executor.Fenced)
+	h.collect()
+	require.Len(t, h.starts, 1)
+	first := h.starts[0].Token
 	require.Greater(t, first, uint64(100))
-	b.x.HandleStartResult(run1, first, executor.Fenced)
-	b.collect()
-	require.Greater(t, b.starts[0].Token-first, first-100)
+	h.x.HandleStartResult(run1, first, executor.Fenced)
+	h.collect()
+	require.Greater(t, h.starts[0].Token-first, first-100)
 }
 
-func TestRunsLapseOnlyWhenNoLookCanHaveRenewedTheirLease(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Accepted)
-	b.collect()
-	look := uint64(1)
-	began := b.clock.Now()
-	renewed := began
-	for b.clock.Since(began) < 3*time.Second {
-		b.x.HandlePollFailure(look, executor.Unanswered)
-		b.collect()
-		for _, l := range b.polls {
-			look = l.Number
-			if !l.LeaseUntil.IsZero() {
-				renewed = b.clock.Now()
+func TestRunsLapseOnlyWhenNoPollCanHaveRenewedTheirLease(t *testing.T) {
+	h := newHarness(t)
+	h.place(run1, 1000)
+	h.x.HandleStartResult(run1, h.starts[0].Token, executor.Accepted)
+	h.collect()
+	pollNumber := uint64(1)
+	startedAt := h.clock.Now()
+	renewedAt := startedAt
+	for h.clock.Since(startedAt) < 3*time.Second {
+		h.x.HandlePollFailure(pollNumber, executor.Unanswered)
+		h.collect()
+		for _, p := range h.polls {
+			pollNumber = p.Number
+			if !p.LeaseUntil.IsZero() {
+				renewedAt = h.clock.Now()
 			}
 		}
-		b.clock.Advance(80 * time.Millisecond)
-		b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
-		b.x.Tick()
-		b.collect()
-		for _, l := range b.polls {
-			look = l.Number
+		h.clock.Advance(80 * time.Millisecond)
+		h.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: h.timestamp})
+		h.x.Tick()
+		h.collect()
+		for _, p := range h.polls {
+			pollNumber = p.Number
 		}
-		if len(b.ended()) > 0 {
+		if len(h.ended()) > 0 {
 			break
 		}
 	}
-	require.Greater(t, b.clock.Since(renewed), executor.LeaseDuration)
-	require.Less(t, b.clock.Since(began), 1200*time.Millisecond)
+	require.Greater(t, h.clock.Since(renewedAt), executor.LeaseDuration)
+	require.Less(t, h.clock.Since(startedAt), 1200*time.Millisecond)
 }
 
-func TestRunsOfASilentEntryAreStopped(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Accepted)
-	b.clock.Advance(messenger.IdleTimeout + time.Millisecond)
-	b.x.Tick()
-	b.collect()
-	require.Len(t, b.stops, 1)
-	require.Equal(t, run1, b.stops[0].Run)
+func TestRunsOfATimedOutEntryAreStopped(t *testing.T) {
+	h := newHarness(t)
+	h.place(run1, 1000)
+	h.x.HandleStartResult(run1, h.starts[0].Token, executor.Accepted)
+	h.clock.Advance(messenger.IdleTimeout + time.Millisecond)
+	h.x.Tick()
+	h.collect()
+	require.Len(t, h.stops, 1)
+	require.Equal(t, run1, h.stops[0].Run)
 }
 
 func TestPlaceThatIsOldIsRefused(t *testing.T) {
-	b := newHarness(t)
-	stamp := b.stamp
-	b.clock.Advance(messenger.IdleTimeout + time.Millisecond)
-	b.stamp = stamp
-	b.place(run1, 1000)
-	require.Empty(t, b.starts)
-	require.Equal(t, messenger.RefusedWithdrawn, b.refused()[0].Reason)
+	h := newHarness(t)
+	timestamp := h.timestamp
+	h.clock.Advance(messenger.IdleTimeout + time.Millisecond)
+	h.timestamp = timestamp
+	h.place(run1, 1000)
+	require.Empty(t, h.starts)
+	require.Equal(t, messenger.RefusedWithdrawn, h.refused()[0].Reason)
 }
 
-func TestRunWaitsForRoomAndIsRefusedWhenItWaitsTooLong(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 6000)
+func TestRunWaitsForCapacityAndIsRefusedWhenItWaitsTooLong(t *testing.T) {
+	h := newHarness(t)
+	h.place(run1, 6000)
 	run2 := messenger.Run{Task: "j.0.0.1", Number: 1}
 	run3 := messenger.Run{Task: "j.0.0.2", Number: 1}
-	b.place(run2, 6000)
-	require.Empty(t, b.starts)
-	b.clock.Advance(5 * time.Millisecond)
-	b.place(run3, 6000)
-	b.answerPoll(1, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
-	require.Len(t, b.starts, 1)
-	require.Equal(t, run2, b.starts[0].Run)
-	b.clock.Advance(13 * time.Millisecond)
-	b.x.Tick()
-	b.collect()
-	require.Equal(t, []messenger.Refusal{{Run: run3, Reason: messenger.RefusedNoRoom}}, b.refused())
+	h.place(run2, 6000)
+	require.Empty(t, h.starts)
+	h.clock.Advance(5 * time.Millisecond)
+	h.place(run3, 6000)
+	h.answerPoll(1, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+	require.Len(t, h.starts, 1)
+	require.Equal(t, run2, h.starts[0].Run)
+	h.clock.Advance(13 * time.Millisecond)
+	h.x.Tick()
+	h.collect()
+	require.Equal(t, []messenger.Refusal{{Run: run3, Reason: messenger.RefusedNoRoom}}, h.refused())
 }
 
-// TestRefusalForLackOfRoomIsToldWhenItIsDue guards against a run that waits for the
-// next tick to be refused, up to 20 ms in which its entry could place it elsewhere.
-func TestRefusalForLackOfRoomIsToldWhenItIsDue(t *testing.T) {
-	const patience = 5 * time.Millisecond
-	b := newHarness(t)
-	b.place(run1, 6000)
-	b.x.HandlePlace("e", messenger.Place{
-		Number: 2, Job: "j", Service: "quotes", MaxWait: patience, Echo: b.stamp,
+// TestRefusalForLackOfCapacityIsReportedWhenItIsDue guards against a run whose refusal
+// waits for the next tick, up to 20 ms in which its entry could place it elsewhere.
+func TestRefusalForLackOfCapacityIsReportedWhenItIsDue(t *testing.T) {
+	const maxWait = 5 * time.Millisecond
+	h := newHarness(t)
+	h.place(run1, 6000)
+	h.x.HandlePlace("e", messenger.Place{
+		Number: 2, Job: "j", Service: "quotes", MaxWait: maxWait, Echo: h.timestamp,
 		Tasks: []messenger.Task{{Run: messenger.Run{Task: "j.0.0.1", Number: 1}, Demand: messenger.Resources{CPU: 6000}}},
 	})
-	var wake time.Duration
-	for _, e := range b.x.TakeEffects() {
+	var delay time.Duration
+	for _, e := range h.x.TakeEffects() {
 		if w, ok := e.(executor.TickAfter); ok {
-			wake = w.Delay
+			delay = w.Delay
 		}
 	}
-	require.Greater(t, wake, patience)
-	b.clock.Advance(wake)
-	b.x.Tick()
-	b.collect()
-	require.Len(t, b.refused(), 1)
+	require.Greater(t, delay, maxWait)
+	h.clock.Advance(delay)
+	h.x.Tick()
+	h.collect()
+	require.Len(t, h.refused(), 1)
 }
 
 func TestRunFoundAtTheWorkerIsStoppedUnlessItsOwnerClaimsIt(t *testing.T) {
 	found := []messenger.Progress{{Run: run1, Percent: 10}}
 	for _, claimed := range []bool{true, false} {
-		b := newHarness(t)
-		b.answerPoll(1, found)
+		h := newHarness(t)
+		h.answerPoll(1, found)
 		if claimed {
-			b.place(run1, 1000)
-			require.Empty(t, b.starts, "a run that is there is not started")
+			h.place(run1, 1000)
+			require.Empty(t, h.starts, "a run that the worker has is not started")
 		}
 		for range 5 {
-			b.clock.Advance(100 * time.Millisecond)
-			b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
-			b.x.Tick()
-			b.collect()
+			h.clock.Advance(100 * time.Millisecond)
+			h.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: h.timestamp})
+			h.x.Tick()
+			h.collect()
 		}
-		require.Equal(t, !claimed, len(b.stops) > 0)
+		require.Equal(t, !claimed, len(h.stops) > 0)
 	}
 }
 
 func TestRunOfAnEarlierIncarnationHasEndedWhenTheNewOneDoesNotListIt(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Accepted)
-	b.collect()
-	b.clock.Advance(time.Millisecond)
-	b.x.SetUpstream(upstream(2))
-	b.collect()
-	require.Empty(t, b.ended(), "a start that was on its way may have reached it")
-	look := b.polls[len(b.polls)-1]
-	b.x.HandlePollResult(executor.PollResult{Number: look.Number, Born: 2})
-	b.collect()
-	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunLapsed}}, b.ended())
-	// A word of the earlier incarnation that comes late changes nothing.
-	b.x.SetUpstream(upstream(1))
-	require.Equal(t, int64(2), b.x.Upstream().Born)
+	h := newHarness(t)
+	h.place(run1, 1000)
+	h.x.HandleStartResult(run1, h.starts[0].Token, executor.Accepted)
+	h.collect()
+	h.clock.Advance(time.Millisecond)
+	h.x.SetUpstream(upstream(2))
+	h.collect()
+	require.Empty(t, h.ended(), "a start in transit may have reached the new incarnation")
+	poll := h.polls[len(h.polls)-1]
+	h.x.HandlePollResult(executor.PollResult{Number: poll.Number, Born: 2})
+	h.collect()
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunLapsed}}, h.ended())
+	// A heartbeat of the earlier incarnation that arrives late changes nothing.
+	h.x.SetUpstream(upstream(1))
+	require.Equal(t, int64(2), h.x.Upstream().Born)
 }
 
 func TestStartThatReachedTheNewIncarnationIsKept(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	token := b.starts[0].Token
-	b.x.SetUpstream(upstream(2))
-	b.collect()
-	look := b.polls[len(b.polls)-1]
-	require.Greater(t, look.Token, token)
-	b.x.HandlePollResult(executor.PollResult{Number: look.Number, Born: 2, Running: []messenger.Progress{{Run: run1, Percent: 5}}})
-	b.collect()
-	require.Empty(t, b.ended())
-	require.Empty(t, b.refused())
-	require.False(t, b.x.Idle())
+	h := newHarness(t)
+	h.place(run1, 1000)
+	token := h.starts[0].Token
+	h.x.SetUpstream(upstream(2))
+	h.collect()
+	poll := h.polls[len(h.polls)-1]
+	require.Greater(t, poll.Token, token)
+	h.x.HandlePollResult(executor.PollResult{Number: poll.Number, Born: 2, Running: []messenger.Progress{{Run: run1, Percent: 5}}})
+	h.collect()
+	require.Empty(t, h.ended())
+	require.Empty(t, h.refused())
+	require.False(t, h.x.Idle())
 }
 
 func TestStartThatWasOnItsWayWhenTheWorkerRestartedMayHaveBegun(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	b.x.SetUpstream(upstream(2))
-	b.collect()
-	look := b.polls[len(b.polls)-1]
-	b.x.HandlePollResult(executor.PollResult{Number: look.Number, Born: 2})
-	b.collect()
-	require.Empty(t, b.starts)
-	require.Empty(t, b.refused())
-	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunLapsed}}, b.ended())
+	h := newHarness(t)
+	h.place(run1, 1000)
+	h.x.SetUpstream(upstream(2))
+	h.collect()
+	poll := h.polls[len(h.polls)-1]
+	h.x.HandlePollResult(executor.PollResult{Number: poll.Number, Born: 2})
+	h.collect()
+	require.Empty(t, h.starts)
+	require.Empty(t, h.refused())
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunLapsed}}, h.ended())
 }
 
-func TestWorkerKnownOnlyByItsListsTakesNothing(t *testing.T) {
-	b := newHarness(t)
-	b.x.HandlePollResult(executor.PollResult{Number: 1, Born: 2})
-	b.collect()
-	require.NotEmpty(t, b.polls)
-	b.place(run1, 1000)
-	require.Empty(t, b.starts)
-	b.x.SetUpstream(upstream(2))
-	b.place(messenger.Run{Task: run1.Task, Number: 2}, 1000)
-	require.Len(t, b.starts, 1)
+func TestWorkerKnownOnlyByItsPollResultsGetsNoRuns(t *testing.T) {
+	h := newHarness(t)
+	h.x.HandlePollResult(executor.PollResult{Number: 1, Born: 2})
+	h.collect()
+	require.NotEmpty(t, h.polls)
+	h.place(run1, 1000)
+	require.Empty(t, h.starts)
+	h.x.SetUpstream(upstream(2))
+	h.place(messenger.Run{Task: run1.Task, Number: 2}, 1000)
+	require.Len(t, h.starts, 1)
 }
 
 func TestEndsAreKeptForAnEntryThatWasPaused(t *testing.T) {
-	b := newHarness(t)
-	b.place(run1, 1000)
-	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Accepted)
-	b.x.HandleLinkClosed("e")
-	b.clock.Advance(messenger.IdleTimeout + time.Millisecond)
-	b.x.Tick()
-	b.collect()
-	b.answerPoll(1, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunStopped}})
-	b.x.Tick()
-	b.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 1})
-	b.collect()
-	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunStopped}}, b.ended())
+	h := newHarness(t)
+	h.place(run1, 1000)
+	h.x.HandleStartResult(run1, h.starts[0].Token, executor.Accepted)
+	h.x.HandleLinkClosed("e")
+	h.clock.Advance(messenger.IdleTimeout + time.Millisecond)
+	h.x.Tick()
+	h.collect()
+	h.answerPoll(1, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunStopped}})
+	h.x.Tick()
+	h.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 1})
+	h.collect()
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunStopped}}, h.ended())
 }
 
 func TestDrainingWorkerTakesOnlyWhatEndsInTime(t *testing.T) {
@@ -341,85 +341,85 @@
 		since     time.Duration
 		starts    int
 	}{
-		{"time enough", 3 * time.Second, 100 * time.Millisecond, 1},
-		{"leaves soon", 500 * time.Millisecond, 100 * time.Millisecond, 0},
-		{"notice is long ago", 30 * time.Second, 1600 * time.Millisecond, 0},
+		{"enough time left", 3 * time.Second, 100 * time.Millisecond, 1},
+		{"too little time left", 500 * time.Millisecond, 100 * time.Millisecond, 0},
+		{"drain notice was long ago", 30 * time.Second, 1600 * time.Millisecond, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newHarness(t)
+			h := newHarness(t)
 			up := upstream(1)
 			up.Draining = true
 			up.Remaining = tt.remaining
-			b.x.SetUpstream(up)
-			b.clock.Advance(tt.since)
-			b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: tt.since})
-			b.x.Tick()
-			b.collect()
-			b.place(run1, 1000)
-			require.Len(t, b.starts, tt.starts)
+			h.x.SetUpstream(up)
+			h.clock.Advance(tt.since)
+			h.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: tt.since})
+			h.x.Tick()
+			h.collect()
+			h.place(run1, 1000)
+			require.Len(t, h.starts, tt.starts)
 		})
 	}
 }
 
-func TestReportsTellOfFailuresByJobAndOfThePace(t *testing.T) {
-	b := newHarness(t)
+func TestReportsCountConsecutiveFailedJobs(t *testing.T) {
+	h := newHarness(t)
 	for i, job := range []string{"j", "k"} {
 		r := messenger.Run{Task: job + ".0.0.0", Number: 1}
-		b.placed++
-		b.x.HandlePlace("e", messenger.Place{
-			Number: b.placed, Job: job, Service: "quotes", MaxWait: time.Second, Echo: b.stamp,
+		h.placed++
+		h.x.HandlePlace("e", messenger.Place{
+			Number: h.placed, Job: job, Service: "quotes", MaxWait: time.Second, Echo: h.timestamp,
 			Tasks: []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: 1000}, Estimate: 60 * time.Millisecond}},
 		})
-		b.collect()
-		b.clock.Advance(10 * time.Millisecond)
-		b.answerPoll(uint64(i+1), nil, executor.EndRecord{Number: int64(i + 1), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunFailed}})
+		h.collect()
+		h.clock.Advance(10 * time.Millisecond)
+		h.answerPoll(uint64(i+1), nil, executor.EndRecord{Number: int64(i + 1), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunFailed}})
 	}
-	require.Equal(t, 2, b.reports[len(b.reports)-1].ConsecutiveFailedJobs)
+	require.Equal(t, 2, h.reports[len(h.reports)-1].ConsecutiveFailedJobs)
 }
 
-func TestAgentGoesByTheNewestDirectivesOfAnyEntry(t *testing.T) {
-	b := newHarness(t)
-	b.x.HandleHello(messenger.Hello{Entry: "cut off", Incarnation: 1})
-	beat := func(entry string, revision int64, evacuated ...string) {
-		b.x.HandleHeartbeat(entry, messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Revision: revision, Evacuated: evacuated})
+func TestAgentAppliesTheNewestDirectivesOfAnyEntry(t *testing.T) {
+	h := newHarness(t)
+	h.x.HandleHello(messenger.Hello{Entry: "cut off", Incarnation: 1})
+	sendHeartbeat := func(entry string, revision int64, evacuated ...string) {
+		h.x.HandleHeartbeat(entry, messenger.Heartbeat{Timestamp: 1, Echo: h.timestamp, Revision: revision, Evacuated: evacuated})
 	}
 	starts := func(number int) int {
-		b.place(messenger.Run{Task: "j.0.0.0", Number: number}, 100)
-		n := len(b.starts)
-		for _, s := range b.starts {
-			b.x.HandleStartResult(s.Run, s.Token, executor.Rejected)
+		h.place(messenger.Run{Task: "j.0.0.0", Number: number}, 100)
+		n := len(h.starts)
+		for _, s := range h.starts {
+			h.x.HandleStartResult(s.Run, s.Token, executor.Rejected)
 		}
-		b.collect()
+		h.collect()
 		return n
 	}
-	beat("e", 5, "dc")
+	sendHeartbeat("e", 5, "dc")
 	require.Zero(t, starts(1), "the data centre is evacuated")
-	beat("cut off", 4)
+	sendHeartbeat("cut off", 4)
 	require.Zero(t, starts(2), "older directives change nothing")
-	beat("e", 6)
-	require.Equal(t, 1, starts(3), "the data centre is taken back")
+	sendHeartbeat("e", 6)
+	require.Equal(t, 1, starts(3), "the evacuation has ended")
 }
 
 func TestDeadWorkerIsPolledWithBackoffUntilItsNextHeartbeat(t *testing.T) {
 	for name, out := range map[string]executor.CallResult{"refuses connections": executor.NotSent, "resets them": executor.Unanswered} {
 		t.Run(name, func(t *testing.T) {
-			b := newHarness(t)
-			b.x.HandlePollFailure(1, out)
-			looks := 0
+			h := newHarness(t)
+			h.x.HandlePollFailure(1, out)
+			pollCount := 0
 			const step, span = 20 * time.Millisecond, 10 * time.Second
 			for range int(span / step) {
-				b.clock.Advance(step)
-				b.x.Tick()
-				for b.collect(); len(b.polls) > 0; b.collect() {
-					looks++
-					require.LessOrEqual(t, looks, 24, "each look opens a connection")
-					b.x.HandlePollFailure(b.polls[0].Number, out)
+				h.clock.Advance(step)
+				h.x.Tick()
+				for h.collect(); len(h.polls) > 0; h.collect() {
+					pollCount++
+					require.LessOrEqual(t, pollCount, 24, "each poll opens a connection")
+					h.x.HandlePollFailure(h.polls[0].Number, out)
 				}
 			}
-			b.x.SetUpstream(upstream(2))
-			b.collect()
-			require.Len(t, b.polls, 1, "a heartbeat is answered with a look at once")
+			h.x.SetUpstream(upstream(2))
+			h.collect()
+			require.Len(t, h.polls, 1, "a heartbeat causes a poll at once")
 		})
 	}
 }
--- a/executor/outcome_test.go
+++ b/executor/outcome_test.go
@@ -10,53 +10,53 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-func TestEndsAreToldAgainUntilTheEntryHasTakenThemIn(t *testing.T) {
-	b := newHarness(t)
-	b.startAccepted(run1)
-	b.clock.Advance(time.Millisecond)
-	b.answerPoll(1, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+func TestEndsAreSentAgainUntilTheEntryHasAcknowledgedThem(t *testing.T) {
+	h := newHarness(t)
+	h.startAccepted(run1)
+	h.clock.Advance(time.Millisecond)
+	h.answerPoll(1, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
 	end := []messenger.RunEnd{{Run: run1, Reason: messenger.RunDone}}
-	require.Equal(t, end, b.ended())
-	told := b.reports[len(b.reports)-1]
+	require.Equal(t, end, h.ended())
+	report := h.reports[len(h.reports)-1]
 	for range 2 {
-		b.x.HandleLinkClosed("e")
-		b.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 1})
-		b.collect()
-		require.Equal(t, end, b.ended(), "the link may have lost it")
+		h.x.HandleLinkClosed("e")
+		h.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 1})
+		h.collect()
+		require.Equal(t, end, h.ended(), "the link may have lost the report")
 	}
-	b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, AckedOutcome: told.LastOutcome})
-	b.x.HandleLinkClosed("e")
-	b.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 1})
-	b.collect()
-	require.Empty(t, b.ended())
+	h.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: h.timestamp, AckedOutcome: report.LastOutcome})
+	h.x.HandleLinkClosed("e")
+	h.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 1})
+	h.collect()
+	require.Empty(t, h.ended())
 }
 
-func TestEndThatCameWhileNoAgentWasThereIsToldWithTheList(t *testing.T) {
-	b := newRestarted(t, upstream(1))
-	b.clock.Advance(10 * time.Millisecond)
-	b.answerPoll(1, nil, executor.EndRecord{Number: 7, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
-	require.True(t, anyComplete(b.reports))
-	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunDone}}, b.ended())
+func TestEndWhileTheAgentWasDownIsReportedWithTheListOfRuns(t *testing.T) {
+	h := newRestarted(t, upstream(1))
+	h.clock.Advance(10 * time.Millisecond)
+	h.answerPoll(1, nil, executor.EndRecord{Number: 7, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+	require.True(t, anyComplete(h.reports))
+	require.Equal(t, []messenger.RunEnd{{Run: run1, Reason: messenger.RunDone}}, h.ended())
 }
 
 func TestRunThatTheNextIncarnationOfItsEntryClaimsHoldsItsCapacityOnce(t *testing.T) {
-	b := newHarness(t)
-	b.startAccepted(run1)
-	b.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 2})
-	b.collect()
-	b.place(run1, 1000)
-	require.Equal(t, 7000, b.x.Dump().Free.CPU)
-	b.clock.Advance(time.Millisecond)
-	b.answerPoll(1, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunStopped}})
-	require.Equal(t, 8000, b.x.Dump().Free.CPU)
+	h := newHarness(t)
+	h.startAccepted(run1)
+	h.x.HandleHello(messenger.Hello{Entry: "e", Incarnation: 2})
+	h.collect()
+	h.place(run1, 1000)
+	require.Equal(t, 7000, h.x.Dump().Free.CPU)
+	h.clock.Advance(time.Millisecond)
+	h.answerPoll(1, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunStopped}})
+	require.Equal(t, 8000, h.x.Dump().Free.CPU)
 }
 
 func TestRunThatHasEndedIsNotStartedAgain(t *testing.T) {
-	b := newHarness(t)
-	b.answerPoll(1, []messenger.Progress{{Run: run1, Percent: 90}})
-	b.answerPoll(2, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
-	b.place(run1, 1000)
-	require.Empty(t, b.starts)
-	require.Empty(t, b.refused())
-	require.Contains(t, b.ended(), messenger.RunEnd{Run: run1, Reason: messenger.RunDone})
+	h := newHarness(t)
+	h.answerPoll(1, []messenger.Progress{{Run: run1, Percent: 90}})
+	h.answerPoll(2, nil, executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+	h.place(run1, 1000)
+	require.Empty(t, h.starts)
+	require.Empty(t, h.refused())
+	require.Contains(t, h.ended(), messenger.RunEnd{Run: run1, Reason: messenger.RunDone})
 }
--- a/executor/report_test.go
+++ b/executor/report_test.go
@@ -10,58 +10,58 @@
 )
 
 // connect opens links of entries beside the one that places.
-func (b *harness) connect(names ...string) {
+func (h *harness) connect(names ...string) {
 	for _, name := range names {
-		b.x.HandleHello(messenger.Hello{Entry: name, Incarnation: 1})
+		h.x.HandleHello(messenger.Hello{Entry: name, Incarnation: 1})
 	}
-	b.answerPoll(b.lastPoll, nil)
+	h.answerPoll(h.lastPoll, nil)
 }
 
-// countReports counts the reports to an entry while another one places and ends runs.
-func (b *harness) countReports(name string, span time.Duration, each func()) int {
+// countReports counts the reports to an entry while another one places runs.
+func (h *harness) countReports(name string, span time.Duration, each func()) int {
 	const step = 10 * time.Millisecond
 	n := 0
 	for at := time.Duration(0); at < span; at += step {
-		b.clock.Advance(step)
+		h.clock.Advance(step)
 		each()
-		b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: at + 1, Echo: b.stamp})
-		b.place(messenger.Run{Task: "j.0.0." + at.String(), Number: 1}, 1)
-		n += b.reportCounts[name]
-		b.x.Tick()
-		b.collect()
-		n += b.reportCounts[name]
+		h.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: at + 1, Echo: h.timestamp})
+		h.place(messenger.Run{Task: "j.0.0." + at.String(), Number: 1}, 1)
+		n += h.reportCounts[name]
+		h.x.Tick()
+		h.collect()
+		n += h.reportCounts[name]
 	}
 	return n
 }
 
-func TestEntryThatDoesNothingHearsOfRoomWithItsHeartbeatsAlone(t *testing.T) {
-	b := newHarness(t)
-	b.connect("idle")
+func TestIdleEntryGetsChangedCapacityWithHeartbeatsOnly(t *testing.T) {
+	h := newHarness(t)
+	h.connect("idle")
 	const span = 2 * time.Second
-	n := b.countReports("idle", span, func() {})
+	n := h.countReports("idle", span, func() {})
 	require.InDelta(t, float64(span/messenger.HeartbeatInterval), n, 3)
 }
 
-func TestEntryAtWhichAJobBeginsToWaitHearsOfRoomAtOnce(t *testing.T) {
-	b := newHarness(t)
-	b.connect("waits")
-	b.countReports("waits", 200*time.Millisecond, func() {})
-	want := messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 1}, Min: messenger.Resources{CPU: 1}}
-	n := b.countReports("waits", 200*time.Millisecond, func() {
-		b.x.HandleHeartbeat("waits", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp, Backlog: want})
+func TestEntryWithANewBacklogGetsChangedCapacityAtOnce(t *testing.T) {
+	h := newHarness(t)
+	h.connect("waits")
+	h.countReports("waits", 200*time.Millisecond, func() {})
+	backlog := messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 1}, Min: messenger.Resources{CPU: 1}}
+	n := h.countReports("waits", 200*time.Millisecond, func() {
+		h.x.HandleHeartbeat("waits", messenger.Heartbeat{Timestamp: 1, Echo: h.timestamp, Backlog: backlog})
 	})
-	// Room changes each 10 ms, and two entries are in touch.
+	// The capacity changes every 10 ms, and two entries are connected.
 	require.GreaterOrEqual(t, n, 15)
 }
 
 func TestHeartbeatIsAnsweredAtOnceAndNotEachTime(t *testing.T) {
-	b := newHarness(t)
-	b.answerPoll(b.lastPoll, nil)
-	b.clock.Advance(messenger.HeartbeatInterval)
+	h := newHarness(t)
+	h.answerPoll(h.lastPoll, nil)
+	h.clock.Advance(messenger.HeartbeatInterval)
 	for _, want := range []int{1, 0} {
-		b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
-		b.collect()
-		require.Equal(t, want, b.reportCounts["e"])
-		b.clock.Advance(10 * time.Millisecond)
+		h.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: h.timestamp})
+		h.collect()
+		require.Equal(t, want, h.reportCounts["e"])
+		h.clock.Advance(10 * time.Millisecond)
 	}
 }
--- a/executor/speed_test.go
+++ b/executor/speed_test.go
@@ -12,78 +12,79 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// speedHarness plays runs one after the other and keeps what is told of the speed.
+// speedHarness plays runs one after the other and records the speed that is reported.
 type speedHarness struct {
 	*harness
-	rng  *rand.Rand
-	born int64
-	jobs int
-	// ends counts the ends of the worker's incarnation.
-	ends  int64
-	speed float64
+	rng      *rand.Rand
+	born     int64
+	jobCount int
+	// endCount counts the ends of the worker's present incarnation.
+	endCount int64
+	speed    float64
 	// weight is the last SpeedJobs.
 	weight int
 }
 
 func newSpeedHarness(t *testing.T, seed uint64) *speedHarness {
-	b := &speedHarness{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), born: 1}
-	b.answerLastPoll()
-	return b
+	h := &speedHarness{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), born: 1}
+	h.answerLastPoll()
+	return h
 }
 
-// recordSpeed keeps the speed in the last reports.
-func (b *speedHarness) recordSpeed() {
-	for _, r := range b.reports {
+// recordSpeed records the speed in the last reports.
+func (h *speedHarness) recordSpeed() {
+	for _, r := range h.reports {
 		if r.Speed > 0 {
-			b.speed, b.weight = r.Speed, r.SpeedJobs
+			h.speed, h.weight = r.Speed, r.SpeedJobs
 		}
 	}
 }
 
-// answerLastPoll answers the last look.
-func (b *speedHarness) answerLastPoll(ended ...executor.EndRecord) {
-	b.x.HandlePollResult(executor.PollResult{Number: b.lastPoll, Born: b.born, Ended: ended})
-	b.collect()
-	b.recordSpeed()
+// answerLastPoll has the worker answer the last poll.
+func (h *speedHarness) answerLastPoll(ended ...executor.EndRecord) {
+	h.x.HandlePollResult(executor.PollResult{Number: h.lastPoll, Born: h.born, Ended: ended})
+	h.collect()
+	h.recordSpeed()
 }
 
-// passAnswered lets time pass in which the worker answers looks and the entry is there.
-func (b *speedHarness) passAnswered(span time.Duration, running ...messenger.Progress) {
+// passAnswered advances the clock while the worker answers polls and the entry sends
+// heartbeats.
+func (h *speedHarness) passAnswered(span time.Duration, running ...messenger.Progress) {
 	const step = 10 * time.Millisecond
 	for passed := time.Duration(0); passed < span; passed += step {
-		b.clock.Advance(min(step, span-passed))
-		b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
-		b.x.Tick()
-		b.collect()
-		b.recordSpeed()
-		b.x.HandlePollResult(executor.PollResult{Number: b.lastPoll, Born: b.born, Running: running})
-		b.collect()
-		b.recordSpeed()
+		h.clock.Advance(min(step, span-passed))
+		h.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: h.timestamp})
+		h.x.Tick()
+		h.collect()
+		h.recordSpeed()
+		h.x.HandlePollResult(executor.PollResult{Number: h.lastPoll, Born: h.born, Running: running})
+		h.collect()
+		h.recordSpeed()
 	}
 }
 
-// job runs a task of a new job that takes 60 ms on a worker of a speed, and whose
-// estimate is off by up to 40%.
-func (b *speedHarness) job(speed float64) {
-	b.jobs++
-	b.run(fmt.Sprintf("j%d", b.jobs), speed, 0.6+0.8*b.rng.Float64())
+// runJob runs a task of a new job on a worker of a speed. The task takes 60 ms at speed
+// 1, and its estimate is off by up to 40%.
+func (h *speedHarness) runJob(speed float64) {
+	h.jobCount++
+	h.runTask(fmt.Sprintf("j%d", h.jobCount), speed, 0.6+0.8*h.rng.Float64())
 }
 
-// run runs a task of a job whose estimate is off by a factor.
-func (b *speedHarness) run(job string, speed, estimate float64) {
+// runTask runs a task of a job whose estimate is off by the factor estimate.
+func (h *speedHarness) runTask(job string, speed, estimate float64) {
 	const work = 60 * time.Millisecond
-	b.placed++
-	r := messenger.Run{Task: fmt.Sprintf("%s.0.0.%d", job, b.placed), Number: 1}
-	b.x.HandlePlace("e", messenger.Place{
-		Number: b.placed, Job: job, Service: "quotes", MaxWait: time.Second, Echo: b.stamp,
+	h.placed++
+	r := messenger.Run{Task: fmt.Sprintf("%s.0.0.%d", job, h.placed), Number: 1}
+	h.x.HandlePlace("e", messenger.Place{
+		Number: h.placed, Job: job, Service: "quotes", MaxWait: time.Second, Echo: h.timestamp,
 		Tasks: []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: 1000}, Estimate: time.Duration(estimate * float64(work))}},
 	})
-	b.collect()
-	b.x.HandleStartResult(r, b.starts[0].Token, executor.Accepted)
-	b.collect()
-	b.passAnswered(time.Duration(float64(work)/speed), messenger.Progress{Run: r})
-	b.ends++
-	b.answerLastPoll(executor.EndRecord{Number: b.ends, RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}})
+	h.collect()
+	h.x.HandleStartResult(r, h.starts[0].Token, executor.Accepted)
+	h.collect()
+	h.passAnswered(time.Duration(float64(work)/speed), messenger.Progress{Run: r})
+	h.endCount++
+	h.answerLastPoll(executor.EndRecord{Number: h.endCount, RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}})
 }
 
 // TestSpeedIsKnownDespiteTheErrorOfEstimates guards against a speed that follows the
@@ -91,114 +92,115 @@
 func TestSpeedIsKnownDespiteTheErrorOfEstimates(t *testing.T) {
 	for _, speed := range []float64{0.55, 0.83, 1, 1.8} {
 		for seed := range uint64(10) {
-			b := newSpeedHarness(t, seed)
+			h := newSpeedHarness(t, seed)
 			for range 30 {
-				b.job(speed)
+				h.runJob(speed)
 			}
-			b.passAnswered(messenger.HeartbeatInterval)
-			require.InEpsilon(t, speed, b.speed, 0.2, "seed %d", seed)
-			require.GreaterOrEqual(t, b.weight, 8)
+			h.passAnswered(messenger.HeartbeatInterval)
+			require.InEpsilon(t, speed, h.speed, 0.2, "seed %d", seed)
+			require.GreaterOrEqual(t, h.weight, 8)
 		}
 	}
 }
 
-// TestStragglerDoesNotMakeItsWorkerSlow guards against a task that takes seven times
-// as long as its sibling and counts for the worker.
+// TestStragglerDoesNotMakeItsWorkerSlow guards against a task that takes seven times as
+// long as its sibling and lowers the speed of the worker.
 func TestStragglerDoesNotMakeItsWorkerSlow(t *testing.T) {
-	b := newSpeedHarness(t, 1)
+	h := newSpeedHarness(t, 1)
 	for i := range 12 {
 		job := fmt.Sprintf("j%d", i)
-		b.run(job, 1, 1)
-		b.run(job, 1.0/7, 1)
+		h.runTask(job, 1, 1)
+		h.runTask(job, 1.0/7, 1)
 	}
-	b.passAnswered(messenger.HeartbeatInterval)
-	require.InEpsilon(t, 1, b.speed, 0.1)
-	require.LessOrEqual(t, b.weight, 12, "tasks of one job are one sample")
+	h.passAnswered(messenger.HeartbeatInterval)
+	require.InEpsilon(t, 1, h.speed, 0.1)
+	require.LessOrEqual(t, h.weight, 12, "tasks of one job count as one sample")
 }
 
-// TestChangeOfSpeedIsBelievedWithinAFewEnds guards against placing for seconds by the
-// speed that a worker has had.
-func TestChangeOfSpeedIsBelievedWithinAFewEnds(t *testing.T) {
+// TestChangeOfSpeedIsDetectedWithinAFewEnds guards against placing tasks for seconds by
+// a speed that the worker no longer has.
+func TestChangeOfSpeedIsDetectedWithinAFewEnds(t *testing.T) {
 	for _, change := range []struct{ from, to float64 }{{1, 0.4}, {0.83, 1.8}} {
 		for seed := range uint64(10) {
-			b := newSpeedHarness(t, seed)
+			h := newSpeedHarness(t, seed)
 			for range 20 {
-				b.job(change.from)
+				h.runJob(change.from)
 			}
 			for range 6 {
-				b.job(change.to)
+				h.runJob(change.to)
 			}
-			require.InEpsilon(t, change.to, b.speed, 0.35, "%v, seed %d", change, seed)
-			require.LessOrEqual(t, b.weight, 6, "older samples are dropped")
+			require.InEpsilon(t, change.to, h.speed, 0.35, "%v, seed %d", change, seed)
+			require.LessOrEqual(t, h.weight, 6, "older samples are dropped")
 		}
 	}
 }
 
-// TestSpeedOfAnEarlierIncarnationIsForgotten guards against a worker that comes back
-// on another machine and is judged by the last one.
-func TestSpeedOfAnEarlierIncarnationIsForgotten(t *testing.T) {
-	b := newSpeedHarness(t, 1)
+// TestSpeedOfAnEarlierIncarnationIsDropped guards against a worker that restarts on
+// another machine and is rated by the speed of the last one.
+func TestSpeedOfAnEarlierIncarnationIsDropped(t *testing.T) {
+	h := newSpeedHarness(t, 1)
 	for range 12 {
-		b.job(0.5)
+		h.runJob(0.5)
 	}
-	require.Less(t, b.speed, 0.7)
-	b.born = 2
-	b.ends = 0
-	b.x.SetUpstream(upstream(2))
-	b.collect()
-	b.passAnswered(2 * messenger.HeartbeatInterval)
-	require.InDelta(t, 1, b.speed, 0)
-	require.Zero(t, b.weight)
+	require.Less(t, h.speed, 0.7)
+	h.born = 2
+	h.endCount = 0
+	h.x.SetUpstream(upstream(2))
+	h.collect()
+	h.passAnswered(2 * messenger.HeartbeatInterval)
+	require.InDelta(t, 1, h.speed, 0)
+	require.Zero(t, h.weight)
 }
 
-// TestSpeedDecaysToUnknown guards against a worker that is avoided for a speed of long ago.
+// TestSpeedDecaysToUnknown guards against a worker that is avoided for a speed of long
+// ago.
 func TestSpeedDecaysToUnknown(t *testing.T) {
-	b := newSpeedHarness(t, 1)
+	h := newSpeedHarness(t, 1)
 	for range 12 {
-		b.job(0.5)
+		h.runJob(0.5)
 	}
-	b.passAnswered(30 * time.Second)
-	require.Zero(t, b.weight)
-	require.InDelta(t, 1, b.speed, 0)
+	h.passAnswered(30 * time.Second)
+	require.Zero(t, h.weight)
+	require.InDelta(t, 1, h.speed, 0)
 }
 
-// TestRunSeenLateTellsNothingOfTheSpeed guards against a speed that is worse than
-// the worker's since its answers were lost.
-func TestRunSeenLateTellsNothingOfTheSpeed(t *testing.T) {
-	b := newSpeedHarness(t, 1)
-	b.place(run1, 1000)
-	b.x.HandleStartResult(run1, b.starts[0].Token, executor.Accepted)
-	b.collect()
-	b.clock.Advance(300 * time.Millisecond)
-	b.answerLastPoll(executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
-	b.passAnswered(2 * messenger.HeartbeatInterval)
-	require.Zero(t, b.speed)
+// TestRunSeenLateGivesNoSpeedSample guards against a speed that is lower than the
+// worker's because its answers were lost.
+func TestRunSeenLateGivesNoSpeedSample(t *testing.T) {
+	h := newSpeedHarness(t, 1)
+	h.place(run1, 1000)
+	h.x.HandleStartResult(run1, h.starts[0].Token, executor.Accepted)
+	h.collect()
+	h.clock.Advance(300 * time.Millisecond)
+	h.answerLastPoll(executor.EndRecord{Number: 1, RunEnd: messenger.RunEnd{Run: run1, Reason: messenger.RunDone}})
+	h.passAnswered(2 * messenger.HeartbeatInterval)
+	require.Zero(t, h.speed)
 }
 
-// TestSpeedIsToldWithHeartbeatsOrWhenItHasChanged guards against reports that grow
-// by a speed which says nothing new.
-func TestSpeedIsToldWithHeartbeatsOrWhenItHasChanged(t *testing.T) {
-	b := newSpeedHarness(t, 1)
-	told, all := 0, 0
-	began := b.clock.Now()
+// TestSpeedIsReportedWithHeartbeatsOrWhenItHasChanged guards against reports that are
+// larger for a speed that has not changed.
+func TestSpeedIsReportedWithHeartbeatsOrWhenItHasChanged(t *testing.T) {
+	h := newSpeedHarness(t, 1)
+	withSpeed, all := 0, 0
+	startedAt := h.clock.Now()
 	for i := range 100 {
-		b.place(messenger.Run{Task: fmt.Sprintf("j%d.0.0.0", i), Number: 1}, 100)
-		r := b.starts[0].Run
-		b.x.HandleStartResult(r, b.starts[0].Token, executor.Accepted)
-		b.collect()
-		b.clock.Advance(10 * time.Millisecond)
-		b.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: b.stamp})
-		b.collect()
-		b.x.HandlePollResult(executor.PollResult{Number: b.lastPoll, Born: 1, Ended: []executor.EndRecord{{Number: int64(i + 1), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}}}})
-		b.collect()
-		for _, tell := range b.reports {
+		h.place(messenger.Run{Task: fmt.Sprintf("j%d.0.0.0", i), Number: 1}, 100)
+		r := h.starts[0].Run
+		h.x.HandleStartResult(r, h.starts[0].Token, executor.Accepted)
+		h.collect()
+		h.clock.Advance(10 * time.Millisecond)
+		h.x.HandleHeartbeat("e", messenger.Heartbeat{Timestamp: 1, Echo: h.timestamp})
+		h.collect()
+		h.x.HandlePollResult(executor.PollResult{Number: h.lastPoll, Born: 1, Ended: []executor.EndRecord{{Number: int64(i + 1), RunEnd: messenger.RunEnd{Run: r, Reason: messenger.RunDone}}}})
+		h.collect()
+		for _, report := range h.reports {
 			all++
-			if tell.Speed > 0 {
-				told++
+			if report.Speed > 0 {
+				withSpeed++
 			}
 		}
 	}
-	beats := int(b.clock.Since(began)/(messenger.HeartbeatInterval/2)) + 2
-	require.LessOrEqual(t, told, beats)
-	require.Greater(t, all, 2*told)
+	heartbeats := int(h.clock.Since(startedAt)/(messenger.HeartbeatInterval/2)) + 2
+	require.LessOrEqual(t, withSpeed, heartbeats)
+	require.Greater(t, all, 2*withSpeed)
 }
--- a/executor/turn_test.go
+++ b/executor/turn_test.go
@@ -11,19 +11,20 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// turnHarness is an executor with several entries, whose room is full until leave.
+// turnHarness is an executor with several entries, whose runs hold their capacity until
+// freeOldest ends them.
 type turnHarness struct {
 	*harness
 	names []string
-	// reportedFree is the room that each entry was last told of, in thousandths of a
-	// core.
+	// reportedFree is the free capacity in the last report to each entry, in
+	// millicores.
 	reportedFree map[string]int
-	// forecasts is the forecast in the last report to each entry.
-	forecasts map[string][]messenger.Resources
-	runs      int
-	// ended counts the runs that the worker has ended, and look is the number of
-	// its last look.
-	ended          int64
+	// forecasts holds the forecast in the last report to each entry.
+	forecasts  map[string][]messenger.Resources
+	placedRuns int
+	// endedRuns counts the runs that the worker has ended, and lastPollNumber is the
+	// number of the last poll.
+	endedRuns      int64
 	lastPollNumber uint64
 }
 
@@ -33,52 +34,52 @@
 )
 
 func newTurnHarness(t *testing.T, entries int) *turnHarness {
-	c := &turnHarness{harness: newHarness(t), reportedFree: make(map[string]int), forecasts: make(map[string][]messenger.Resources), lastPollNumber: 1}
-	c.x.HandleLinkClosed("e")
+	h := &turnHarness{harness: newHarness(t), reportedFree: make(map[string]int), forecasts: make(map[string][]messenger.Resources), lastPollNumber: 1}
+	h.x.HandleLinkClosed("e")
 	for i := range entries {
 		name := fmt.Sprintf("entry-%d", i)
-		c.names = append(c.names, name)
-		c.x.HandleHello(messenger.Hello{Entry: name, Incarnation: 1})
+		h.names = append(h.names, name)
+		h.x.HandleHello(messenger.Hello{Entry: name, Incarnation: 1})
 	}
-	c.collectTurns()
-	return c
+	h.collectTurns()
+	return h
 }
 
-// collectTurns notes what the entries are told.
-func (c *turnHarness) collectTurns() {
-	for _, e := range c.x.TakeEffects() {
+// collectTurns collects what is reported to the entries.
+func (h *turnHarness) collectTurns() {
+	for _, e := range h.x.TakeEffects() {
 		switch m := e.(type) {
 		case executor.SendReport:
-			c.reportedFree[m.Entry] = m.Report.Free.CPU
-			c.forecasts[m.Entry] = m.Report.Forecast
-			c.stamp = m.Report.Timestamp
+			h.reportedFree[m.Entry] = m.Report.Free.CPU
+			h.forecasts[m.Entry] = m.Report.Forecast
+			h.timestamp = m.Report.Timestamp
 		case executor.Poll:
-			c.lastPollNumber = m.Number
+			h.lastPollNumber = m.Number
 		case executor.Start:
-			c.x.HandleStartResult(m.Run, m.Token, executor.Accepted)
+			h.x.HandleStartResult(m.Run, m.Token, executor.Accepted)
 		}
 	}
 }
 
-// want tells the agent what waits at an entry.
-func (c *turnHarness) want(name string, tasks int) {
-	c.x.HandleHeartbeat(name, messenger.Heartbeat{Timestamp: 1, Backlog: backlogOf(tasks)})
-	c.collectTurns()
+// reportBacklog reports the backlog of an entry to the agent.
+func (h *turnHarness) reportBacklog(name string, tasks int) {
+	h.x.HandleHeartbeat(name, messenger.Heartbeat{Timestamp: 1, Backlog: backlogOf(tasks)})
+	h.collectTurns()
 }
 
-// placeTask places one task of an entry with some still waiting.
-func (c *turnHarness) placeTask(name string, waiting int) {
-	c.runs++
-	r := taskRun(c.runs)
-	c.x.HandlePlace(name, messenger.Place{
-		Number: uint64(c.runs), Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: c.stamp,
+// placeTask places one task of an entry at which others still wait.
+func (h *turnHarness) placeTask(name string, waiting int) {
+	h.placedRuns++
+	r := taskRun(h.placedRuns)
+	h.x.HandlePlace(name, messenger.Place{
+		Number: uint64(h.placedRuns), Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: h.timestamp,
 		Tasks:   []messenger.Task{{Run: r, Demand: messenger.Resources{CPU: taskCPU}, Estimate: time.Second}},
 		Backlog: backlogOf(waiting),
 	})
-	c.collectTurns()
+	h.collectTurns()
 }
 
-// backlogOf returns what tells of tasks that wait.
+// backlogOf returns a backlog of equal tasks.
 func backlogOf(tasks int) messenger.Backlog {
 	return messenger.Backlog{Tasks: tasks, Total: messenger.Resources{CPU: tasks * taskCPU}, Min: messenger.Resources{CPU: taskCPU}}
 }
@@ -87,129 +88,131 @@
 	return messenger.Run{Task: fmt.Sprintf("j%d.0.0.0", i), Number: 1}
 }
 
-// advance lets time go on.
-func (c *turnHarness) advance(d time.Duration) {
-	c.clock.Advance(d)
-	c.x.Tick()
-	c.collectTurns()
+// advance advances the clock and ticks.
+func (h *turnHarness) advance(d time.Duration) {
+	h.clock.Advance(d)
+	h.x.Tick()
+	h.collectTurns()
 }
 
-// entriesWithCapacity lists the entries that have been told of room.
-func (c *turnHarness) entriesWithCapacity() []string {
+// entriesWithCapacity lists the entries to which capacity for a task is reported.
+func (h *turnHarness) entriesWithCapacity() []string {
 	var out []string
-	for _, name := range c.names {
-		if c.reportedFree[name] >= taskCPU {
+	for _, name := range h.names {
+		if h.reportedFree[name] >= taskCPU {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-func TestRoomIsToldToAllWhileOnlyOneEntryHasTasksThatWait(t *testing.T) {
-	c := newTurnHarness(t, 3)
-	c.want("entry-1", 5)
-	c.advance(50 * time.Millisecond)
-	require.Equal(t, c.names, c.entriesWithCapacity())
+func TestCapacityIsReportedToAllWhileOnlyOneEntryHasWaitingTasks(t *testing.T) {
+	h := newTurnHarness(t, 3)
+	h.reportBacklog("entry-1", 5)
+	h.advance(50 * time.Millisecond)
+	require.Equal(t, h.names, h.entriesWithCapacity())
 }
 
-func TestScarceRoomIsToldToOneEntryAtATime(t *testing.T) {
-	c := newTurnHarness(t, 3)
-	c.want("entry-1", 15)
-	c.want("entry-2", 15)
-	c.advance(time.Millisecond)
-	first := c.entriesWithCapacity()
+func TestScarceCapacityIsReportedToOneEntryAtATime(t *testing.T) {
+	h := newTurnHarness(t, 3)
+	h.reportBacklog("entry-1", 15)
+	h.reportBacklog("entry-2", 15)
+	h.advance(time.Millisecond)
+	first := h.entriesWithCapacity()
 	require.Len(t, first, 1)
-	require.NotContains(t, first, "entry-0", "nothing waits there")
-	c.advance(10 * time.Millisecond)
-	second := c.entriesWithCapacity()
+	require.NotContains(t, first, "entry-0", "it has no backlog")
+	h.advance(10 * time.Millisecond)
+	second := h.entriesWithCapacity()
 	require.Len(t, second, 1)
-	require.NotEqual(t, first, second, "a turn that is not used passes on")
+	require.NotEqual(t, first, second, "an unused turn goes to the next entry")
 }
 
 // TestTurnLastsAsLongAsItsEntryTakesToAnswer guards against turns that end before an
-// answer from another data centre can arrive, so that the same room is told twice.
+// answer from another data centre can arrive, so that the same capacity is reported to
+// two entries.
 func TestTurnLastsAsLongAsItsEntryTakesToAnswer(t *testing.T) {
 	const answerTime = 5 * time.Millisecond
-	c := newTurnHarness(t, 2)
-	met := 0
+	h := newTurnHarness(t, 2)
+	inTime := 0
 	for range 12 {
-		c.want("entry-0", 15)
-		c.want("entry-1", 15)
-		c.advance(time.Millisecond)
-		first := c.entriesWithCapacity()
+		h.reportBacklog("entry-0", 15)
+		h.reportBacklog("entry-1", 15)
+		h.advance(time.Millisecond)
+		first := h.entriesWithCapacity()
 		require.Len(t, first, 1)
-		stamp := c.stamp
-		c.advance(answerTime)
-		if now := c.entriesWithCapacity(); len(now) == 1 && now[0] == first[0] {
-			met++
+		timestamp := h.timestamp
+		h.advance(answerTime)
+		if now := h.entriesWithCapacity(); len(now) == 1 && now[0] == first[0] {
+			inTime++
 		}
-		c.stamp = stamp
-		c.placeTask(first[0], 15)
-		c.freeOldest()
-		c.advance(20 * time.Millisecond)
+		h.timestamp = timestamp
+		h.placeTask(first[0], 15)
+		h.freeOldest()
+		h.advance(20 * time.Millisecond)
 	}
-	require.GreaterOrEqual(t, met, 9, "turns in which the answer came in time")
+	require.GreaterOrEqual(t, inTime, 9, "turns in which the answer came in time")
 }
 
-func TestRoomIsSharedInProportionToWhatWaits(t *testing.T) {
-	c := newTurnHarness(t, 3)
+func TestCapacityIsSharedInProportionToTheBacklogs(t *testing.T) {
+	h := newTurnHarness(t, 3)
 	used := make(map[string]int)
 	for range 400 {
-		for i, name := range c.names {
-			c.want(name, 10*(1+i))
+		for i, name := range h.names {
+			h.reportBacklog(name, 10*(1+i))
 		}
-		c.advance(2 * time.Millisecond)
-		for i, name := range c.names {
-			if c.reportedFree[name] >= taskCPU {
-				c.placeTask(name, 10*(1+i))
+		h.advance(2 * time.Millisecond)
+		for i, name := range h.names {
+			if h.reportedFree[name] >= taskCPU {
+				h.placeTask(name, 10*(1+i))
 				used[name]++
 				break
 			}
 		}
-		c.freeOldest()
+		h.freeOldest()
 	}
 	total := used["entry-0"] + used["entry-1"] + used["entry-2"]
 	require.Greater(t, total, 100)
-	for i, name := range c.names {
+	for i, name := range h.names {
 		require.InDelta(t, float64(1+i)/6, float64(used[name])/float64(total), 0.05, name)
 	}
 }
 
-// freeOldest ends the oldest run once the room is full.
-func (c *turnHarness) freeOldest() {
-	if c.runs-int(c.ended) < workerCPU/taskCPU {
+// freeOldest ends the oldest run once all capacity is used.
+func (h *turnHarness) freeOldest() {
+	if h.placedRuns-int(h.endedRuns) < workerCPU/taskCPU {
 		return
 	}
-	c.ended++
-	seen := executor.PollResult{Number: c.lastPollNumber, Born: 1, Ended: []executor.EndRecord{
-		{Number: c.ended, RunEnd: messenger.RunEnd{Run: taskRun(int(c.ended)), Reason: messenger.RunDone}},
+	h.endedRuns++
+	result := executor.PollResult{Number: h.lastPollNumber, Born: 1, Ended: []executor.EndRecord{
+		{Number: h.endedRuns, RunEnd: messenger.RunEnd{Run: taskRun(int(h.endedRuns)), Reason: messenger.RunDone}},
 	}}
-	for i := int(c.ended) + 1; i <= c.runs; i++ {
-		seen.Running = append(seen.Running, messenger.Progress{Run: taskRun(i)})
+	for i := int(h.endedRuns) + 1; i <= h.placedRuns; i++ {
+		result.Running = append(result.Running, messenger.Progress{Run: taskRun(i)})
 	}
-	c.x.HandlePollResult(seen)
-	c.collectTurns()
+	h.x.HandlePollResult(result)
+	h.collectTurns()
 }
 
-// TestUnusedTurnKeepsTheRequestForTheForecast guards against tasks held for a near
-// worker that go far since their entry has left a turn unused.
+// TestUnusedTurnKeepsTheRequestForTheForecast guards against tasks that are deferred
+// for a near worker and then go to a far one because their entry has left a turn
+// unused.
 func TestUnusedTurnKeepsTheRequestForTheForecast(t *testing.T) {
-	c := newTurnHarness(t, 2)
-	c.x.HandlePlace("entry-0", messenger.Place{
-		Number: 1, Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: c.stamp,
+	h := newTurnHarness(t, 2)
+	h.x.HandlePlace("entry-0", messenger.Place{
+		Number: 1, Job: "j", Service: "quotes", MaxWait: 12 * time.Millisecond, Echo: h.timestamp,
 		Tasks: []messenger.Task{{Run: taskRun(1), Demand: messenger.Resources{CPU: taskCPU}, Estimate: 200 * time.Millisecond}},
 	})
-	c.collectTurns()
-	want := backlogOf(15)
-	want.WantsForecast = true
-	for _, name := range c.names {
-		c.x.HandleHeartbeat(name, messenger.Heartbeat{Timestamp: 1, Backlog: want})
+	h.collectTurns()
+	backlog := backlogOf(15)
+	backlog.WantsForecast = true
+	for _, name := range h.names {
+		h.x.HandleHeartbeat(name, messenger.Heartbeat{Timestamp: 1, Backlog: backlog})
 	}
-	c.collectTurns()
+	h.collectTurns()
 	for at := time.Duration(0); at <= messenger.HeartbeatInterval; at += 5 * time.Millisecond {
-		c.advance(5 * time.Millisecond)
+		h.advance(5 * time.Millisecond)
 	}
-	for _, name := range c.names {
-		require.NotEmpty(t, c.forecasts[name], name)
+	for _, name := range h.names {
+		require.NotEmpty(t, h.forecasts[name], name)
 	}
 }
