--- a/executor/executor.go
+++ b/executor/executor.go
@@ -33,8 +33,8 @@
 	// entryTimeout is how long nothing may be received from an entry before its runs
 	// are cancelled.
 	entryTimeout = messenger.IdleTimeout
-	// echoTolerance is how long after the timestamp that it echoes a message of an
-	// entry counts as sent at most, however late it is read.
+	// echoTolerance is added to the timestamp that a message of an entry echoes: the
+	// message counts as sent by then at the latest, however late it is read.
 	echoTolerance = messenger.HeartbeatInterval
 	// stopTimeout is how long runs that must end may take to stop. After it, no lease
 	// is renewed until they have ended.
--- a/executor/poll.go
+++ b/executor/poll.go
@@ -99,9 +99,9 @@
 }
 
 // leaseWithheld reports whether leases must not be renewed. That is so while a run goes
-// on past its stop deadline, or while no entry has claimed an orphan, for instance one
-// that an earlier incarnation of the agent started: its entry may have given it up, and
-// relies on the expiry of its lease.
+// on past its stop deadline, or while no entry has claimed an orphan that an earlier
+// incarnation of the agent started: its entry may have given it up, and relies on the
+// expiry of its lease.
 func (x *Executor) leaseWithheld(now time.Time) bool {
 	for _, r := range x.runs {
 		unclaimed := r.owner == "" && !r.cancelled
--- a/executor/start.go
+++ b/executor/start.go
@@ -76,9 +76,10 @@
 	}
 }
 
-// placeKnownTask processes the placement of a task that has a run here already. The
-// entry claims that run if it is the same one without an owner; otherwise its placement
-// joins the run and gets its outcome.
+// placeKnownTask processes the placement of a task that has a run here already. If it
+// is the same run and has no owner, the entry claims it. Another run or another entry's
+// run is joined, so that the entry gets its outcome. A repeated placement of the
+// entry's own run changes nothing.
 func (x *Executor) placeKnownTask(e *entry, known *run, t messenger.Task, p messenger.Place) {
 	switch {
 	case known.Run == t.Run && known.owner == "":
--- a/executor/upstream.go
+++ b/executor/upstream.go
@@ -40,7 +40,7 @@
 }
 
 // HandleWorkerDeparture processes the worker's notice that it leaves for good. The
-// notice does not tell when its runs end, nor whether it comes from its present
+// notice does not show when its runs end, nor that it comes from its present
 // incarnation.
 func (x *Executor) HandleWorkerDeparture(id string) {
 	if id != x.upstream.ID || x.upstream.Born == 0 {
