--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// drawKind draws a kind of job and the number of its tasks.
+// drawKind draws a kind of job, the number of its tasks and their CPU demand.
 func drawKind(t *rapid.T) jobKind {
 	k := rapid.SampledFrom(jobKinds).Draw(t, "kind")
 	k.tasks = rapid.IntRange(1, k.tasks).Draw(t, "tasks")
@@ -19,15 +19,15 @@
 	return k
 }
 
-// TestNoJobWaitsTooLateAndNoneIsRefusedWhileCapacityIsFree guards against jobs that are held
-// after it is known that they cannot be in time, and against refusals on arrival while
-// an agent in touch has room for a task, whether nothing waits or only jobs too large
-// for that room.
+// TestNoJobWaitsTooLateAndNoneIsRefusedWhileCapacityIsFree guards against jobs that are kept
+// waiting when it is known that they cannot be in time, and against refusals on arrival
+// while a synced agent has free capacity for a task, whether nothing waits or only jobs
+// too large for that capacity.
 func TestNoJobWaitsTooLateAndNoneIsRefusedWhileCapacityIsFree(t *testing.T) {
 	const (
 		tick  = 10 * time.Millisecond
 		steps = 150
-		// openLinks is less than the greatest age of a report on which tasks are placed.
+		// openLinks is less than the maximum age of a report by which tasks are placed.
 		inTouch = 200 * time.Millisecond
 	)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -65,7 +65,7 @@
 				b.s.Submit(ticket, j)
 				room, seen = b.applyPlacements(room, seen)
 				if a := b.replies[ticket]; fits && a.Refusal.Point == scheduler.AtOnce {
-					rt.Fatalf("refused while there is room: %+v", a)
+					rt.Fatalf("refused while capacity is free: %+v", a)
 				}
 			}
 			b.requireNoneTooLate(rt, arrived, at)
@@ -73,8 +73,8 @@
 	})
 }
 
-// applyPlacements takes the effects in and returns the room that is left after what was placed,
-// and the number of the last placement.
+// applyPlacements takes the effects and returns the capacity that is free after the tasks in them
+// are placed, and the number of the last placement.
 func (b *fixture) applyPlacements(room messenger.Resources, seen uint64) (messenger.Resources, uint64) {
 	for _, m := range b.drain() {
 		p, ok := m.(messenger.Place)
@@ -89,8 +89,8 @@
 	return room, seen
 }
 
-// requireNoneTooLate checks, after a tick, that every job that waits could still be in
-// time for its objective and its caller.
+// requireNoneTooLate requires, after a tick, that every waiting job can still meet its
+// objective and, if the work is overestimated by estimateError, its caller's deadline.
 func (b *fixture) requireNoneTooLate(t *rapid.T, jobs map[string]scheduler.Job, at map[string]time.Time) {
 	const estimateError = 0.4
 	now := b.clock.Now()
@@ -105,7 +105,7 @@
 			t.Fatalf("job of %s waits past its latest start", j.Queue.Name)
 		}
 		if now.Add(time.Duration((1 - estimateError) * float64(work))).After(j.Deadline) {
-			t.Fatalf("job of %s waits for a caller that will have gone", j.Queue.Name)
+			t.Fatalf("job of %s waits although its caller's deadline will have passed", j.Queue.Name)
 		}
 	}
 }
--- a/scheduler/choose_bench_test.go
+++ b/scheduler/choose_bench_test.go
@@ -10,8 +10,9 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// BenchmarkChooseAgent guards against a choice of a worker that costs an entry, which
-// has a fraction of a core, much more where workers differ in speed.
+// BenchmarkChooseAgent shows what the choice of an agent costs. It guards against a choice
+// that takes much longer where workers differ in speed: an entry has only a fraction
+// of a core.
 func BenchmarkChooseAgent(b *testing.B) {
 	for _, agents := range []int{24, 96} {
 		for _, uneven := range []bool{false, true} {
--- a/scheduler/duplicate_test.go
+++ b/scheduler/duplicate_test.go
@@ -10,27 +10,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// maxAnnounceDelay is the longest time between two heartbeats of a worker.
+// maxAnnounceDelay is the longest time after which a worker announces itself again.
 const maxAnnounceDelay = 1500 * time.Millisecond
 
-// announceWorker has the worker announce itself within the time of a heartbeat.
+// announceWorker has the worker announce itself to its agent after a random time of up to
+// maxAnnounceDelay.
 func (a *simAgent) announceWorker() {
 	a.w.schedule(time.Duration(a.w.rng.Int64N(int64(maxAnnounceDelay))), func() {
 		a.do(func() { a.core.SetUpstream(a.worker.up) })
 	})
 }
 
-// misleadingSignals are what an agent or an entry may hear that proves nothing.
+// misleadingSignals are misleading signals: events from which an agent or an entry must not conclude
+// that a run has ended.
 var misleadingSignals = []struct {
 	name string
 	say  func(w *simulation)
 }{
-	{"a worker is said to have left", func(w *simulation) {
+	{"a worker is reported as gone", func(w *simulation) {
 		a := w.anyAgent()
 		a.do(func() { a.core.HandleWorkerDeparture(a.worker.up.ID) })
 		a.announceWorker()
 	}},
-	{"a worker that is not there announces itself", func(w *simulation) {
+	{"a worker that does not exist is announced", func(w *simulation) {
 		a := w.anyAgent()
 		u := a.worker.up
 		u.ID = "stranger"
@@ -38,7 +40,7 @@
 		a.do(func() { a.core.SetUpstream(u) })
 		a.announceWorker()
 	}},
-	{"a worker restarts under another id", func(w *simulation) {
+	{"a worker restarts with another ID", func(w *simulation) {
 		a := w.anyAgent()
 		a.worker.restart()
 		a.worker.up.ID = fmt.Sprintf("worker-%d", w.rng.IntN(1<<30))
@@ -53,7 +55,7 @@
 			}
 		}
 	}},
-	{"callers leave and send their jobs again at once", func(w *simulation) {
+	{"callers disconnect and send their jobs again at once", func(w *simulation) {
 		e := w.entries[w.rng.IntN(len(w.entries))]
 		var tickets []uint64
 		for ticket := range e.tickets {
@@ -63,10 +65,10 @@
 		for _, ticket := range tickets {
 			id, waits := e.tickets[ticket]
 			if !waits || e.disconnected[ticket] {
-				continue // The last one's leave has had this one answered, or nobody waits.
+				continue // Answered when an earlier caller left, or its caller is already gone.
 			}
 			job := w.results[id].job
-			// A paused entry hears of it later, and the caller is gone all the same.
+			// A paused entry learns of it later, but the caller is gone at once.
 			e.disconnected[ticket] = true
 			e.do(func() {
 				delete(e.tickets, ticket)
@@ -77,13 +79,13 @@
 			})
 		}
 	}},
-	{"callers' connections break and their entry does not hear of it", func(w *simulation) {
+	{"callers' connections break without their entry noticing", func(w *simulation) {
 		e := w.entries[w.rng.IntN(len(w.entries))]
 		for _, ticket := range slices.Sorted(maps.Keys(e.tickets)) {
 			e.disconnectUnnoticed(ticket)
 		}
 	}},
-	{"an agent restarts beside a worker that does not answer", func(w *simulation) {
+	{"an agent restarts while its worker does not answer", func(w *simulation) {
 		a := w.anyAgent()
 		a.worker.unresponsiveUntil = w.clock.Now().Add(400 * time.Millisecond)
 		if !a.down {
@@ -106,7 +108,7 @@
 		})
 		w.run(12 * time.Second)
 		w.check()
-		require.Empty(t, w.rerunAfterDone, "tasks that were done and began again")
+		require.Empty(t, w.rerunAfterDone, "tasks that were run again after they were done")
 		t.Logf("%+v", w.summary())
 	}
 }
@@ -129,7 +131,7 @@
 			}
 		})
 	}
-	t.Run("all of them, and faults", func(t *testing.T) {
+	t.Run("all signals and faults", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(8) {
 			w := newSimulation(t, 320+seed, 3, 7, cores)
--- a/scheduler/heldjobs_test.go
+++ b/scheduler/heldjobs_test.go
@@ -12,14 +12,15 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// reportHeldRunning returns an agent's word that other entries hold jobs.
+// reportHeldRunning returns a report of an agent which says that other entries hold jobs.
 func reportHeldRunning(agent string, jobs ...string) messenger.Report {
 	r := newReport(agent, 0)
 	r.HeldJobs = &messenger.HeldJobs{Running: jobs}
 	return r
 }
 
-// reportHeldYielding returns an agent's word that jobs wait at other entries.
+// reportHeldYielding returns a report of an agent which says that jobs wait at other entries
+// because an entry holds them already.
 func reportHeldYielding(agent string, jobs ...string) messenger.Report {
 	r := newReport(agent, 0)
 	r.HeldJobs = &messenger.HeldJobs{Yielding: jobs}
@@ -31,8 +32,8 @@
 		name string
 		over func(b *fixture)
 	}{
-		{"until it holds it no longer", func(b *fixture) { b.s.HandleReport(reportHeldRunning("a")) }},
-		{"until the agent that said so has been silent for long", func(b *fixture) {
+		{"until the entry no longer holds it", func(b *fixture) { b.s.HandleReport(reportHeldRunning("a")) }},
+		{"until the held jobs of a silent agent expire", func(b *fixture) {
 			b.s.LinkClosed("a")
 			b.clock.Advance(messenger.HeldJobsTTL)
 			b.s.HandleReport(newReport("b", 0))
@@ -42,13 +43,13 @@
 			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
 		}},
-		{"until the agent that said so has been back for long", func(b *fixture) {
+		{"until the held jobs of an agent's earlier incarnation expire", func(b *fixture) {
 			for i := range int64(2) {
 				r := reportHeldRunning("a")
 				r.Incarnation = 2 + i
 				b.s.HandleReport(r)
 			}
-			require.Empty(b.t, b.drain(), "it has not heard of the job yet")
+			require.Empty(b.t, b.drain(), "the restarted agent may not have received the announcement again yet")
 			b.clock.Advance(messenger.HeldJobsTTL)
 			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
@@ -65,7 +66,7 @@
 			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
 			require.Empty(t, b.drain())
-			require.Empty(t, b.replies, "it is not known that it has not run")
+			require.Empty(t, b.replies, "the job may have started at the other entry")
 			tt.over(b)
 			b.drain()
 			require.Equal(t, 1, b.placed().Tasks[0].Number)
@@ -80,7 +81,7 @@
 	b.s.Resumed()
 	b.s.HandleReport(newReport("a", 0))
 	b.s.Submit(1, b.longJob())
-	require.Empty(t, b.drain(), "the report may have been made before the pause")
+	require.Empty(t, b.drain(), "the report may have been made before the entry was paused")
 	b.clock.Advance(time.Millisecond)
 	b.heartbeat("a", 0)
 	b.drain()
@@ -108,7 +109,7 @@
 	b.clock.Advance(500 * time.Millisecond)
 	require.Equal(t, []string{jobID, "0000000000000005"}, b.heartbeat("a", 2))
 	b.s.CallerLeft(1)
-	require.Contains(t, b.heartbeat("a", 2), jobID, "its run may go on")
+	require.Contains(t, b.heartbeat("a", 2), jobID, "its withdrawn run may not have ended")
 	r := newReport("a", 2)
 	r.Ended = []messenger.RunEnd{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Reason: messenger.RunStopped}}
 	b.s.HandleReport(r)
@@ -121,7 +122,7 @@
 		begin func(b *fixture)
 	}{
 		{"while it runs", func(b *fixture) { b.s.Submit(1, b.longJob()) }},
-		{"while it waits as well", func(b *fixture) {
+		{"while it waits here as well", func(b *fixture) {
 			b.s.HandleReport(reportHeldRunning("a", jobID))
 			b.s.Submit(1, b.longJob())
 		}},
@@ -136,7 +137,7 @@
 			b.s.HandleReport(reportHeldYielding("a", jobID))
 			b.s.Tick()
 			b.drain()
-			require.Empty(t, b.replies, "its caller may still be here")
+			require.Empty(t, b.replies, "its caller may still be connected")
 			b.clock.Advance(600 * time.Millisecond)
 			b.heartbeatAndTick("a")
 			require.Equal(t, scheduler.Unsettled, b.replies[1].Outcome)
@@ -165,8 +166,8 @@
 		over bool
 		want map[uint64]scheduler.Answer
 	}{
-		{"it goes on there", false, map[uint64]scheduler.Answer{1: {Outcome: scheduler.Unsettled, RetryAfter: scheduler.AgentLossTimeout, Why: "another entry has begun it"}}},
-		{"its runs there are being stopped", true, map[uint64]scheduler.Answer{}},
+		{"it continues at the other entry", false, map[uint64]scheduler.Answer{1: {Outcome: scheduler.Unsettled, RetryAfter: scheduler.AgentLossTimeout, Why: "another entry has begun it"}}},
+		{"the other entry is stopping its runs", true, map[uint64]scheduler.Answer{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -180,7 +181,7 @@
 			b.s.HandleReport(r)
 			for range 13 {
 				b.drain()
-				require.Empty(t, b.replies, "its caller may still be here")
+				require.Empty(t, b.replies, "its caller may still be connected")
 				b.clock.Advance(100 * time.Millisecond)
 				b.heartbeat("a", 1)
 				b.s.Tick()
@@ -236,7 +237,7 @@
 		play func(b *fixture)
 		want scheduler.Outcome
 	}{
-		{"no agent has heard of it", func(b *fixture) {
+		{"no agent has echoed a heartbeat that announces it", func(b *fixture) {
 			b.s.Submit(1, b.longJob())
 			for range 12 {
 				b.clock.Advance(100 * time.Millisecond)
@@ -244,14 +245,14 @@
 				b.s.HandleReport(newReport("a", 1))
 			}
 		}, scheduler.Unsettled},
-		{"no agent has heard anything for long", func(b *fixture) {
+		{"no agent has echoed a recent heartbeat", func(b *fixture) {
 			b.s.Submit(1, b.longJob())
 			b.clock.Advance(600 * time.Millisecond)
 			b.heartbeat("a", 1)
 			b.clock.Advance(time.Second)
 			b.s.HandleReport(newReport("a", 1))
 		}, scheduler.Unsettled},
-		{"the entry was paused before it read it", func(b *fixture) {
+		{"the entry was paused before it read the request", func(b *fixture) {
 			j := b.longJob()
 			j.EarliestSent = b.clock.Now().Add(-1300 * time.Millisecond)
 			b.s.Submit(1, j)
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -12,13 +12,13 @@
 		name   string
 		reopen func(b *fixture)
 	}{
-		{"before its end is known", func(b *fixture) {
+		{"before its close is known", func(b *fixture) {
 			b.clock.Advance(2 * time.Second)
 			b.s.HandleReport(newReport("a", 1))
 			b.s.HandleReport(newReport("b", 0))
 			b.s.LinkOpened("a")
 		}},
-		{"late, and its list has not come yet", func(b *fixture) {
+		{"after long, and its list of runs has not arrived yet", func(b *fixture) {
 			b.s.LinkClosed("a")
 			b.clock.Advance(1195 * time.Millisecond)
 			b.s.LinkOpened("a")
@@ -36,7 +36,7 @@
 			b.placed()
 			tt.reopen(b)
 			b.s.Tick()
-			require.Empty(t, b.drain(), "run 1 may go on at its agent")
+			require.Empty(t, b.drain(), "run 1 may still be at its agent")
 		})
 	}
 }
@@ -47,7 +47,7 @@
 	b.connect("b")
 	b.s.Submit(1, b.longJob())
 	b.drain()
-	// The process is stopped; its machine goes on taking connections.
+	// The process is suspended, but its machine still accepts connections.
 	for range 12 {
 		b.s.LinkClosed("a")
 		b.clock.Advance(20 * time.Millisecond)
@@ -59,5 +59,5 @@
 			return
 		}
 	}
-	t.Fatal("placed nowhere in 5 s")
+	t.Fatal("not placed at another agent within 5 s")
 }
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -9,29 +9,30 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// immediateLimit is the time within which a refusal reaches a caller that was not kept
-// waiting.
+// immediateLimit is the longest time that a refusal on arrival takes to reach its caller.
 const immediateLimit = 10 * time.Millisecond
 
-// TestOverloadIsRefusedBeforeItHasWaited guards against callers who wait for nothing:
-// under overload, jobs were taken on that more urgent ones overtook, and refused
-// at the end of their patience.
+// TestOverloadIsRefusedBeforeItHasWaited guards against callers that wait only to be
+// refused: under overload, jobs were admitted, overtaken by more urgent ones, and
+// refused at the end of their wait limit.
 func TestOverloadIsRefusedBeforeItHasWaited(t *testing.T) {
 	const (
 		span    = 4 * time.Second
 		entries = 9
 		agents  = 44
 		seeds   = 3
-		// servedLeast bounds what refusals at once may cost in callers served in time.
+		// servedLeast is the least share of before that must be served in time. It bounds
+		// what refusing on arrival may cost.
 		servedLeast = 0.98
 	)
 	tests := []struct {
 		name string
-		// base is the load, and extra how much of each kind comes on top of it.
+		// base is the factor of the load, and extra the multiple of it that a burst adds
+		// for each kind of job.
 		base  float64
 		extra []float64
-		// before is how many callers were served in time by the code that refused
-		// late (dcb70b6).
+		// before is the number of callers that were served in time when jobs were refused
+		// only at the end of their wait limit (commit dcb70b6).
 		before int
 	}{
 		{"all kinds", 7.6, []float64{0, 0, 0}, 10_467},
@@ -56,17 +57,17 @@
 				early += soon
 				jobs += s.all
 				inAim += s.inTime
-				t.Logf("%+v, %d refused at once, served %.3f", s, soon, w.served())
+				t.Logf("%+v, %d refused on arrival, served %.3f", s, soon, w.served())
 			}
-			t.Logf("%d of %d refused at once, %d of %d in time", early, all, inAim, jobs)
+			t.Logf("%d of %d refused on arrival, %d of %d in time", early, all, inAim, jobs)
 			require.GreaterOrEqual(t, float64(early), 0.8*float64(all))
 			require.GreaterOrEqual(t, float64(inAim), servedLeast*float64(tt.before))
 		})
 	}
 }
 
-// refusals counts the callers that were refused, and those of them that were told
-// at once.
+// refusals returns the number of callers that were refused, and of those among them that
+// got the refusal within immediateLimit.
 func (w *simulation) refusals() (all, early int) {
 	for _, r := range w.results {
 		if !r.got || r.answer.Outcome != scheduler.Overloaded {
@@ -80,7 +81,8 @@
 	return all, early
 }
 
-// burst submits jobs of each kind, extra times a load.
+// burst submits jobs for a span. Those of each kind come at its rate in load, times
+// factor, times the kind's item of extra.
 func (w *simulation) burst(span time.Duration, factor float64, extra []float64) {
 	perSecond := []float64{34.4, 6.25, 100}
 	for i, k := range jobKinds {
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// newFullReport returns an agent's word that it has no room.
+// newFullReport returns the report of an agent without free capacity.
 func newFullReport(agent string) messenger.Report {
 	r := newReport(agent, 0)
 	r.Free = messenger.Resources{}
@@ -25,7 +25,7 @@
 	b.s.HandleReport(newFullReport("b"))
 	b.s.Submit(1, b.job(jobID, 3))
 	require.Empty(t, b.drain())
-	// Room for two of the three tasks.
+	// Free capacity for two of the three tasks.
 	r := newFullReport("b")
 	r.Free = messenger.Resources{CPU: 6200, Memory: 64_000}
 	b.s.HandleReport(r)
@@ -40,8 +40,8 @@
 	require.Len(t, b.placed().Tasks, 1)
 }
 
-// BenchmarkReportWhileJobsWait takes in reports without room at an entry with a
-// long queue.
+// BenchmarkReportWhileJobsWait measures how long an entry with waiting jobs takes to
+// handle a report without free capacity.
 func BenchmarkReportWhileJobsWait(bm *testing.B) {
 	for _, agents := range []int{11, 53, 110} {
 		for _, jobs := range []int{10, 100} {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRetryAfterSpreadsARefusedBurst guards against callers who are refused at the
-// same time and all come back in the same second.
+// TestRetryAfterSpreadsARefusedBurst guards against callers that are refused at the
+// same time and all retry in the same second.
 func TestRetryAfterSpreadsARefusedBurst(t *testing.T) {
 	const (
 		callers = 200
@@ -20,7 +20,7 @@
 	last := time.Duration(0)
 	for range callers {
 		after := c.retryAfter(startTime, 0, gap)
-		require.Greater(t, after, last, "in the order of the refusals")
+		require.Greater(t, after, last, "retries come in the order of the refusals")
 		last = after
 		perSecond[int(math.Ceil(after.Seconds()))]++
 	}
@@ -35,9 +35,9 @@
 		drained, gap time.Duration
 	}{
 		{"nothing waits", 0, time.Millisecond},
-		{"much waits", time.Minute, time.Millisecond},
+		{"a long backlog", time.Minute, time.Millisecond},
 		{"a slow queue", 2 * time.Second, 3 * time.Second},
-		{"a queue that stands still", 0, time.Hour},
+		{"a queue that starts nothing", 0, time.Hour},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestRetryScheduleRestartsAfterAQuietTime guards against promises of a past overload
-// that hold new callers off.
+// TestRetryScheduleRestartsAfterAQuietTime guards against retry times given during a past
+// overload that delay the retries of new callers.
 func TestRetryScheduleRestartsAfterAQuietTime(t *testing.T) {
 	var c retrySchedule
 	for range 100 {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -13,10 +13,11 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// jobID is the job that most tests hand in.
+// jobID is the ID of the job that most tests submit.
 const jobID = "0000000000000003"
 
-// fixture is a scheduler with one agent, whose messages the test writes itself.
+// fixture is a scheduler under a fake clock. The test itself writes the reports of its
+// agents.
 type fixture struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
@@ -24,18 +25,19 @@
 	// replies are the answers so far, by ticket.
 	replies map[uint64]scheduler.Answer
 	sent    []any
-	// linkOpenedAt is when the link to an agent was opened.
+	// linkOpenedAt is when the link to each agent was opened.
 	linkOpenedAt map[string]time.Time
 }
 
 func newFixture(t *testing.T) *fixture {
 	b := newStartingFixture(t)
-	// The entry has been up for long enough to know its agents.
+	// The warm-up, in which nothing is refused for lack of capacity, is over then.
 	b.clock.Advance(time.Second)
 	return b
 }
 
-// newStartingFixture returns the same of an entry that has just started.
+// newStartingFixture is like newBench, but the entry has just started and is still in its
+// warm-up.
 func newStartingFixture(t *testing.T) *fixture {
 	clock := clockwork.NewFakeClock()
 	b := &fixture{t: t, clock: clock, s: scheduler.NewScheduler(clock, "dc-0"), replies: make(map[uint64]scheduler.Answer), linkOpenedAt: make(map[string]time.Time)}
@@ -43,7 +45,8 @@
 	return b
 }
 
-// drain sorts the effects and returns the messages to agents.
+// drain takes the scheduler's effects, records the replies and returns the messages to
+// agents.
 func (b *fixture) drain() []any {
 	b.sent = nil
 	for _, e := range b.s.TakeEffects() {
@@ -57,7 +60,8 @@
 	return b.sent
 }
 
-// newReport returns an agent's word on a worker with room for ten tasks.
+// newReport returns the report of an agent whose worker has free capacity for ten tasks.
+// seen is the number of the last placement that the agent has processed.
 func newReport(agent string, seen uint64) messenger.Report {
 	room := messenger.Resources{CPU: 31_000, Memory: 64_000}
 	return messenger.Report{
@@ -66,7 +70,7 @@
 	}
 }
 
-// connect brings an agent into touch.
+// connect opens the link to an agent, which sends a complete and empty list of its runs.
 func (b *fixture) connect(agent string) {
 	b.s.LinkOpened(agent)
 	b.linkOpenedAt[agent] = b.clock.Now()
@@ -77,7 +81,7 @@
 }
 
 // heartbeat has the entry send a heartbeat, which an agent echoes in its report, and
-// returns the jobs that the heartbeat names.
+// returns the jobs that the heartbeat announces.
 func (b *fixture) heartbeat(agent string, seen uint64) []string {
 	held := b.s.HeldJobs()
 	r := newReport(agent, seen)
@@ -86,8 +90,8 @@
 	return slices.Concat(held.Running, held.Yielding, held.Finished)
 }
 
-// heartbeatAndTick has the entry send a heartbeat, which an agent with one placement echoes,
-// and look at what has come due.
+// heartbeatAndTick has the entry send a heartbeat, which an agent that has processed one placement
+// echoes, and then calls Tick.
 func (b *fixture) heartbeatAndTick(agent string) {
 	b.heartbeat(agent, 1)
 	b.s.Tick()
@@ -101,14 +105,14 @@
 	}
 }
 
-// longJob returns a job of one task whose caller waits for long.
+// longJob returns a job of one task whose caller waits for a minute.
 func (b *fixture) longJob() scheduler.Job {
 	j := b.job(jobID, 1)
 	j.Deadline = b.clock.Now().Add(time.Minute)
 	return j
 }
 
-// submitPlaced hands a job of one task in and returns the run that is placed.
+// submitPlaced submits a job of one task and returns the run that is placed.
 func (b *fixture) submitPlaced(ticket uint64, j scheduler.Job) messenger.Run {
 	b.t.Helper()
 	b.s.Submit(ticket, j)
@@ -116,8 +120,8 @@
 	return b.placed().Tasks[0].Run
 }
 
-// reconnectRestarted opens a new link to an agent that has restarted and found runs, and
-// returns its word.
+// reconnectRestarted opens a new link to an agent that has restarted and found runs at its
+// worker, and returns the report that the agent has sent.
 func (b *fixture) reconnectRestarted(agent string, runs ...messenger.Progress) messenger.Report {
 	b.s.LinkOpened(agent)
 	r := newReport(agent, 0)
@@ -128,7 +132,7 @@
 	return r
 }
 
-// ejected reports whether the worker at an agent is set aside.
+// ejected reports whether the worker at an agent is ejected.
 func (b *fixture) ejected(agent string) bool {
 	for _, a := range b.s.Dump().Agents {
 		if a.Name == agent {
@@ -138,7 +142,7 @@
 	return false
 }
 
-// placed returns the one Place among the last messages.
+// placed returns the Place among the last messages and requires that there is just one.
 func (b *fixture) placed() messenger.Place {
 	b.t.Helper()
 	var out []messenger.Place
@@ -157,12 +161,13 @@
 	b.s.Submit(1, b.job(jobID, 2))
 	b.drain()
 	require.Len(t, b.placed().Tasks, 2)
-	// The agent lists its runs anew before it has taken the placement in.
+	// The agent lists its runs again before it has processed the placement.
 	r := newReport("a", 0)
 	r.RunsComplete = true
 	b.s.HandleReport(r)
 	require.Empty(t, b.drain())
-	// A list that was made after it shows that the runs are not there.
+	// A list made after the placement was processed shows that the agent does not have
+	// the runs.
 	r.AckedPlace = 1
 	b.s.HandleReport(r)
 	b.drain()
@@ -210,18 +215,18 @@
 		play func(b *fixture)
 		want scheduler.Outcome
 	}{
-		{"no worker for so long", func(b *fixture) {
+		{"no worker within the wait limit", func(b *fixture) {
 			b.s.Submit(1, b.job(jobID, 1))
 			b.clock.Advance(200 * time.Millisecond)
 			b.s.Tick()
 		}, scheduler.Overloaded},
-		{"larger than any worker", func(b *fixture) {
+		{"demand exceeds the capacity of every worker", func(b *fixture) {
 			b.connect("a")
 			j := b.job(jobID, 1)
 			j.Steps[0].Demand.CPU = 99_000
 			b.s.Submit(1, j)
 		}, scheduler.Impossible},
-		{"caller waits for less than the work takes", func(b *fixture) {
+		{"caller's deadline is too short for the work", func(b *fixture) {
 			b.connect("a")
 			j := b.job(jobID, 1)
 			j.Deadline = b.clock.Now().Add(20 * time.Millisecond)
@@ -232,7 +237,7 @@
 			j.Steps = nil
 			b.s.Submit(1, j)
 		}, scheduler.Impossible},
-		{"deadline with a run that may have started", func(b *fixture) {
+		{"caller's deadline passes after a run may have started", func(b *fixture) {
 			b.connect("a")
 			b.s.Submit(1, b.job(jobID, 1))
 			b.clock.Advance(1500 * time.Millisecond)
@@ -258,7 +263,7 @@
 	b.clock.Advance(100 * time.Millisecond)
 	b.s.Tick()
 	b.drain()
-	require.Empty(t, b.replies, "the room is not known yet")
+	require.Empty(t, b.replies, "the free capacity is not known yet")
 	b.connect("a")
 	placed := 0
 	for _, j := range b.s.Dump().Waiting {
@@ -269,7 +274,7 @@
 	b.clock.Advance(time.Second)
 	b.s.Tick()
 	b.drain()
-	require.Len(t, b.replies, jobs-1-placed, "what found no room is refused once the room is known")
+	require.Len(t, b.replies, jobs-1-placed, "jobs for which no capacity is free are refused once the free capacity is known")
 	for _, a := range b.replies {
 		require.Equal(t, scheduler.Overloaded, a.Outcome)
 	}
@@ -286,7 +291,7 @@
 		b.s.HandleReport(x)
 		b.drain()
 	}
-	// Three jobs are out at the worker when two of them fail.
+	// Three jobs are placed at the worker when two of them fail.
 	for i := range 3 {
 		j := b.job(fmt.Sprintf("%016x", 1+i), 1)
 		j.Deadline = b.clock.Now().Add(time.Minute)
@@ -298,7 +303,7 @@
 	end(messenger.Run{Task: "0000000000000002.0.0.0", Number: 1}, messenger.RunFailed, 2, 3)
 	require.True(t, b.ejected("a"))
 	end(messenger.Run{Task: "0000000000000003.0.0.0", Number: 1}, messenger.RunDone, 2, 3)
-	require.True(t, b.ejected("a"), "a run of before the ejection tells nothing new")
+	require.True(t, b.ejected("a"), "a run placed before the ejection is not the probe")
 }
 
 func TestTaskThatFailsTooOftenFailsItsJobOnDifferentWorkers(t *testing.T) {
@@ -355,9 +360,9 @@
 		{"draining worker", func(r *messenger.Report, _ *scheduler.Configuration) { r.Upstream.Draining = true }},
 		{"leaving agent", func(r *messenger.Report, _ *scheduler.Configuration) { r.Leaving = true }},
 		{"other service", func(r *messenger.Report, _ *scheduler.Configuration) { r.Upstream.Service = "other" }},
-		{"worker that leaves calls unanswered", func(r *messenger.Report, _ *scheduler.Configuration) { r.UnansweredCalls = 1 }},
+		{"worker that does not answer calls", func(r *messenger.Report, _ *scheduler.Configuration) { r.UnansweredCalls = 1 }},
 		{"worker that fails every job", func(r *messenger.Report, _ *scheduler.Configuration) { r.ConsecutiveFailedJobs = 2 }},
-		{"worker that stands still", func(r *messenger.Report, _ *scheduler.Configuration) { r.PaceJobs = 3; r.Pace = 0.05 }},
+		{"worker whose runs make hardly any progress", func(r *messenger.Report, _ *scheduler.Configuration) { r.PaceJobs = 3; r.Pace = 0.05 }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -367,7 +372,7 @@
 			r.RunsComplete = true
 			tt.spoil(&r, &c)
 			b.s.Configure(c)
-			b.connect("b") // A second worker, so that half of them may be ejected.
+			b.connect("b") // With a second worker, one of the two may be ejected.
 			b.s.LinkOpened("a")
 			b.s.HandleReport(r)
 			b.s.LinkClosed("b")
--- a/scheduler/simcluster_test.go
+++ b/scheduler/simcluster_test.go
@@ -16,7 +16,7 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// event is something that happens at a time.
+// event is a call that is due at a time. number orders the events of one time.
 type event struct {
 	at       time.Time
 	sequence int
@@ -42,30 +42,31 @@
 }
 
 const (
-	// linkDelay is the usual way of a message between machines, localDelay that to
-	// the worker.
+	// linkDelay is the usual delay of a message between machines, localDelay that of
+	// one between an agent and its worker.
 	linkDelay  = time.Millisecond
 	localDelay = 300 * time.Microsecond
 	// maxStopDelay is the longest time that a run takes to stop.
 	maxStopDelay = 50 * time.Millisecond
 	// callTimeout bounds a call to a worker.
 	callTimeout = 40 * time.Millisecond
-	// minPause is the least time in which an entry that does nothing is paused.
+	// minPause is the shortest time without activity that counts as a pause of an
+	// entry.
 	minPause = 200 * time.Millisecond
-	// minResendDelay is the least time after which a caller sends a job again.
+	// minResendDelay is the shortest time after which a caller sends a job again.
 	minResendDelay = 1300 * time.Millisecond
 )
 
-// simTask is what a task really asks for.
+// simTask is what a task takes in fact, whatever its estimate says.
 type simTask struct {
 	work   time.Duration
 	demand messenger.Resources
 	fails  bool
-	// rack is where the task's data is; empty means anywhere.
+	// rack is the label of the rack that has the task's data; empty means any worker.
 	rack string
 }
 
-// result is what a caller got.
+// result is a job and the answer that its caller got, if any.
 type result struct {
 	job    scheduler.Job
 	answer scheduler.Answer
@@ -74,8 +75,8 @@
 	got    bool
 }
 
-// simulation joins real schedulers and executors with simulated links and workers,
-// under a fake clock.
+// simulation is a simulation that connects real schedulers and executors by simulated links
+// and workers, in the virtual time of a fake clock.
 type simulation struct {
 	t               testing.TB
 	rng             *rand.Rand
@@ -86,30 +87,30 @@
 	agents          []*simAgent
 	tasks           map[string]simTask
 	results         map[string]*result
-	// runningCount counts, for each task, the workers that run it.
+	// runningCount counts the workers that run each task.
 	runningCount map[string]int
-	// duplicates lists tasks that ran in two places at once.
+	// duplicates lists the runs that began while another worker ran the same task.
 	duplicates []string
-	// done holds the tasks that are done, and repeated those that began again
-	// after that.
+	// done holds the tasks that are done, and repeated lists the runs that began after
+	// their task was done.
 	done map[string]bool
-	// firstStartAt is when each task first began.
+	// firstStartAt is when each task was first started.
 	firstStartAt   map[string]time.Time
 	rerunAfterDone []string
 	jobs           int
-	// placedRuns counts the runs sent to agents, and refusedNoRoom those refused for lack of
-	// room.
+	// placedRuns counts the runs that reached agents, and refusedNoRoom those that agents refused
+	// for lack of capacity.
 	placedRuns, refusedNoRoom int
-	// linkDelay is the way of a message between an entry and an agent.
+	// linkDelay is the delay of a message between an entry and an agent.
 	linkDelay time.Duration
-	// farFactor is how many times as long a task takes away from its data; 0 counts as 1.
-	// The entries know it if aware.
+	// farFactor is the factor by which a task takes longer on a worker away from its data;
+	// values below 1 count as 1. The entries know it if aware.
 	farFactor      float64
 	farFactorKnown bool
-	// ignoreReserve makes agents deaf to requests to keep room.
+	// ignoreReserve makes agents ignore Reserve messages.
 	ignoreReserve bool
-	// withoutSpeeds keeps the speeds of workers out of all reports, as agents do
-	// that do not estimate them.
+	// withoutSpeeds removes the speeds of workers from all reports, as if the agents did
+	// not estimate them.
 	withoutSpeeds bool
 }
 
@@ -120,17 +121,18 @@
 	incarnation int64
 	core        *scheduler.Scheduler
 	tickets     map[uint64]string
-	// links are those that the entry has taken in, by agent. What it sends on one
+	// links holds the links that the entry knows of, by agent. What it sends on a link
 	// that has been replaced meanwhile is lost.
 	links map[string]*simLink
-	// disconnected marks the tickets whose callers have gone without the entry's
-	// hearing of it.
+	// disconnected marks the tickets whose callers have disconnected without the entry
+	// noticing.
 	disconnected map[uint64]bool
 	lastTicket   uint64
 	down         bool
-	// pausedUntil holds back all that the process does.
+	// pausedUntil is when a pause of the process ends. What it receives before is handled
+	// then.
 	pausedUntil time.Time
-	// activeAt is when the entry last did something.
+	// activeAt is when the entry last handled an event.
 	activeAt time.Time
 }
 
@@ -153,7 +155,7 @@
 	agent *simAgent
 	open  bool
 	cut   bool
-	// openedAt is when the link was opened; its stamps count from there.
+	// openedAt is when the link was opened; the timestamps of heartbeats count from there.
 	openedAt        time.Time
 	lastHeartbeatAt time.Time
 	lastReportAt    time.Time
@@ -213,7 +215,7 @@
 	})
 }
 
-// run plays what happens in the next span.
+// run advances the clock by span and calls the events that are due by then.
 func (w *simulation) run(span time.Duration) {
 	end := w.clock.Now().Add(span)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
@@ -228,7 +230,8 @@
 	}
 }
 
-// runStarted and ended count where a task runs.
+// runStarted and ended keep count of the workers that run a task. began also records runs
+// that break a rule.
 func (w *simulation) runStarted(v *simWorker, r messenger.Run) {
 	w.runningCount[r.Task]++
 	if _, ok := w.firstStartAt[r.Task]; !ok {
@@ -244,7 +247,7 @@
 
 func (w *simulation) runEnded(_ *simWorker, r messenger.Run) { w.runningCount[r.Task]-- }
 
-// configuration returns one with a queue for each kind of job.
+// configuration returns a configuration with one queue, for the service quotes.
 func configuration() scheduler.Configuration {
 	return scheduler.Configuration{Version: 1, Queues: []scheduler.Queue{quotes()}, Evacuated: map[string]bool{}}
 }
@@ -253,7 +256,7 @@
 	return scheduler.Queue{Name: "quotes", Host: "q.example", Prefix: "/q/", Service: "quotes", MaxAttempts: 3, Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 1500 * time.Millisecond}
 }
 
-// configuration returns the one of the world's entries.
+// configuration returns the configuration of the simulated entries.
 func (w *simulation) configuration() scheduler.Configuration {
 	if !w.farFactorKnown {
 		return configuration()
@@ -261,24 +264,26 @@
 	return configuration().WithFarFactor(w.farFactor)
 }
 
-// jobKind describes a kind of job as the workloads have them.
+// jobKind describes one kind of job of a workload.
 type jobKind struct {
 	tasks    int
 	work     time.Duration
 	cpu      int
 	priority int
-	// rack is where the data of the tasks is; empty means anywhere.
+	// rack is the label of the rack that has the data of the tasks; empty means any
+	// worker.
 	rack string
 }
 
-// jobKinds are those of the price service: quotes, indices and alerts.
+// jobKinds are the jobs of the price service: quotes, indices and alerts.
 var jobKinds = []jobKind{
 	{tasks: 8, work: 60 * time.Millisecond, cpu: 3100},
 	{tasks: 4, work: 900 * time.Millisecond, cpu: 3100, priority: 2},
 	{tasks: 2, work: 200 * time.Millisecond, cpu: 3100, priority: 1},
 }
 
-// submit hands a job of a kind to an entry, as its caller would.
+// submit creates a job of a kind and sends it to an entry, as its caller would. The
+// work and its estimate are drawn at random.
 func (w *simulation) submit(e *simEntry, k jobKind) string {
 	w.jobs++
 	id := fmt.Sprintf("%016x", w.jobs)
@@ -303,7 +308,8 @@
 	return id
 }
 
-// send hands a job in. A caller whose entry is down sends it again later.
+// send submits a job to an entry. If the entry is down, the caller sends the job again
+// later.
 func (w *simulation) send(e *simEntry, j scheduler.Job) {
 	w.schedule(linkDelay, func() {
 		if e.down {
@@ -319,7 +325,8 @@
 	})
 }
 
-// resend sends a job once more, to any entry, if its caller still waits.
+// resend sends a job after minResendDelay to a random entry, if its caller still waits
+// then.
 func (w *simulation) resend(j scheduler.Job) {
 	w.schedule(minResendDelay, func() {
 		if w.clock.Now().Before(j.Deadline) {
@@ -328,10 +335,11 @@
 	})
 }
 
-// load submits jobs of all kinds at a rate for a span, times factor.
+// load submits jobs of all kinds to random entries for a span, at their usual rates times
+// factor.
 func (w *simulation) load(span time.Duration, factor float64) { w.loadAt(w.entries, span, factor) }
 
-// loadAt submits jobs to some entries.
+// loadAt is like load, but submits jobs to the given entries only.
 func (w *simulation) loadAt(entries []*simEntry, span time.Duration, factor float64) {
 	perSecond := []float64{34.4, 6.25, 100}
 	for i, k := range jobKinds {
@@ -342,7 +350,7 @@
 	}
 }
 
-// countNoRoom counts the runs that were refused for lack of room.
+// countNoRoom counts the runs that were refused for lack of capacity.
 func (w *simulation) countNoRoom(list []messenger.Refusal) {
 	for _, r := range list {
 		if r.Reason == messenger.RefusedNoRoom {
@@ -351,13 +359,13 @@
 	}
 }
 
-// summary counts what callers got.
+// summary counts jobs by the answers that their callers got.
 type summary struct {
 	all, inTime, late, refused, failed, unanswered int
 	slowestRefusal                                 time.Duration
 }
 
-// plus returns the sum of two summaries, and the slowest refusal of both.
+// plus adds up two summaries. The slowest refusal is the slower of the two.
 func (s summary) plus(o summary) summary {
 	s.all += o.all
 	s.inTime += o.inTime
@@ -394,7 +402,7 @@
 	return s
 }
 
-// served returns the share of each kind of job that was complete in time.
+// served returns, for each kind, the share of its jobs that were complete in time.
 func (w *simulation) served() []float64 {
 	all := make([]float64, len(jobKinds))
 	good := make([]float64, len(jobKinds))
@@ -411,7 +419,7 @@
 	return good
 }
 
-// objective is the time in which a job's caller wants it complete.
+// objective returns the time within which a job is to be complete, by its real work.
 func (w *simulation) objective(j scheduler.Job) time.Duration {
 	return time.Duration(j.Queue.Stretch*float64(w.longestTask(j))) + j.Queue.Slack
 }
@@ -424,7 +432,7 @@
 	return most
 }
 
-// check asserts what must hold whatever happens.
+// check requires the invariant of every simulation: no task ran on two workers at once.
 func (w *simulation) check() {
 	w.t.Helper()
 	require.Empty(w.t, w.duplicates, "tasks that ran twice at once")
--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -38,7 +38,8 @@
 	tick()
 }
 
-// do lets the entry take one message in, after any freeze.
+// do calls f, which handles one event of the entry, and then applies the effects. If the
+// process is paused, that happens after the pause.
 func (e *simEntry) do(f func()) {
 	core := e.core
 	if wait := e.pausedUntil.Sub(e.w.clock.Now()); wait > 0 {
@@ -69,7 +70,7 @@
 	}
 }
 
-// reply brings an answer to its caller.
+// reply delivers an answer to its caller, if that is still connected.
 func (e *simEntry) reply(m scheduler.Reply) {
 	r := e.w.results[e.tickets[m.Ticket]]
 	delete(e.tickets, m.Ticket)
@@ -85,7 +86,8 @@
 	})
 }
 
-// disconnectUnnoticed breaks a caller's connection, which the entry does not hear of.
+// disconnectUnnoticed breaks a caller's connection without the entry noticing. The caller sends
+// the job again.
 func (e *simEntry) disconnectUnnoticed(ticket uint64) {
 	if !e.disconnected[ticket] {
 		e.disconnected[ticket] = true
@@ -93,7 +95,8 @@
 	}
 }
 
-// kill ends the entry. Its callers' connections break, and they send again.
+// kill ends the entry process, which starts again after span. Its callers lose their
+// connections and send their jobs again.
 func (e *simEntry) kill(span time.Duration) {
 	e.down = true
 	for _, ticket := range slices.Sorted(maps.Keys(e.tickets)) {
@@ -110,7 +113,8 @@
 	e.w.schedule(span, e.boot)
 }
 
-// connect keeps a link to an agent open for as long as core lives.
+// connect opens a link to an agent, and opens it again after it closes, as long as core
+// is the entry's scheduler.
 func (e *simEntry) connect(a *simAgent, core *scheduler.Scheduler) {
 	if e.core != core || e.down {
 		return
@@ -132,7 +136,7 @@
 	e.w.schedule(20*time.Millisecond, func() { e.connect(a, core) })
 }
 
-// beat sends heartbeats and closes links that have been silent.
+// beat sends heartbeats that are due and closes links without traffic.
 func (e *simEntry) beat() {
 	now := e.w.clock.Now()
 	ask := e.core.EarlyHeartbeatDue()
@@ -152,7 +156,8 @@
 	}
 }
 
-// toAgent carries a message to the agent.
+// toAgent delivers a message to the agent after the link's delay, unless the link is
+// closed or replaced by then.
 func (l *simLink) toAgent(msg any) {
 	if !l.open {
 		return
@@ -185,7 +190,8 @@
 	})
 }
 
-// toEntry carries a report to the entry.
+// toEntry delivers a report to the entry after the link's delay, unless the link is
+// closed or replaced by then.
 func (l *simLink) toEntry(r messenger.Report) {
 	if l.agent.w.withoutSpeeds {
 		r.Speed, r.SpeedJobs = 0, 0
@@ -204,7 +210,7 @@
 	})
 }
 
-// close ends the link for both sides.
+// close closes the link. The agent of a link that is cut is not told.
 func (l *simLink) close() {
 	if !l.open {
 		return
@@ -238,7 +244,8 @@
 	tick()
 }
 
-// do lets the agent take one message in, after any freeze.
+// do calls f, which handles one event of the agent, and then applies the effects. If the
+// process is paused, that happens after the pause.
 func (a *simAgent) do(f func()) {
 	core := a.core
 	if wait := a.pausedUntil.Sub(a.w.clock.Now()); wait > 0 {
@@ -256,7 +263,7 @@
 	a.applyEffects()
 }
 
-// kill ends the agent process; the worker runs on.
+// kill ends the agent process, which starts again after span. The worker keeps running.
 func (a *simAgent) kill(span time.Duration) {
 	a.down = true
 	for _, l := range a.links {
@@ -266,7 +273,7 @@
 	a.w.schedule(span, a.boot)
 }
 
-// restartWorker ends the worker, which announces itself anew after span.
+// restartWorker restarts the worker, which announces itself after span.
 func (a *simAgent) restartWorker(span time.Duration) {
 	a.worker.restart()
 	up := a.worker.up
@@ -303,8 +310,8 @@
 	}
 }
 
-// start calls the worker. While it is mute, the call takes effect late and
-// without an answer.
+// start calls the worker to start a run. While the worker is unresponsive, the call takes
+// effect late and without an answer.
 func (a *simAgent) start(s executor.Start) {
 	core := a.core
 	deadline := s.LeaseUntil
@@ -336,7 +343,8 @@
 	})
 }
 
-// look calls the worker, which answers when a run ends or the wait is over.
+// look asks the worker for its runs. The worker answers when a run ends or the wait is
+// over.
 func (a *simAgent) look(l executor.Poll) {
 	core := a.core
 	deadline := l.LeaseUntil
--- a/scheduler/simworker_test.go
+++ b/scheduler/simworker_test.go
@@ -18,22 +18,23 @@
 	demand messenger.Resources
 }
 
-// simWorker is a worker that obeys the rules of leases, tokens and run numbers.
+// simWorker is a simulated worker that follows the rules of leases, tokens and run
+// numbers.
 type simWorker struct {
 	w    *simulation
 	name string
 	up   messenger.Upstream
-	// slowdown stretches the work of runs that start; 0 counts as 1.
+	// slowdown is a factor of the work of runs that start; 0 counts as 1.
 	slowdown float64
-	// hangs makes runs stand still; failsAll makes them fail at once.
+	// hangs makes runs neither progress nor end; failsAll makes them fail after 5 ms.
 	hangs, failsAll bool
-	// unansweredShare is the share of the starts that are not answered. Every second one
-	// of them arrives late.
+	// unansweredShare is the share of the starts that are not answered. About half of these
+	// take effect late.
 	unansweredShare float64
-	// unresponsiveUntil is until when calls get no answer and starts take effect late.
+	// unresponsiveUntil is the time until which calls get no answer and starts take effect late.
 	unresponsiveUntil time.Time
-	// lateStopsUntil is until when stops are carried out seconds late;
-	// lostAnswersUntil until when looks are carried out and not answered.
+	// lateStopsUntil is the time until which stops take effect two seconds late, and
+	// lostAnswersUntil the one until which looks take effect but are not answered.
 	lateStopsUntil, lostAnswersUntil time.Time
 	// starts counts the starts that have taken effect.
 	starts    int
@@ -53,7 +54,7 @@
 	return d
 }
 
-// start carries a start out and returns its outcome.
+// start handles the call to start a run and returns its outcome.
 func (v *simWorker) start(s executor.Start, deadline time.Time) executor.CallResult {
 	now := v.w.clock.Now()
 	if s.Upstream.Born != v.up.Born || s.Upstream.ID != v.up.ID {
@@ -110,7 +111,7 @@
 	v.end(r, how)
 }
 
-// end lists the end of a run and answers a look that waits for it.
+// end ends a run and lists its end for the next look.
 func (v *simWorker) end(r *simRun, how messenger.EndReason) {
 	delete(v.running, r.run.Task)
 	v.highest[r.run.Task] = max(v.highest[r.run.Task], r.run.Number)
@@ -135,7 +136,7 @@
 	}
 }
 
-// expireLease kills what runs without a lease.
+// expireLease ends all runs if the lease has run out.
 func (v *simWorker) expireLease() {
 	if len(v.running) == 0 || !v.w.clock.Now().After(v.leaseEnd) {
 		return
@@ -156,7 +157,8 @@
 	return out
 }
 
-// look returns what runs and what has ended; false when the token is too low.
+// look returns the runs in progress and those that have ended since the last look, or
+// false if the token is too low.
 func (v *simWorker) look(l executor.Poll, deadline time.Time) (executor.PollResult, bool) {
 	if l.Token < v.token {
 		return executor.PollResult{}, false
@@ -178,7 +180,7 @@
 	return s, true
 }
 
-// restart begins another incarnation, which knows nothing.
+// restart starts a new incarnation of the worker, without runs and state.
 func (v *simWorker) restart() {
 	for _, r := range v.sorted() {
 		v.w.runEnded(v, r.run)
--- a/scheduler/startrate_test.go
+++ b/scheduler/startrate_test.go
@@ -9,11 +9,11 @@
 
 var startTime = time.Unix(1_700_000_000, 0)
 
-// TestStartRate guards against a rate that is taken from arrivals, from too few
-// starts, or from starts that did not take place.
+// TestStartRate guards against a start rate that is derived from arrivals, from too few
+// starts, or from starts that the agent refused.
 func TestStartRate(t *testing.T) {
 	const step = 10 * time.Millisecond
-	// play has a start every fourth step while jobs wait, which is 25 a second.
+	// play records a start in every fourth step while jobs wait, which is 25 a second.
 	play := func(d *startRate, steps int, waiting bool) time.Time {
 		now := startTime
 		for i := range steps {
@@ -25,7 +25,7 @@
 		}
 		return now
 	}
-	t.Run("nothing was seen", func(t *testing.T) {
+	t.Run("nothing was observed", func(t *testing.T) {
 		_, known := (&startRate{}).perSecond(startTime)
 		require.False(t, known)
 	})
--- a/scheduler/withdrawn_test.go
+++ b/scheduler/withdrawn_test.go
@@ -10,8 +10,8 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// withdrawnRun has a job of one task placed at an agent, whose caller then leaves,
-// and returns the run.
+// withdrawnRun places a job of one task at an agent, disconnects its caller, requires
+// that the run is withdrawn, and returns it.
 func (b *fixture) withdrawnRun() messenger.Run {
 	b.connect("a")
 	b.connect("b")
@@ -37,7 +37,7 @@
 			r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.RefusedWithdrawn}}
 			b.s.HandleReport(r)
 		}, 2},
-		{"not at its agent on the next link", func(b *fixture, run messenger.Run) {
+		{"missing from its agent's list on the next link", func(b *fixture, run messenger.Run) {
 			b.s.LinkClosed("a")
 			b.s.LinkOpened("a")
 			r := newReport("a", 0)
@@ -62,11 +62,11 @@
 			b := newFixture(t)
 			run := b.withdrawnRun()
 			b.s.Submit(2, b.longJob())
-			require.Empty(t, b.drain(), "run 1 may go on")
+			require.Empty(t, b.drain(), "run 1 may not have ended")
 			b.clock.Advance(100 * time.Millisecond)
 			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
-			require.Empty(t, b.drain(), "run 1 may still go on")
+			require.Empty(t, b.drain(), "run 1 may still not have ended")
 			tt.over(b, run)
 			b.drain()
 			require.Equal(t, tt.run, b.placed().Tasks[0].Number)
@@ -140,14 +140,14 @@
 			b.drain()
 		}
 	}
-	// Its record has gone; the caller sends the job again.
+	// Once the record of the job has expired, the caller sends the job again.
 	b.clock.Advance(16 * time.Second)
 	b.s.Tick()
 	b.s.HandleReport(newReport("a", seen))
 	b.drain()
 	b.s.Submit(2, b.longJob())
 	b.drain()
-	require.NotEmpty(t, b.sent, "all runs of the last try have ended")
+	require.NotEmpty(t, b.sent, "all runs of the job's earlier submission have ended")
 }
 
 func TestRunThatARestartedAgentFoundHasBegunItsJob(t *testing.T) {
