--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -19,35 +19,35 @@
 	return k
 }
 
-// TestNoJobWaitsTooLateAndNoneIsRefusedWhileCapacityIsFree guards against jobs that are kept
-// waiting when it is known that they cannot be in time, and against refusals on arrival
-// while a synced agent has free capacity for a task, whether nothing waits or only jobs
-// too large for that capacity.
+// TestNoJobWaitsTooLateAndNoneIsRefusedWhileCapacityIsFree guards against jobs that are
+// kept waiting when it is known that they cannot be in time, and against refusals on
+// arrival while a synced agent has free capacity for a task, whether nothing waits or
+// only jobs too large for that capacity.
 func TestNoJobWaitsTooLateAndNoneIsRefusedWhileCapacityIsFree(t *testing.T) {
 	const (
 		tick  = 10 * time.Millisecond
 		steps = 150
-		// openLinks is less than the maximum age of a report by which tasks are placed.
-		inTouch = 200 * time.Millisecond
+		// maxAge is less than the maximum age of a report by which tasks are placed.
+		maxAge = 200 * time.Millisecond
 	)
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newFixture(t)
-		b.connect("a")
-		arrived := make(map[string]scheduler.Job)
-		at := make(map[string]time.Time)
-		room := newReport("a", 0).Free
-		seen, told := uint64(0), b.clock.Now()
+		f := newFixture(t)
+		f.connect("a")
+		jobs := make(map[string]scheduler.Job)
+		arrivedAt := make(map[string]time.Time)
+		free := newReport("a", 0).Free
+		ackedPlace, reportedAt := uint64(0), f.clock.Now()
 		for n := range steps {
-			b.clock.Advance(tick)
-			if rapid.Bool().Draw(rt, "room") {
-				r := newReport("a", seen)
-				room = messenger.Resources{CPU: 3100 * rapid.IntRange(0, 4).Draw(rt, "slots"), Memory: 64_000}
-				r.Free = room
-				b.s.HandleReport(r)
-				told = b.clock.Now()
+			f.clock.Advance(tick)
+			if rapid.Bool().Draw(rt, "report") {
+				r := newReport("a", ackedPlace)
+				free = messenger.Resources{CPU: 3100 * rapid.IntRange(0, 4).Draw(rt, "slots"), Memory: 64_000}
+				r.Free = free
+				f.s.HandleReport(r)
+				reportedAt = f.clock.Now()
 			}
-			b.s.Tick()
-			room, seen = b.applyPlacements(room, seen)
+			f.s.Tick()
+			free, ackedPlace = f.applyPlacements(free, ackedPlace)
 			for i := range rapid.IntRange(0, 4).Draw(rt, "arrivals") {
 				k := drawKind(rt)
 				id := fmt.Sprintf("%016x", 1+10*n+i)
@@ -56,51 +56,51 @@
 				q.Priority = k.priority
 				j := scheduler.Job{
 					ID: id, Queue: q, Spec: "spec",
-					Deadline: b.clock.Now().Add(rapid.SampledFrom([]time.Duration{1500 * time.Millisecond, k.work}).Draw(rt, "deadline")),
+					Deadline: f.clock.Now().Add(rapid.SampledFrom([]time.Duration{1500 * time.Millisecond, k.work}).Draw(rt, "deadline")),
 					Steps:    []scheduler.Step{{Count: k.tasks, Demand: messenger.Resources{CPU: k.cpu}, Estimate: k.work}},
 				}
-				arrived[id], at[id] = j, b.clock.Now()
-				fits := j.Steps[0].Demand.FitsIn(room) && b.clock.Since(told) <= inTouch
+				jobs[id], arrivedAt[id] = j, f.clock.Now()
+				fits := j.Steps[0].Demand.FitsIn(free) && f.clock.Since(reportedAt) <= maxAge
 				ticket := uint64(1 + 10*n + i)
-				b.s.Submit(ticket, j)
-				room, seen = b.applyPlacements(room, seen)
-				if a := b.replies[ticket]; fits && a.Refusal.Point == scheduler.AtOnce {
+				f.s.Submit(ticket, j)
+				free, ackedPlace = f.applyPlacements(free, ackedPlace)
+				if a := f.replies[ticket]; fits && a.Refusal.Point == scheduler.AtOnce {
 					rt.Fatalf("refused while capacity is free: %+v", a)
 				}
 			}
-			b.requireNoneTooLate(rt, arrived, at)
+			f.requireNoneTooLate(rt, jobs, arrivedAt)
 		}
 	})
 }
 
-// applyPlacements takes the effects and returns the capacity that is free after the tasks in them
-// are placed, and the number of the last placement.
-func (b *fixture) applyPlacements(room messenger.Resources, seen uint64) (messenger.Resources, uint64) {
-	for _, m := range b.drain() {
+// applyPlacements takes the effects and returns the capacity that is free after the
+// tasks in them are placed, and the number of the last placement.
+func (f *fixture) applyPlacements(free messenger.Resources, lastPlace uint64) (messenger.Resources, uint64) {
+	for _, m := range f.drain() {
 		p, ok := m.(messenger.Place)
 		if !ok {
 			continue
 		}
 		for _, t := range p.Tasks {
-			room = room.Minus(t.Demand)
+			free = free.Minus(t.Demand)
 		}
-		seen = max(seen, p.Number)
+		lastPlace = max(lastPlace, p.Number)
 	}
-	return room, seen
+	return free, lastPlace
 }
 
 // requireNoneTooLate requires, after a tick, that every waiting job can still meet its
 // objective and, if the work is overestimated by estimateError, its caller's deadline.
-func (b *fixture) requireNoneTooLate(t *rapid.T, jobs map[string]scheduler.Job, at map[string]time.Time) {
+func (f *fixture) requireNoneTooLate(t *rapid.T, jobs map[string]scheduler.Job, arrivedAt map[string]time.Time) {
 	const estimateError = 0.4
-	now := b.clock.Now()
-	for _, w := range b.s.Dump().Waiting {
+	now := f.clock.Now()
+	for _, w := range f.s.Dump().Waiting {
 		j := jobs[w.ID]
 		if w.Placed > 0 || w.Ready < j.Steps[0].Count {
 			continue
 		}
 		work := j.Steps[0].Estimate
-		objective := at[w.ID].Add(time.Duration(j.Queue.Stretch*float64(work)) + j.Queue.Slack)
+		objective := arrivedAt[w.ID].Add(time.Duration(j.Queue.Stretch*float64(work)) + j.Queue.Slack)
 		if now.Add(work).After(objective) {
 			t.Fatalf("job of %s waits past its latest start", j.Queue.Name)
 		}
--- a/scheduler/choose_bench_test.go
+++ b/scheduler/choose_bench_test.go
@@ -10,20 +10,19 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// BenchmarkChooseAgent shows what the choice of an agent costs. It guards against a choice
-// that takes much longer where workers differ in speed: an entry has only a fraction
-// of a core.
+// BenchmarkChooseAgent guards against a choice of an agent that takes much longer where
+// workers differ in speed: an entry has only a fraction of a core.
 func BenchmarkChooseAgent(b *testing.B) {
 	for _, agents := range []int{24, 96} {
-		for _, uneven := range []bool{false, true} {
-			b.Run(fmt.Sprintf("agents %d, uneven %t", agents, uneven), func(b *testing.B) {
-				benchmarkChooseAgent(b, agents, uneven)
+		for _, heterogeneous := range []bool{false, true} {
+			b.Run(fmt.Sprintf("agents %d, heterogeneous %t", agents, heterogeneous), func(b *testing.B) {
+				benchmarkChooseAgent(b, agents, heterogeneous)
 			})
 		}
 	}
 }
 
-func benchmarkChooseAgent(b *testing.B, agents int, uneven bool) {
+func benchmarkChooseAgent(b *testing.B, agents int, heterogeneous bool) {
 	clock := clockwork.NewFakeClock()
 	s := NewScheduler(clock, "dc-0")
 	q := Queue{Name: "quotes", Service: "quotes", Stretch: 1.6, Slack: 60 * time.Millisecond}
@@ -37,7 +36,7 @@
 			Free:     messenger.Resources{CPU: 6000 + 1000*(i%26), Memory: 64_000},
 			Upstream: &messenger.Upstream{ID: name, Born: 1, Service: "quotes", Capacity: messenger.Resources{CPU: 32_000, Memory: 64_000}},
 		}
-		if uneven {
+		if heterogeneous {
 			r.Speed, r.SpeedJobs = 0.83, 12
 			if i%4 == 0 {
 				r.Speed = 1.8
--- a/scheduler/duplicate_test.go
+++ b/scheduler/duplicate_test.go
@@ -21,42 +21,42 @@
 	})
 }
 
-// misleadingSignals are misleading signals: events from which an agent or an entry must not conclude
-// that a run has ended.
+// misleadingSignals are events from which an agent or an entry must not conclude that a
+// run has ended.
 var misleadingSignals = []struct {
-	name string
-	say  func(w *simulation)
+	name    string
+	trigger func(sim *simulation)
 }{
-	{"a worker is reported as gone", func(w *simulation) {
-		a := w.anyAgent()
+	{"a worker is reported as departed", func(sim *simulation) {
+		a := sim.anyAgent()
 		a.do(func() { a.core.HandleWorkerDeparture(a.worker.up.ID) })
 		a.announceWorker()
 	}},
-	{"a worker that does not exist is announced", func(w *simulation) {
-		a := w.anyAgent()
+	{"a worker that does not exist is announced", func(sim *simulation) {
+		a := sim.anyAgent()
 		u := a.worker.up
 		u.ID = "stranger"
 		u.Born++
 		a.do(func() { a.core.SetUpstream(u) })
 		a.announceWorker()
 	}},
-	{"a worker restarts with another ID", func(w *simulation) {
-		a := w.anyAgent()
+	{"a worker restarts with another ID", func(sim *simulation) {
+		a := sim.anyAgent()
 		a.worker.restart()
-		a.worker.up.ID = fmt.Sprintf("worker-%d", w.rng.IntN(1<<30))
+		a.worker.up.ID = fmt.Sprintf("worker-%d", sim.rng.IntN(1<<30))
 		a.announceWorker()
 	}},
-	{"links break", func(w *simulation) {
-		for _, a := range w.agents {
-			for _, e := range w.entries {
-				if l := a.links[e.name]; l != nil && w.rng.IntN(2) == 0 {
+	{"links break", func(sim *simulation) {
+		for _, a := range sim.agents {
+			for _, e := range sim.entries {
+				if l := a.links[e.name]; l != nil && sim.rng.IntN(2) == 0 {
 					l.close()
 				}
 			}
 		}
 	}},
-	{"callers disconnect and send their jobs again at once", func(w *simulation) {
-		e := w.entries[w.rng.IntN(len(w.entries))]
+	{"callers disconnect and send their jobs again at once", func(sim *simulation) {
+		e := sim.entries[sim.rng.IntN(len(sim.entries))]
 		var tickets []uint64
 		for ticket := range e.tickets {
 			tickets = append(tickets, ticket)
@@ -65,10 +65,10 @@
 		for _, ticket := range tickets {
 			id, waits := e.tickets[ticket]
 			if !waits || e.disconnected[ticket] {
-				continue // Answered when an earlier caller left, or its caller is already gone.
+				continue // Answered when an earlier caller left, or its caller has disconnected.
 			}
-			job := w.results[id].job
-			// A paused entry learns of it later, but the caller is gone at once.
+			job := sim.results[id].job
+			// A paused entry learns of it later, but the caller disconnects at once.
 			e.disconnected[ticket] = true
 			e.do(func() {
 				delete(e.tickets, ticket)
@@ -79,53 +79,53 @@
 			})
 		}
 	}},
-	{"callers' connections break without their entry noticing", func(w *simulation) {
-		e := w.entries[w.rng.IntN(len(w.entries))]
+	{"callers' connections break without their entry noticing", func(sim *simulation) {
+		e := sim.entries[sim.rng.IntN(len(sim.entries))]
 		for _, ticket := range slices.Sorted(maps.Keys(e.tickets)) {
 			e.disconnectUnnoticed(ticket)
 		}
 	}},
-	{"an agent restarts while its worker does not answer", func(w *simulation) {
-		a := w.anyAgent()
-		a.worker.unresponsiveUntil = w.clock.Now().Add(400 * time.Millisecond)
+	{"an agent restarts while its worker does not answer", func(sim *simulation) {
+		a := sim.anyAgent()
+		a.worker.unresponsiveUntil = sim.clock.Now().Add(400 * time.Millisecond)
 		if !a.down {
 			a.kill(5 * time.Millisecond)
 		}
 	}},
 }
 
-func (w *simulation) anyAgent() *simAgent { return w.agents[w.rng.IntN(len(w.agents))] }
+func (sim *simulation) anyAgent() *simAgent { return sim.agents[sim.rng.IntN(len(sim.agents))] }
 
 func TestNoTaskThatIsDoneRunsAgainWhenLinksBreak(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newSimulation(t, 340+seed, 3, 7, cores)
-		w.load(6*time.Second, 0.6)
-		w.every(50*time.Millisecond, func() {
-			a := w.anyAgent()
-			if l := a.links[w.entries[w.rng.IntN(len(w.entries))].name]; l != nil {
+		sim := newSimulation(t, 340+seed, 3, 7, cores)
+		sim.load(6*time.Second, 0.6)
+		sim.every(50*time.Millisecond, func() {
+			a := sim.anyAgent()
+			if l := a.links[sim.entries[sim.rng.IntN(len(sim.entries))].name]; l != nil {
 				l.close()
 			}
 		})
-		w.run(12 * time.Second)
-		w.check()
-		require.Empty(t, w.rerunAfterDone, "tasks that were run again after they were done")
-		t.Logf("%+v", w.summary())
+		sim.run(12 * time.Second)
+		sim.check()
+		require.Empty(t, sim.rerunAfterDone, "tasks that were run again after they were done")
+		t.Logf("%+v", sim.summary())
 	}
 }
 
 func TestNoTaskRunsTwiceAtOnceDespiteMisleadingSignals(t *testing.T) {
-	for _, word := range misleadingSignals {
-		t.Run(word.name, func(t *testing.T) {
+	for _, signal := range misleadingSignals {
+		t.Run(signal.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				w := newSimulation(t, 300+seed, 3, 7, cores)
-				w.load(6*time.Second, 0.6)
+				sim := newSimulation(t, 300+seed, 3, 7, cores)
+				sim.load(6*time.Second, 0.6)
 				for range 30 {
-					w.schedule(time.Duration(w.rng.Int64N(int64(6*time.Second))), func() { word.say(w) })
+					sim.schedule(time.Duration(sim.rng.Int64N(int64(6*time.Second))), func() { signal.trigger(sim) })
 				}
-				w.run(12 * time.Second)
-				w.check()
-				s := w.summary()
+				sim.run(12 * time.Second)
+				sim.check()
+				s := sim.summary()
 				t.Logf("%+v", s)
 				require.Greater(t, s.inTime, s.all/2)
 			}
@@ -134,19 +134,19 @@
 	t.Run("all signals and faults", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(8) {
-			w := newSimulation(t, 320+seed, 3, 7, cores)
-			w.load(8*time.Second, 0.6)
+			sim := newSimulation(t, 320+seed, 3, 7, cores)
+			sim.load(8*time.Second, 0.6)
 			for range 30 {
-				at := time.Duration(w.rng.Int64N(int64(8 * time.Second)))
-				w.schedule(at, func() { misleadingSignals[w.rng.IntN(len(misleadingSignals))].say(w) })
+				at := time.Duration(sim.rng.Int64N(int64(8 * time.Second)))
+				sim.schedule(at, func() { misleadingSignals[sim.rng.IntN(len(misleadingSignals))].trigger(sim) })
 			}
 			for range 8 {
-				at := time.Duration(w.rng.Int64N(int64(8 * time.Second)))
-				w.schedule(at, fault(w, 200*time.Millisecond+time.Duration(w.rng.Int64N(int64(2*time.Second)))))
+				at := time.Duration(sim.rng.Int64N(int64(8 * time.Second)))
+				sim.schedule(at, fault(sim, 200*time.Millisecond+time.Duration(sim.rng.Int64N(int64(2*time.Second)))))
 			}
-			w.run(16 * time.Second)
-			w.check()
-			t.Logf("%+v", w.summary())
+			sim.run(16 * time.Second)
+			sim.check()
+			t.Logf("%+v", sim.summary())
 		}
 	})
 }
--- a/scheduler/heldjobs_test.go
+++ b/scheduler/heldjobs_test.go
@@ -12,15 +12,16 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// reportHeldRunning returns a report of an agent which says that other entries hold jobs.
+// reportHeldRunning returns the report of an agent by which jobs are running at other
+// entries.
 func reportHeldRunning(agent string, jobs ...string) messenger.Report {
 	r := newReport(agent, 0)
 	r.HeldJobs = &messenger.HeldJobs{Running: jobs}
 	return r
 }
 
-// reportHeldYielding returns a report of an agent which says that jobs wait at other entries
-// because an entry holds them already.
+// reportHeldYielding returns the report of an agent by which jobs yield at other
+// entries: they wait there because an entry holds them already.
 func reportHeldYielding(agent string, jobs ...string) messenger.Report {
 	r := newReport(agent, 0)
 	r.HeldJobs = &messenger.HeldJobs{Yielding: jobs}
@@ -29,279 +30,279 @@
 
 func TestJobThatAnotherEntryHoldsIsNotPlaced(t *testing.T) {
 	tests := []struct {
-		name string
-		over func(b *fixture)
+		name    string
+		release func(f *fixture)
 	}{
-		{"until the entry no longer holds it", func(b *fixture) { b.s.HandleReport(reportHeldRunning("a")) }},
-		{"until the held jobs of a silent agent expire", func(b *fixture) {
-			b.s.LinkClosed("a")
-			b.clock.Advance(messenger.HeldJobsTTL)
-			b.s.HandleReport(newReport("b", 0))
-			b.s.Tick()
-			require.Empty(b.t, b.drain())
-			b.clock.Advance(time.Millisecond)
-			b.s.HandleReport(newReport("b", 0))
-			b.s.Tick()
+		{"until the entry no longer holds it", func(f *fixture) { f.s.HandleReport(reportHeldRunning("a")) }},
+		{"until the held jobs of a silent agent expire", func(f *fixture) {
+			f.s.LinkClosed("a")
+			f.clock.Advance(messenger.HeldJobsTTL)
+			f.s.HandleReport(newReport("b", 0))
+			f.s.Tick()
+			require.Empty(f.t, f.drain())
+			f.clock.Advance(time.Millisecond)
+			f.s.HandleReport(newReport("b", 0))
+			f.s.Tick()
 		}},
-		{"until the held jobs of an agent's earlier incarnation expire", func(b *fixture) {
+		{"until the held jobs of an agent's earlier incarnation expire", func(f *fixture) {
 			for i := range int64(2) {
 				r := reportHeldRunning("a")
 				r.Incarnation = 2 + i
-				b.s.HandleReport(r)
+				f.s.HandleReport(r)
 			}
-			require.Empty(b.t, b.drain(), "the restarted agent may not have received the announcement again yet")
-			b.clock.Advance(messenger.HeldJobsTTL)
-			b.s.HandleReport(newReport("b", 0))
-			b.s.Tick()
+			require.Empty(f.t, f.drain(), "the restarted agent may not have received the announcement again yet")
+			f.clock.Advance(messenger.HeldJobsTTL)
+			f.s.HandleReport(newReport("b", 0))
+			f.s.Tick()
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
-			b.connect("a")
-			b.connect("b")
-			b.s.HandleReport(reportHeldRunning("a", jobID))
-			b.s.Submit(1, b.longJob())
-			b.s.HandleReport(newReport("a", 0))
-			b.s.HandleReport(newReport("b", 0))
-			b.s.Tick()
-			require.Empty(t, b.drain())
-			require.Empty(t, b.replies, "the job may have started at the other entry")
-			tt.over(b)
-			b.drain()
-			require.Equal(t, 1, b.placed().Tasks[0].Number)
+			f := newFixture(t)
+			f.connect("a")
+			f.connect("b")
+			f.s.HandleReport(reportHeldRunning("a", jobID))
+			f.s.Submit(1, f.longJob())
+			f.s.HandleReport(newReport("a", 0))
+			f.s.HandleReport(newReport("b", 0))
+			f.s.Tick()
+			require.Empty(t, f.drain())
+			require.Empty(t, f.replies, "the job may have started at the other entry")
+			tt.release(f)
+			f.drain()
+			require.Equal(t, 1, f.placed().Tasks[0].Number)
 		})
 	}
 }
 
 func TestPausedEntryIgnoresReportsFromBeforeThePause(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.clock.Advance(500 * time.Millisecond)
-	b.s.Resumed()
-	b.s.HandleReport(newReport("a", 0))
-	b.s.Submit(1, b.longJob())
-	require.Empty(t, b.drain(), "the report may have been made before the entry was paused")
-	b.clock.Advance(time.Millisecond)
-	b.heartbeat("a", 0)
-	b.drain()
-	require.Len(t, b.placed().Tasks, 1)
+	f := newFixture(t)
+	f.connect("a")
+	f.clock.Advance(500 * time.Millisecond)
+	f.s.Resumed()
+	f.s.HandleReport(newReport("a", 0))
+	f.s.Submit(1, f.longJob())
+	require.Empty(t, f.drain(), "the report may have been made before the entry was paused")
+	f.clock.Advance(time.Millisecond)
+	f.heartbeat("a", 0)
+	f.drain()
+	require.Len(t, f.placed().Tasks, 1)
 }
 
-func TestJobThatAnotherEntryHoldsIsNotSaidToHaveNotRun(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.HandleReport(reportHeldRunning("a", jobID))
-	b.s.Submit(1, b.job(jobID, 1))
-	b.clock.Advance(1500 * time.Millisecond)
-	b.s.Tick()
-	b.drain()
-	require.Equal(t, scheduler.Unsettled, b.replies[1].Outcome)
+func TestJobThatAnotherEntryHoldsEndsAsUnsettled(t *testing.T) {
+	f := newFixture(t)
+	f.connect("a")
+	f.s.HandleReport(reportHeldRunning("a", jobID))
+	f.s.Submit(1, f.job(jobID, 1))
+	f.clock.Advance(1500 * time.Millisecond)
+	f.s.Tick()
+	f.drain()
+	require.Equal(t, scheduler.Unsettled, f.replies[1].Outcome)
 }
 
-func TestJobsThatGoOnForLongAreNamedInHeartbeats(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.Submit(1, b.longJob())
-	b.s.Submit(2, b.job("0000000000000005", 1))
-	b.drain()
-	require.Empty(t, b.heartbeat("a", 2))
-	b.clock.Advance(500 * time.Millisecond)
-	require.Equal(t, []string{jobID, "0000000000000005"}, b.heartbeat("a", 2))
-	b.s.CallerLeft(1)
-	require.Contains(t, b.heartbeat("a", 2), jobID, "its withdrawn run may not have ended")
+func TestJobsThatGoOnForLongAreAnnouncedInHeartbeats(t *testing.T) {
+	f := newFixture(t)
+	f.connect("a")
+	f.s.Submit(1, f.longJob())
+	f.s.Submit(2, f.job("0000000000000005", 1))
+	f.drain()
+	require.Empty(t, f.heartbeat("a", 2))
+	f.clock.Advance(500 * time.Millisecond)
+	require.Equal(t, []string{jobID, "0000000000000005"}, f.heartbeat("a", 2))
+	f.s.CallerLeft(1)
+	require.Contains(t, f.heartbeat("a", 2), jobID, "its withdrawn run may not have ended")
 	r := newReport("a", 2)
 	r.Ended = []messenger.RunEnd{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Reason: messenger.RunStopped}}
-	b.s.HandleReport(r)
-	require.NotContains(t, b.heartbeat("a", 2), jobID)
+	f.s.HandleReport(r)
+	require.NotContains(t, f.heartbeat("a", 2), jobID)
 }
 
 func TestJobThatWaitsAtAnotherEntryIsGivenUp(t *testing.T) {
 	tests := []struct {
-		name  string
-		begin func(b *fixture)
+		name   string
+		submit func(f *fixture)
 	}{
-		{"while it runs", func(b *fixture) { b.s.Submit(1, b.longJob()) }},
-		{"while it waits here as well", func(b *fixture) {
-			b.s.HandleReport(reportHeldRunning("a", jobID))
-			b.s.Submit(1, b.longJob())
+		{"while it runs", func(f *fixture) { f.s.Submit(1, f.longJob()) }},
+		{"while it waits here as well", func(f *fixture) {
+			f.s.HandleReport(reportHeldRunning("a", jobID))
+			f.s.Submit(1, f.longJob())
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
-			b.connect("a")
-			tt.begin(b)
-			b.clock.Advance(600 * time.Millisecond)
-			b.heartbeat("a", 1)
-			b.s.HandleReport(reportHeldYielding("a", jobID))
-			b.s.Tick()
-			b.drain()
-			require.Empty(t, b.replies, "its caller may still be connected")
-			b.clock.Advance(600 * time.Millisecond)
-			b.heartbeatAndTick("a")
-			require.Equal(t, scheduler.Unsettled, b.replies[1].Outcome)
+			f := newFixture(t)
+			f.connect("a")
+			tt.submit(f)
+			f.clock.Advance(600 * time.Millisecond)
+			f.heartbeat("a", 1)
+			f.s.HandleReport(reportHeldYielding("a", jobID))
+			f.s.Tick()
+			f.drain()
+			require.Empty(t, f.replies, "its caller may still be connected")
+			f.clock.Advance(600 * time.Millisecond)
+			f.heartbeatAndTick("a")
+			require.Equal(t, scheduler.Unsettled, f.replies[1].Outcome)
 		})
 	}
 }
 
 func TestJobThatEndsAsItsCallerSendsItElsewhereIsComplete(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.Submit(1, b.longJob())
+	f := newFixture(t)
+	f.connect("a")
+	f.s.Submit(1, f.longJob())
 	for range 2 {
-		b.clock.Advance(650 * time.Millisecond)
-		b.heartbeat("a", 1)
+		f.clock.Advance(650 * time.Millisecond)
+		f.heartbeat("a", 1)
 	}
 	r := reportHeldYielding("a", jobID)
 	r.Ended = []messenger.RunEnd{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Reason: messenger.RunDone}}
-	b.s.HandleReport(r)
-	b.drain()
-	require.Equal(t, scheduler.Complete, b.replies[1].Outcome)
+	f.s.HandleReport(r)
+	f.drain()
+	require.Equal(t, scheduler.Complete, f.replies[1].Outcome)
 }
 
-func TestJobThatWasBegunHereAndElsewhereIsGivenUpOnceItIsOld(t *testing.T) {
+func TestJobStartedHereAndElsewhereIsGivenUpOnceItIsOld(t *testing.T) {
 	tests := []struct {
-		name string
-		over bool
-		want map[uint64]scheduler.Answer
+		name     string
+		finished bool
+		want     map[uint64]scheduler.Answer
 	}{
 		{"it continues at the other entry", false, map[uint64]scheduler.Answer{1: {Outcome: scheduler.Unsettled, RetryAfter: scheduler.AgentLossTimeout, Why: "another entry has begun it"}}},
 		{"the other entry is stopping its runs", true, map[uint64]scheduler.Answer{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
-			b.connect("a")
-			b.s.Submit(1, b.longJob())
+			f := newFixture(t)
+			f.connect("a")
+			f.s.Submit(1, f.longJob())
 			r := reportHeldRunning("a", jobID)
-			if tt.over {
+			if tt.finished {
 				r.HeldJobs = &messenger.HeldJobs{Finished: []string{jobID}}
 			}
-			b.s.HandleReport(r)
+			f.s.HandleReport(r)
 			for range 13 {
-				b.drain()
-				require.Empty(t, b.replies, "its caller may still be connected")
-				b.clock.Advance(100 * time.Millisecond)
-				b.heartbeat("a", 1)
-				b.s.Tick()
+				f.drain()
+				require.Empty(t, f.replies, "its caller may still be connected")
+				f.clock.Advance(100 * time.Millisecond)
+				f.heartbeat("a", 1)
+				f.s.Tick()
 			}
-			b.drain()
-			require.Equal(t, tt.want, b.replies)
+			f.drain()
+			require.Equal(t, tt.want, f.replies)
 		})
 	}
 }
 
 func TestExpiredHeldJobsOfALostAgentDoNotEndAJob(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.connect("b")
-	b.s.HandleReport(reportHeldYielding("b", jobID))
-	b.s.LinkClosed("b")
-	b.clock.Advance(messenger.HeldJobsTTL + time.Millisecond)
-	b.s.HandleReport(newReport("a", 0))
-	b.s.Submit(1, b.longJob())
+	f := newFixture(t)
+	f.connect("a")
+	f.connect("b")
+	f.s.HandleReport(reportHeldYielding("b", jobID))
+	f.s.LinkClosed("b")
+	f.clock.Advance(messenger.HeldJobsTTL + time.Millisecond)
+	f.s.HandleReport(newReport("a", 0))
+	f.s.Submit(1, f.longJob())
 	for range 20 {
-		b.clock.Advance(100 * time.Millisecond)
-		b.heartbeat("a", 1)
-		b.s.Tick()
+		f.clock.Advance(100 * time.Millisecond)
+		f.heartbeat("a", 1)
+		f.s.Tick()
 	}
-	b.drain()
-	require.Empty(t, b.replies)
+	f.drain()
+	require.Empty(t, f.replies)
 }
 
-func TestJobThatWaitsIsNamedAsWaiting(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.HandleReport(reportHeldRunning("a", jobID))
-	b.s.Submit(1, b.longJob())
-	require.Equal(t, messenger.HeldJobs{Yielding: []string{jobID}}, b.s.HeldJobs())
+func TestYieldingJobIsAnnouncedAsYielding(t *testing.T) {
+	f := newFixture(t)
+	f.connect("a")
+	f.s.HandleReport(reportHeldRunning("a", jobID))
+	f.s.Submit(1, f.longJob())
+	require.Equal(t, messenger.HeldJobs{Yielding: []string{jobID}}, f.s.HeldJobs())
 }
 
-func TestJobThatWaitedIsNotLeftBehindWhenItsCallerSendsItAgain(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.HandleReport(reportHeldRunning("a", jobID))
-	b.s.Submit(1, b.longJob())
-	b.s.CallerLeft(1)
-	b.s.Submit(2, b.longJob())
-	b.drain()
-	b.s.HandleReport(reportHeldRunning("a"))
-	b.drain()
-	b.placed()
+func TestYieldingJobIsPlacedAfterItsCallerSendsItAgain(t *testing.T) {
+	f := newFixture(t)
+	f.connect("a")
+	f.s.HandleReport(reportHeldRunning("a", jobID))
+	f.s.Submit(1, f.longJob())
+	f.s.CallerLeft(1)
+	f.s.Submit(2, f.longJob())
+	f.drain()
+	f.s.HandleReport(reportHeldRunning("a"))
+	f.drain()
+	f.placed()
 }
 
 func TestJobThatOtherEntriesMayNotKnowOfIsGivenUpBeforeItIsSentAgain(t *testing.T) {
 	tests := []struct {
-		name string
-		play func(b *fixture)
-		want scheduler.Outcome
+		name    string
+		trigger func(f *fixture)
+		want    scheduler.Outcome
 	}{
-		{"no agent has echoed a heartbeat that announces it", func(b *fixture) {
-			b.s.Submit(1, b.longJob())
+		{"no agent has echoed a heartbeat that announces it", func(f *fixture) {
+			f.s.Submit(1, f.longJob())
 			for range 12 {
-				b.clock.Advance(100 * time.Millisecond)
-				b.s.HeldJobs()
-				b.s.HandleReport(newReport("a", 1))
+				f.clock.Advance(100 * time.Millisecond)
+				f.s.HeldJobs()
+				f.s.HandleReport(newReport("a", 1))
 			}
 		}, scheduler.Unsettled},
-		{"no agent has echoed a recent heartbeat", func(b *fixture) {
-			b.s.Submit(1, b.longJob())
-			b.clock.Advance(600 * time.Millisecond)
-			b.heartbeat("a", 1)
-			b.clock.Advance(time.Second)
-			b.s.HandleReport(newReport("a", 1))
+		{"no agent has echoed a recent heartbeat", func(f *fixture) {
+			f.s.Submit(1, f.longJob())
+			f.clock.Advance(600 * time.Millisecond)
+			f.heartbeat("a", 1)
+			f.clock.Advance(time.Second)
+			f.s.HandleReport(newReport("a", 1))
 		}, scheduler.Unsettled},
-		{"the entry was paused before it read the request", func(b *fixture) {
-			j := b.longJob()
-			j.EarliestSent = b.clock.Now().Add(-1300 * time.Millisecond)
-			b.s.Submit(1, j)
-			require.Empty(b.t, b.sent)
+		{"the entry was paused before it read the request", func(f *fixture) {
+			j := f.longJob()
+			j.EarliestSent = f.clock.Now().Add(-1300 * time.Millisecond)
+			f.s.Submit(1, j)
+			require.Empty(f.t, f.sent)
 		}, scheduler.Overloaded},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
-			b.connect("a")
-			tt.play(b)
-			b.s.Tick()
-			b.drain()
-			require.Equal(t, tt.want, b.replies[1].Outcome)
+			f := newFixture(t)
+			f.connect("a")
+			tt.trigger(f)
+			f.s.Tick()
+			f.drain()
+			require.Equal(t, tt.want, f.replies[1].Outcome)
 		})
 	}
 }
 
 func TestJobThatOtherEntriesKnowOfGoesOn(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.Submit(1, b.longJob())
+	f := newFixture(t)
+	f.connect("a")
+	f.s.Submit(1, f.longJob())
 	for range 30 {
-		b.clock.Advance(100 * time.Millisecond)
-		b.heartbeatAndTick("a")
-		require.Empty(t, b.replies)
+		f.clock.Advance(100 * time.Millisecond)
+		f.heartbeatAndTick("a")
+		require.Empty(t, f.replies)
 	}
 }
 
 func TestJobsWhoseCallersLeftUnnoticedRunOnceAtATime(t *testing.T) {
 	long := jobKind{tasks: 2, work: 2 * time.Second, cpu: 3100}
 	for seed := range uint64(10) {
-		w := newSimulation(t, 9100+seed, 3, 6, 31_000)
-		w.load(6*time.Second, 0.3)
+		sim := newSimulation(t, 9100+seed, 3, 6, 31_000)
+		sim.load(6*time.Second, 0.3)
 		for range 60 {
-			w.run(100 * time.Millisecond)
-			e := w.entries[w.rng.IntN(len(w.entries))]
-			if w.rng.IntN(20) == 0 && !e.down {
-				e.kill(time.Duration(w.rng.Int64N(int64(600 * time.Millisecond))))
+			sim.run(100 * time.Millisecond)
+			e := sim.entries[sim.rng.IntN(len(sim.entries))]
+			if sim.rng.IntN(20) == 0 && !e.down {
+				e.kill(time.Duration(sim.rng.Int64N(int64(600 * time.Millisecond))))
 			}
-			w.submit(e, long)
-			w.schedule(time.Duration(w.rng.Int64N(int64(2*time.Second))), func() {
+			sim.submit(e, long)
+			sim.schedule(time.Duration(sim.rng.Int64N(int64(2*time.Second))), func() {
 				if tickets := slices.Sorted(maps.Keys(e.tickets)); len(tickets) > 0 {
-					e.disconnectUnnoticed(tickets[w.rng.IntN(len(tickets))])
+					e.disconnectUnnoticed(tickets[sim.rng.IntN(len(tickets))])
 				}
 			})
 		}
-		w.run(8 * time.Second)
-		w.check()
-		require.NotZero(t, w.summary().inTime, "seed %d", seed)
+		sim.run(8 * time.Second)
+		sim.check()
+		require.NotZero(t, sim.summary().inTime, "seed %d", seed)
 	}
 }
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -10,52 +10,52 @@
 func TestRunsAreNotLostWithALinkThatAnotherOneReplaces(t *testing.T) {
 	tests := []struct {
 		name   string
-		reopen func(b *fixture)
+		reopen func(f *fixture)
 	}{
-		{"before its close is known", func(b *fixture) {
-			b.clock.Advance(2 * time.Second)
-			b.s.HandleReport(newReport("a", 1))
-			b.s.HandleReport(newReport("b", 0))
-			b.s.LinkOpened("a")
+		{"before its close is known", func(f *fixture) {
+			f.clock.Advance(2 * time.Second)
+			f.s.HandleReport(newReport("a", 1))
+			f.s.HandleReport(newReport("b", 0))
+			f.s.LinkOpened("a")
 		}},
-		{"after long, and its list of runs has not arrived yet", func(b *fixture) {
-			b.s.LinkClosed("a")
-			b.clock.Advance(1195 * time.Millisecond)
-			b.s.LinkOpened("a")
-			b.clock.Advance(10 * time.Millisecond)
-			b.s.HandleReport(newReport("b", 0))
+		{"after long, and its list of runs has not arrived yet", func(f *fixture) {
+			f.s.LinkClosed("a")
+			f.clock.Advance(1195 * time.Millisecond)
+			f.s.LinkOpened("a")
+			f.clock.Advance(10 * time.Millisecond)
+			f.s.HandleReport(newReport("b", 0))
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
-			b.connect("a")
-			b.connect("b")
-			b.s.Submit(1, b.longJob())
-			b.drain()
-			b.placed()
-			tt.reopen(b)
-			b.s.Tick()
-			require.Empty(t, b.drain(), "run 1 may still be at its agent")
+			f := newFixture(t)
+			f.connect("a")
+			f.connect("b")
+			f.s.Submit(1, f.longJob())
+			f.drain()
+			f.placed()
+			tt.reopen(f)
+			f.s.Tick()
+			require.Empty(t, f.drain(), "run 1 may still be at its agent")
 		})
 	}
 }
 
 func TestAgentThatAcceptsLinksAndSendsNothingIsLost(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.connect("b")
-	b.s.Submit(1, b.longJob())
-	b.drain()
+	f := newFixture(t)
+	f.connect("a")
+	f.connect("b")
+	f.s.Submit(1, f.longJob())
+	f.drain()
 	// The process is suspended, but its machine still accepts connections.
 	for range 12 {
-		b.s.LinkClosed("a")
-		b.clock.Advance(20 * time.Millisecond)
-		b.s.LinkOpened("a")
-		b.clock.Advance(400 * time.Millisecond)
-		b.heartbeat("b", 0)
-		b.s.Tick()
-		if len(b.drain()) > 0 {
+		f.s.LinkClosed("a")
+		f.clock.Advance(20 * time.Millisecond)
+		f.s.LinkOpened("a")
+		f.clock.Advance(400 * time.Millisecond)
+		f.heartbeat("b", 0)
+		f.s.Tick()
+		if len(f.drain()) > 0 {
 			return
 		}
 	}
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -21,9 +21,9 @@
 		entries = 9
 		agents  = 44
 		seeds   = 3
-		// servedLeast is the least share of before that must be served in time. It bounds
-		// what refusing on arrival may cost.
-		servedLeast = 0.98
+		// minServedShare is the least share of servedBefore that must be served in time.
+		// It bounds what refusing on arrival may cost.
+		minServedShare = 0.98
 	)
 	tests := []struct {
 		name string
@@ -31,9 +31,9 @@
 		// for each kind of job.
 		base  float64
 		extra []float64
-		// before is the number of callers that were served in time when jobs were refused
-		// only at the end of their wait limit (commit dcb70b6).
-		before int
+		// servedBefore is the number of callers that were served in time when jobs were
+		// refused only at the end of their wait limit (commit dcb70b6).
+		servedBefore int
 	}{
 		{"all kinds", 7.6, []float64{0, 0, 0}, 10_467},
 		{"burst of long jobs", 5.6, []float64{0, 1.5, 0}, 8600},
@@ -42,56 +42,56 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			all, early, jobs, inAim := 0, 0, 0, 0
+			refusedSum, immediateSum, jobs, inTime := 0, 0, 0, 0
 			for seed := range uint64(seeds) {
-				w := newSimulation(t, 60+seed, entries, agents, cores)
-				w.load(span, tt.base)
-				w.schedule(span/4, func() { w.burst(span/2, tt.base, tt.extra) })
-				w.run(span + 3*time.Second)
-				w.check()
-				s := w.summary()
+				sim := newSimulation(t, 60+seed, entries, agents, cores)
+				sim.load(span, tt.base)
+				sim.schedule(span/4, func() { sim.burst(span/2, tt.base, tt.extra) })
+				sim.run(span + 3*time.Second)
+				sim.check()
+				s := sim.summary()
 				require.Zero(t, s.unanswered)
 				require.Zero(t, s.failed)
-				n, soon := w.refusals()
-				all += n
-				early += soon
+				refused, immediate := sim.refusals()
+				refusedSum += refused
+				immediateSum += immediate
 				jobs += s.all
-				inAim += s.inTime
-				t.Logf("%+v, %d refused on arrival, served %.3f", s, soon, w.served())
+				inTime += s.inTime
+				t.Logf("%+v, %d refused on arrival, served %.3f", s, immediate, sim.served())
 			}
-			t.Logf("%d of %d refused on arrival, %d of %d in time", early, all, inAim, jobs)
-			require.GreaterOrEqual(t, float64(early), 0.8*float64(all))
-			require.GreaterOrEqual(t, float64(inAim), servedLeast*float64(tt.before))
+			t.Logf("%d of %d refused on arrival, %d of %d in time", immediateSum, refusedSum, inTime, jobs)
+			require.GreaterOrEqual(t, float64(immediateSum), 0.8*float64(refusedSum))
+			require.GreaterOrEqual(t, float64(inTime), minServedShare*float64(tt.servedBefore))
 		})
 	}
 }
 
 // refusals returns the number of callers that were refused, and of those among them that
 // got the refusal within immediateLimit.
-func (w *simulation) refusals() (all, early int) {
-	for _, r := range w.results {
+func (sim *simulation) refusals() (all, immediate int) {
+	for _, r := range sim.results {
 		if !r.got || r.answer.Outcome != scheduler.Overloaded {
 			continue
 		}
 		all++
 		if r.took <= immediateLimit {
-			early++
+			immediate++
 		}
 	}
-	return all, early
+	return all, immediate
 }
 
 // burst submits jobs for a span. Those of each kind come at its rate in load, times
 // factor, times the kind's item of extra.
-func (w *simulation) burst(span time.Duration, factor float64, extra []float64) {
+func (sim *simulation) burst(span time.Duration, factor float64, extra []float64) {
 	perSecond := []float64{34.4, 6.25, 100}
 	for i, k := range jobKinds {
 		if extra[i] == 0 {
 			continue
 		}
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor * extra[i]))
-		for at := time.Duration(0); at < span; at += time.Duration(float64(gap) * (0.5 + w.rng.Float64())) {
-			w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(len(w.entries))], k) })
+		for at := time.Duration(0); at < span; at += time.Duration(float64(gap) * (0.5 + sim.rng.Float64())) {
+			sim.schedule(at, func() { sim.submit(sim.entries[sim.rng.IntN(len(sim.entries))], k) })
 		}
 	}
 }
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -8,20 +8,20 @@
 )
 
 func TestJobsThatArriveAsAllProcessesReturnAreServed(t *testing.T) {
-	const away = 1300 * time.Millisecond
-	w := newSimulation(t, 7, 3, 11, cores)
-	w.run(time.Second)
-	for _, a := range w.agents {
-		a.kill(away)
+	const downtime = 1300 * time.Millisecond
+	sim := newSimulation(t, 7, 3, 11, cores)
+	sim.run(time.Second)
+	for _, a := range sim.agents {
+		a.kill(downtime)
 	}
-	for _, e := range w.entries {
-		e.kill(away)
+	for _, e := range sim.entries {
+		e.kill(downtime)
 	}
-	w.run(away + 20*time.Millisecond)
-	w.load(300*time.Millisecond, 0.5)
-	w.run(5 * time.Second)
-	w.check()
-	s := w.summary()
+	sim.run(downtime + 20*time.Millisecond)
+	sim.load(300*time.Millisecond, 0.5)
+	sim.run(5 * time.Second)
+	sim.check()
+	s := sim.summary()
 	t.Logf("%+v", s)
 	require.GreaterOrEqual(t, float64(s.inTime), 0.95*float64(s.all))
 }
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -15,11 +15,11 @@
 		callers = 200
 		gap     = 20 * time.Millisecond
 	)
-	var c retrySchedule
+	var r retrySchedule
 	perSecond := make(map[int]int)
 	last := time.Duration(0)
 	for range callers {
-		after := c.retryAfter(startTime, 0, gap)
+		after := r.retryAfter(startTime, 0, gap)
 		require.Greater(t, after, last, "retries come in the order of the refusals")
 		last = after
 		perSecond[int(math.Ceil(after.Seconds()))]++
@@ -31,8 +31,8 @@
 
 func TestRetryAfterStaysWithinItsBounds(t *testing.T) {
 	tests := []struct {
-		name         string
-		drained, gap time.Duration
+		name             string
+		backlogTime, gap time.Duration
 	}{
 		{"nothing waits", 0, time.Millisecond},
 		{"a long backlog", time.Minute, time.Millisecond},
@@ -41,10 +41,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var c retrySchedule
+			var r retrySchedule
 			for i := range 100 {
 				now := startTime.Add(time.Duration(i) * time.Millisecond)
-				after := c.retryAfter(now, tt.drained, tt.gap)
+				after := r.retryAfter(now, tt.backlogTime, tt.gap)
 				require.GreaterOrEqual(t, after, minRetryAfter)
 				require.LessOrEqual(t, after, maxRetryAfter)
 			}
@@ -55,9 +55,9 @@
 // TestRetryScheduleRestartsAfterAQuietTime guards against retry times given during a past
 // overload that delay the retries of new callers.
 func TestRetryScheduleRestartsAfterAQuietTime(t *testing.T) {
-	var c retrySchedule
+	var r retrySchedule
 	for range 100 {
-		c.retryAfter(startTime, 0, 20*time.Millisecond)
+		r.retryAfter(startTime, 0, 20*time.Millisecond)
 	}
-	require.Equal(t, minRetryAfter, c.retryAfter(startTime.Add(10*time.Second), 0, 20*time.Millisecond))
+	require.Equal(t, minRetryAfter, r.retryAfter(startTime.Add(10*time.Second), 0, 20*time.Millisecond))
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -24,117 +24,118 @@
 	s     *scheduler.Scheduler
 	// replies are the answers so far, by ticket.
 	replies map[uint64]scheduler.Answer
-	sent    []any
+	// sent are the messages to agents that the last call of drain returned.
+	sent []any
 	// linkOpenedAt is when the link to each agent was opened.
 	linkOpenedAt map[string]time.Time
 }
 
 func newFixture(t *testing.T) *fixture {
-	b := newStartingFixture(t)
+	f := newStartingFixture(t)
 	// The warm-up, in which nothing is refused for lack of capacity, is over then.
-	b.clock.Advance(time.Second)
-	return b
+	f.clock.Advance(time.Second)
+	return f
 }
 
-// newStartingFixture is like newBench, but the entry has just started and is still in its
-// warm-up.
+// newStartingFixture is like newFixture, but the entry has just started and is still in
+// its warm-up.
 func newStartingFixture(t *testing.T) *fixture {
 	clock := clockwork.NewFakeClock()
-	b := &fixture{t: t, clock: clock, s: scheduler.NewScheduler(clock, "dc-0"), replies: make(map[uint64]scheduler.Answer), linkOpenedAt: make(map[string]time.Time)}
-	b.s.Configure(configuration())
-	return b
+	f := &fixture{t: t, clock: clock, s: scheduler.NewScheduler(clock, "dc-0"), replies: make(map[uint64]scheduler.Answer), linkOpenedAt: make(map[string]time.Time)}
+	f.s.Configure(configuration())
+	return f
 }
 
 // drain takes the scheduler's effects, records the replies and returns the messages to
 // agents.
-func (b *fixture) drain() []any {
-	b.sent = nil
-	for _, e := range b.s.TakeEffects() {
+func (f *fixture) drain() []any {
+	f.sent = nil
+	for _, e := range f.s.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Reply:
-			b.replies[e.Ticket] = e.Answer
+			f.replies[e.Ticket] = e.Answer
 		case scheduler.Send:
-			b.sent = append(b.sent, e.Message)
+			f.sent = append(f.sent, e.Message)
 		}
 	}
-	return b.sent
+	return f.sent
 }
 
 // newReport returns the report of an agent whose worker has free capacity for ten tasks.
-// seen is the number of the last placement that the agent has processed.
-func newReport(agent string, seen uint64) messenger.Report {
-	room := messenger.Resources{CPU: 31_000, Memory: 64_000}
+// ackedPlace is the number of the last placement that the agent has processed.
+func newReport(agent string, ackedPlace uint64) messenger.Report {
+	capacity := messenger.Resources{CPU: 31_000, Memory: 64_000}
 	return messenger.Report{
-		Agent: agent, DataCentre: "dc-0", Incarnation: 1, AckedPlace: seen, ConnectedEntries: 1, Free: room,
-		Upstream: &messenger.Upstream{ID: "w-" + agent, Born: 1, Service: "quotes", DataCentre: "dc-0", Capacity: room},
+		Agent: agent, DataCentre: "dc-0", Incarnation: 1, AckedPlace: ackedPlace, ConnectedEntries: 1, Free: capacity,
+		Upstream: &messenger.Upstream{ID: "w-" + agent, Born: 1, Service: "quotes", DataCentre: "dc-0", Capacity: capacity},
 	}
 }
 
 // connect opens the link to an agent, which sends a complete and empty list of its runs.
-func (b *fixture) connect(agent string) {
-	b.s.LinkOpened(agent)
-	b.linkOpenedAt[agent] = b.clock.Now()
+func (f *fixture) connect(agent string) {
+	f.s.LinkOpened(agent)
+	f.linkOpenedAt[agent] = f.clock.Now()
 	r := newReport(agent, 0)
 	r.RunsComplete = true
-	b.s.HandleReport(r)
-	b.drain()
+	f.s.HandleReport(r)
+	f.drain()
 }
 
 // heartbeat has the entry send a heartbeat, which an agent echoes in its report, and
 // returns the jobs that the heartbeat announces.
-func (b *fixture) heartbeat(agent string, seen uint64) []string {
-	held := b.s.HeldJobs()
-	r := newReport(agent, seen)
-	r.Echo = b.clock.Since(b.linkOpenedAt[agent])
-	b.s.HandleReport(r)
+func (f *fixture) heartbeat(agent string, ackedPlace uint64) []string {
+	held := f.s.HeldJobs()
+	r := newReport(agent, ackedPlace)
+	r.Echo = f.clock.Since(f.linkOpenedAt[agent])
+	f.s.HandleReport(r)
 	return slices.Concat(held.Running, held.Yielding, held.Finished)
 }
 
-// heartbeatAndTick has the entry send a heartbeat, which an agent that has processed one placement
-// echoes, and then calls Tick.
-func (b *fixture) heartbeatAndTick(agent string) {
-	b.heartbeat(agent, 1)
-	b.s.Tick()
-	b.drain()
+// heartbeatAndTick has the entry send a heartbeat, which an agent that has processed one
+// placement echoes, and then calls Tick.
+func (f *fixture) heartbeatAndTick(agent string) {
+	f.heartbeat(agent, 1)
+	f.s.Tick()
+	f.drain()
 }
 
-func (b *fixture) job(id string, tasks int) scheduler.Job {
+func (f *fixture) job(id string, tasks int) scheduler.Job {
 	return scheduler.Job{
-		ID: id, Queue: quotes(), Spec: "spec", Deadline: b.clock.Now().Add(1500 * time.Millisecond),
+		ID: id, Queue: quotes(), Spec: "spec", Deadline: f.clock.Now().Add(1500 * time.Millisecond),
 		Steps: []scheduler.Step{{Count: tasks, Demand: messenger.Resources{CPU: 3100}, Estimate: 60 * time.Millisecond}},
 	}
 }
 
 // longJob returns a job of one task whose caller waits for a minute.
-func (b *fixture) longJob() scheduler.Job {
-	j := b.job(jobID, 1)
-	j.Deadline = b.clock.Now().Add(time.Minute)
+func (f *fixture) longJob() scheduler.Job {
+	j := f.job(jobID, 1)
+	j.Deadline = f.clock.Now().Add(time.Minute)
 	return j
 }
 
 // submitPlaced submits a job of one task and returns the run that is placed.
-func (b *fixture) submitPlaced(ticket uint64, j scheduler.Job) messenger.Run {
-	b.t.Helper()
-	b.s.Submit(ticket, j)
-	b.drain()
-	return b.placed().Tasks[0].Run
+func (f *fixture) submitPlaced(ticket uint64, j scheduler.Job) messenger.Run {
+	f.t.Helper()
+	f.s.Submit(ticket, j)
+	f.drain()
+	return f.placed().Tasks[0].Run
 }
 
-// reconnectRestarted opens a new link to an agent that has restarted and found runs at its
-// worker, and returns the report that the agent has sent.
-func (b *fixture) reconnectRestarted(agent string, runs ...messenger.Progress) messenger.Report {
-	b.s.LinkOpened(agent)
+// reconnectRestarted opens a new link to an agent that has restarted and found runs at
+// its worker, and returns the report that the agent has sent.
+func (f *fixture) reconnectRestarted(agent string, runs ...messenger.Progress) messenger.Report {
+	f.s.LinkOpened(agent)
 	r := newReport(agent, 0)
 	r.Incarnation = 2
 	r.RunsComplete = true
 	r.Runs = runs
-	b.s.HandleReport(r)
+	f.s.HandleReport(r)
 	return r
 }
 
 // ejected reports whether the worker at an agent is ejected.
-func (b *fixture) ejected(agent string) bool {
-	for _, a := range b.s.Dump().Agents {
+func (f *fixture) ejected(agent string) bool {
+	for _, a := range f.s.Dump().Agents {
 		if a.Name == agent {
 			return a.Ejected
 		}
@@ -143,180 +144,180 @@
 }
 
 // placed returns the Place among the last messages and requires that there is just one.
-func (b *fixture) placed() messenger.Place {
-	b.t.Helper()
+func (f *fixture) placed() messenger.Place {
+	f.t.Helper()
 	var out []messenger.Place
-	for _, m := range b.sent {
+	for _, m := range f.sent {
 		if p, ok := m.(messenger.Place); ok {
 			out = append(out, p)
 		}
 	}
-	require.Len(b.t, out, 1)
+	require.Len(f.t, out, 1)
 	return out[0]
 }
 
 func TestRunListOlderThanAPlacementDoesNotCoverIt(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.Submit(1, b.job(jobID, 2))
-	b.drain()
-	require.Len(t, b.placed().Tasks, 2)
+	f := newFixture(t)
+	f.connect("a")
+	f.s.Submit(1, f.job(jobID, 2))
+	f.drain()
+	require.Len(t, f.placed().Tasks, 2)
 	// The agent lists its runs again before it has processed the placement.
 	r := newReport("a", 0)
 	r.RunsComplete = true
-	b.s.HandleReport(r)
-	require.Empty(t, b.drain())
+	f.s.HandleReport(r)
+	require.Empty(t, f.drain())
 	// A list made after the placement was processed shows that the agent does not have
 	// the runs.
 	r.AckedPlace = 1
-	b.s.HandleReport(r)
-	b.drain()
-	require.Equal(t, 2, b.placed().Tasks[0].Number)
+	f.s.HandleReport(r)
+	f.drain()
+	require.Equal(t, 2, f.placed().Tasks[0].Number)
 }
 
 func TestRunsThatARestartedAgentFoundAreClaimed(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	run := b.submitPlaced(1, b.job(jobID, 1))
-	b.s.LinkClosed("a")
-	r := b.reconnectRestarted("a", messenger.Progress{Run: run, Percent: 50, Age: 30 * time.Millisecond})
-	b.drain()
-	require.Equal(t, run, b.placed().Tasks[0].Run)
+	f := newFixture(t)
+	f.connect("a")
+	run := f.submitPlaced(1, f.job(jobID, 1))
+	f.s.LinkClosed("a")
+	r := f.reconnectRestarted("a", messenger.Progress{Run: run, Percent: 50, Age: 30 * time.Millisecond})
+	f.drain()
+	require.Equal(t, run, f.placed().Tasks[0].Run)
 	r = newReport("a", 1)
 	r.Incarnation = 2
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
-	b.s.HandleReport(r)
-	b.drain()
-	require.Equal(t, scheduler.Complete, b.replies[1].Outcome)
+	f.s.HandleReport(r)
+	f.drain()
+	require.Equal(t, scheduler.Complete, f.replies[1].Outcome)
 }
 
 func TestRunsOfALostAgentAreRunAgainOnlyWhenTheyHaveEndedForCertain(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.Submit(1, b.longJob())
-	b.drain()
-	b.placed()
-	b.s.LinkClosed("a")
-	b.connect("b")
-	b.clock.Advance(time.Second)
-	b.heartbeat("b", 0)
-	b.s.Tick()
-	require.Empty(t, b.drain())
-	b.clock.Advance(300 * time.Millisecond)
-	b.heartbeat("b", 0)
-	b.s.Tick()
-	b.drain()
-	require.Equal(t, 2, b.placed().Tasks[0].Number)
+	f := newFixture(t)
+	f.connect("a")
+	f.s.Submit(1, f.longJob())
+	f.drain()
+	f.placed()
+	f.s.LinkClosed("a")
+	f.connect("b")
+	f.clock.Advance(time.Second)
+	f.heartbeat("b", 0)
+	f.s.Tick()
+	require.Empty(t, f.drain())
+	f.clock.Advance(300 * time.Millisecond)
+	f.heartbeat("b", 0)
+	f.s.Tick()
+	f.drain()
+	require.Equal(t, 2, f.placed().Tasks[0].Number)
 }
 
 func TestRefusalOutcomes(t *testing.T) {
 	tests := []struct {
-		name string
-		play func(b *fixture)
-		want scheduler.Outcome
+		name    string
+		trigger func(f *fixture)
+		want    scheduler.Outcome
 	}{
-		{"no worker within the wait limit", func(b *fixture) {
-			b.s.Submit(1, b.job(jobID, 1))
-			b.clock.Advance(200 * time.Millisecond)
-			b.s.Tick()
+		{"no worker within the wait limit", func(f *fixture) {
+			f.s.Submit(1, f.job(jobID, 1))
+			f.clock.Advance(200 * time.Millisecond)
+			f.s.Tick()
 		}, scheduler.Overloaded},
-		{"demand exceeds the capacity of every worker", func(b *fixture) {
-			b.connect("a")
-			j := b.job(jobID, 1)
+		{"demand exceeds the capacity of every worker", func(f *fixture) {
+			f.connect("a")
+			j := f.job(jobID, 1)
 			j.Steps[0].Demand.CPU = 99_000
-			b.s.Submit(1, j)
+			f.s.Submit(1, j)
 		}, scheduler.Impossible},
-		{"caller's deadline is too short for the work", func(b *fixture) {
-			b.connect("a")
-			j := b.job(jobID, 1)
-			j.Deadline = b.clock.Now().Add(20 * time.Millisecond)
-			b.s.Submit(1, j)
+		{"caller's deadline is too short for the work", func(f *fixture) {
+			f.connect("a")
+			j := f.job(jobID, 1)
+			j.Deadline = f.clock.Now().Add(20 * time.Millisecond)
+			f.s.Submit(1, j)
 		}, scheduler.Overloaded},
-		{"no steps", func(b *fixture) {
-			j := b.job(jobID, 1)
+		{"no steps", func(f *fixture) {
+			j := f.job(jobID, 1)
 			j.Steps = nil
-			b.s.Submit(1, j)
+			f.s.Submit(1, j)
 		}, scheduler.Impossible},
-		{"caller's deadline passes after a run may have started", func(b *fixture) {
-			b.connect("a")
-			b.s.Submit(1, b.job(jobID, 1))
-			b.clock.Advance(1500 * time.Millisecond)
-			b.s.Tick()
+		{"caller's deadline passes after a run may have started", func(f *fixture) {
+			f.connect("a")
+			f.s.Submit(1, f.job(jobID, 1))
+			f.clock.Advance(1500 * time.Millisecond)
+			f.s.Tick()
 		}, scheduler.Unsettled},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
-			tt.play(b)
-			b.drain()
-			require.Equal(t, tt.want, b.replies[1].Outcome, b.replies[1].Why)
+			f := newFixture(t)
+			tt.trigger(f)
+			f.drain()
+			require.Equal(t, tt.want, f.replies[1].Outcome, f.replies[1].Why)
 		})
 	}
 }
 
-func TestNothingIsRefusedForLackOfRoomWhileLinksAreBeingOpened(t *testing.T) {
-	b := newStartingFixture(t)
+func TestNothingIsRefusedForLackOfCapacityWhileLinksAreBeingOpened(t *testing.T) {
+	f := newStartingFixture(t)
 	const jobs = 6
 	for i := range jobs {
-		b.s.Submit(uint64(1+i), b.job(fmt.Sprintf("%016x", 1+i), 8))
+		f.s.Submit(uint64(1+i), f.job(fmt.Sprintf("%016x", 1+i), 8))
 	}
-	b.clock.Advance(100 * time.Millisecond)
-	b.s.Tick()
-	b.drain()
-	require.Empty(t, b.replies, "the free capacity is not known yet")
-	b.connect("a")
+	f.clock.Advance(100 * time.Millisecond)
+	f.s.Tick()
+	f.drain()
+	require.Empty(t, f.replies, "the free capacity is not known yet")
+	f.connect("a")
 	placed := 0
-	for _, j := range b.s.Dump().Waiting {
+	for _, j := range f.s.Dump().Waiting {
 		if j.Placed > 0 || j.Ready == 0 {
 			placed++
 		}
 	}
-	b.clock.Advance(time.Second)
-	b.s.Tick()
-	b.drain()
-	require.Len(t, b.replies, jobs-1-placed, "jobs for which no capacity is free are refused once the free capacity is known")
-	for _, a := range b.replies {
+	f.clock.Advance(time.Second)
+	f.s.Tick()
+	f.drain()
+	require.Len(t, f.replies, jobs-1-placed, "jobs for which no capacity is free are refused once the free capacity is known")
+	for _, a := range f.replies {
 		require.Equal(t, scheduler.Overloaded, a.Outcome)
 	}
 }
 
 func TestOnlyTheProbeDecidesOnAnEjectedWorker(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.connect("b")
-	end := func(r messenger.Run, how messenger.EndReason, failed int, seen uint64) {
-		x := newReport("a", seen)
-		x.Ended = []messenger.RunEnd{{Run: r, Reason: how}}
+	f := newFixture(t)
+	f.connect("a")
+	f.connect("b")
+	endRun := func(r messenger.Run, reason messenger.EndReason, failed int, ackedPlace uint64) {
+		x := newReport("a", ackedPlace)
+		x.Ended = []messenger.RunEnd{{Run: r, Reason: reason}}
 		x.ConsecutiveFailedJobs = failed
-		b.s.HandleReport(x)
-		b.drain()
+		f.s.HandleReport(x)
+		f.drain()
 	}
 	// Three jobs are placed at the worker when two of them fail.
 	for i := range 3 {
-		j := b.job(fmt.Sprintf("%016x", 1+i), 1)
-		j.Deadline = b.clock.Now().Add(time.Minute)
+		j := f.job(fmt.Sprintf("%016x", 1+i), 1)
+		j.Deadline = f.clock.Now().Add(time.Minute)
 		j.Steps[0].Estimate = 10 * time.Second
-		b.s.Submit(uint64(1+i), j)
-		b.drain()
+		f.s.Submit(uint64(1+i), j)
+		f.drain()
 	}
-	end(messenger.Run{Task: jobID + ".0.0.0", Number: 1}, messenger.RunFailed, 1, 3)
-	end(messenger.Run{Task: "0000000000000002.0.0.0", Number: 1}, messenger.RunFailed, 2, 3)
-	require.True(t, b.ejected("a"))
-	end(messenger.Run{Task: "0000000000000003.0.0.0", Number: 1}, messenger.RunDone, 2, 3)
-	require.True(t, b.ejected("a"), "a run placed before the ejection is not the probe")
+	endRun(messenger.Run{Task: jobID + ".0.0.0", Number: 1}, messenger.RunFailed, 1, 3)
+	endRun(messenger.Run{Task: "0000000000000002.0.0.0", Number: 1}, messenger.RunFailed, 2, 3)
+	require.True(t, f.ejected("a"))
+	endRun(messenger.Run{Task: "0000000000000003.0.0.0", Number: 1}, messenger.RunDone, 2, 3)
+	require.True(t, f.ejected("a"), "a run placed before the ejection is not the probe")
 }
 
 func TestTaskThatFailsTooOftenFailsItsJobOnDifferentWorkers(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	for _, a := range []string{"a", "b", "c"} {
-		b.connect(a)
+		f.connect(a)
 	}
-	b.s.Submit(1, b.job(jobID, 1))
+	f.s.Submit(1, f.job(jobID, 1))
 	agents := make(map[string]bool)
 	for range quotes().MaxAttempts {
 		var to string
 		var run messenger.Run
-		for _, e := range b.s.TakeEffects() {
+		for _, e := range f.s.TakeEffects() {
 			if s, ok := e.(scheduler.Send); ok {
 				to = s.Agent
 				run = s.Message.(messenger.Place).Tasks[0].Run
@@ -325,40 +326,40 @@
 		agents[to] = true
 		r := newReport(to, uint64(run.Number))
 		r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunFailed}}
-		b.s.HandleReport(r)
+		f.s.HandleReport(r)
 	}
-	b.drain()
+	f.drain()
 	require.Len(t, agents, 3)
-	require.Equal(t, scheduler.JobFailed, b.replies[1].Outcome)
+	require.Equal(t, scheduler.JobFailed, f.replies[1].Outcome)
 }
 
 func TestJobSentAgainJoinsTheRunningOneAndGetsItsAnswer(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	j := b.job(jobID, 1)
-	b.s.Submit(1, j)
-	b.drain()
-	run := b.placed().Tasks[0].Run
-	b.s.Submit(2, j)
-	require.Empty(t, b.drain())
+	f := newFixture(t)
+	f.connect("a")
+	j := f.job(jobID, 1)
+	f.s.Submit(1, j)
+	f.drain()
+	run := f.placed().Tasks[0].Run
+	f.s.Submit(2, j)
+	require.Empty(t, f.drain())
 	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
-	b.s.HandleReport(r)
-	b.s.Submit(3, j)
-	b.drain()
+	f.s.HandleReport(r)
+	f.s.Submit(3, j)
+	f.drain()
 	for ticket := range uint64(3) {
-		require.Equal(t, scheduler.Complete, b.replies[ticket+1].Outcome)
+		require.Equal(t, scheduler.Complete, f.replies[ticket+1].Outcome)
 	}
 }
 
 func TestNothingIsPlacedWhereItMustNot(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(r *messenger.Report, c *scheduler.Configuration)
+		name    string
+		exclude func(r *messenger.Report, c *scheduler.Configuration)
 	}{
 		{"evacuated data centre", func(_ *messenger.Report, c *scheduler.Configuration) { c.Evacuated = map[string]bool{"dc-0": true} }},
 		{"draining worker", func(r *messenger.Report, _ *scheduler.Configuration) { r.Upstream.Draining = true }},
-		{"leaving agent", func(r *messenger.Report, _ *scheduler.Configuration) { r.Leaving = true }},
+		{"agent that is shutting down", func(r *messenger.Report, _ *scheduler.Configuration) { r.Leaving = true }},
 		{"other service", func(r *messenger.Report, _ *scheduler.Configuration) { r.Upstream.Service = "other" }},
 		{"worker that does not answer calls", func(r *messenger.Report, _ *scheduler.Configuration) { r.UnansweredCalls = 1 }},
 		{"worker that fails every job", func(r *messenger.Report, _ *scheduler.Configuration) { r.ConsecutiveFailedJobs = 2 }},
@@ -366,53 +367,53 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
+			f := newFixture(t)
 			c := configuration()
 			r := newReport("a", 0)
 			r.RunsComplete = true
-			tt.spoil(&r, &c)
-			b.s.Configure(c)
-			b.connect("b") // With a second worker, one of the two may be ejected.
-			b.s.LinkOpened("a")
-			b.s.HandleReport(r)
-			b.s.LinkClosed("b")
-			b.s.Submit(1, b.job(jobID, 1))
-			require.Empty(t, b.drain())
+			tt.exclude(&r, &c)
+			f.s.Configure(c)
+			f.connect("b") // With a second worker, one of the two may be ejected.
+			f.s.LinkOpened("a")
+			f.s.HandleReport(r)
+			f.s.LinkClosed("b")
+			f.s.Submit(1, f.job(jobID, 1))
+			require.Empty(t, f.drain())
 		})
 	}
 }
 
 func TestStepsRunInTheirOrder(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	j := b.job(jobID, 1)
+	f := newFixture(t)
+	f.connect("a")
+	j := f.job(jobID, 1)
 	j.Steps = append(j.Steps, j.Steps[0])
 	j.Steps[1].After = []int{0}
-	b.s.Submit(1, j)
-	b.drain()
-	first := b.placed()
+	f.s.Submit(1, j)
+	f.drain()
+	first := f.placed()
 	require.Equal(t, jobID+".0.0.0", first.Tasks[0].Task)
 	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: first.Tasks[0].Run, Reason: messenger.RunDone}}
-	b.s.HandleReport(r)
-	b.drain()
-	require.Equal(t, jobID+".0.1.0", b.placed().Tasks[0].Task)
+	f.s.HandleReport(r)
+	f.drain()
+	require.Equal(t, jobID+".0.1.0", f.placed().Tasks[0].Task)
 }
 
 func TestRunThatIsNoLongerAtItsAgentMayHaveStarted(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.Submit(1, b.job(jobID, 1))
-	b.drain()
-	b.s.LinkClosed("a")
-	b.clock.Advance(time.Second)
-	b.s.LinkOpened("a")
+	f := newFixture(t)
+	f.connect("a")
+	f.s.Submit(1, f.job(jobID, 1))
+	f.drain()
+	f.s.LinkClosed("a")
+	f.clock.Advance(time.Second)
+	f.s.LinkOpened("a")
 	r := newReport("a", 0)
 	r.RunsComplete = true
 	r.Free = messenger.Resources{}
-	b.s.HandleReport(r)
-	b.clock.Advance(time.Second)
-	b.s.Tick()
-	b.drain()
-	require.Equal(t, scheduler.Unsettled, b.replies[1].Outcome, b.replies[1].Why)
+	f.s.HandleReport(r)
+	f.clock.Advance(time.Second)
+	f.s.Tick()
+	f.drain()
+	require.Equal(t, scheduler.Unsettled, f.replies[1].Outcome, f.replies[1].Why)
 }
--- a/scheduler/simcluster_test.go
+++ b/scheduler/simcluster_test.go
@@ -16,7 +16,7 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// event is a call that is due at a time. number orders the events of one time.
+// event is a call that is due at a time. sequence orders the events of one time.
 type event struct {
 	at       time.Time
 	sequence int
@@ -75,8 +75,8 @@
 	got    bool
 }
 
-// simulation is a simulation that connects real schedulers and executors by simulated links
-// and workers, in the virtual time of a fake clock.
+// simulation connects real schedulers and executors by simulated links and workers, in
+// the virtual time of a fake clock.
 type simulation struct {
 	t               testing.TB
 	rng             *rand.Rand
@@ -91,20 +91,20 @@
 	runningCount map[string]int
 	// duplicates lists the runs that began while another worker ran the same task.
 	duplicates []string
-	// done holds the tasks that are done, and repeated lists the runs that began after
-	// their task was done.
+	// done holds the tasks that are done, and rerunAfterDone lists the runs that began
+	// after their task was done.
 	done map[string]bool
 	// firstStartAt is when each task was first started.
 	firstStartAt   map[string]time.Time
 	rerunAfterDone []string
 	jobs           int
-	// placedRuns counts the runs that reached agents, and refusedNoRoom those that agents refused
-	// for lack of capacity.
+	// placedRuns counts the runs that reached agents, and refusedNoRoom those that
+	// agents refused for lack of capacity.
 	placedRuns, refusedNoRoom int
 	// linkDelay is the delay of a message between an entry and an agent.
 	linkDelay time.Duration
-	// farFactor is the factor by which a task takes longer on a worker away from its data;
-	// values below 1 count as 1. The entries know it if aware.
+	// farFactor is the factor by which a task takes longer on a worker away from its
+	// data; values below 1 count as 1. The entries know it if farFactorKnown is set.
 	farFactor      float64
 	farFactorKnown bool
 	// ignoreReserve makes agents ignore Reserve messages.
@@ -163,7 +163,7 @@
 }
 
 func newSimulation(t testing.TB, seed uint64, entries, agents int, capacity int) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t:            t,
 		rng:          rand.New(rand.NewPCG(seed, 1)),
 		clock:        clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0)),
@@ -175,77 +175,77 @@
 		linkDelay:    linkDelay,
 	}
 	for i := range agents {
-		a := &simAgent{w: w, name: fmt.Sprintf("agent-%02d", i), links: make(map[string]*simLink), dataCentre: fmt.Sprintf("dc-%d", i%3)}
+		a := &simAgent{w: sim, name: fmt.Sprintf("agent-%02d", i), links: make(map[string]*simLink), dataCentre: fmt.Sprintf("dc-%d", i%3)}
 		a.worker = &simWorker{
-			w:    w,
+			w:    sim,
 			name: a.name,
 			up: messenger.Upstream{
 				ID: "worker-" + a.name, Born: 1, Service: "quotes", DataCentre: a.dataCentre,
 				Capacity: messenger.Resources{CPU: capacity, Memory: 64_000},
 			},
-			running: make(map[string]*simRun),
-			highest: make(map[string]int),
+			running:       make(map[string]*simRun),
+			highestNumber: make(map[string]int),
 		}
-		w.agents = append(w.agents, a)
+		sim.agents = append(sim.agents, a)
 		a.boot()
 	}
 	for i := range entries {
-		e := &simEntry{w: w, name: fmt.Sprintf("entry-%d", i)}
-		w.entries = append(w.entries, e)
+		e := &simEntry{w: sim, name: fmt.Sprintf("entry-%d", i)}
+		sim.entries = append(sim.entries, e)
 		e.boot()
 	}
-	w.every(5*time.Millisecond, func() {
-		for _, a := range w.agents {
+	sim.every(5*time.Millisecond, func() {
+		for _, a := range sim.agents {
 			a.worker.expireLease()
 		}
 	})
-	w.run(300 * time.Millisecond)
-	return w
+	sim.run(300 * time.Millisecond)
+	return sim
 }
 
-func (w *simulation) schedule(d time.Duration, do func()) {
-	w.lastEventNumber++
-	heap.Push(&w.events, event{at: w.clock.Now().Add(d), sequence: w.lastEventNumber, do: do})
+func (sim *simulation) schedule(d time.Duration, do func()) {
+	sim.lastEventNumber++
+	heap.Push(&sim.events, event{at: sim.clock.Now().Add(d), sequence: sim.lastEventNumber, do: do})
 }
 
-func (w *simulation) every(d time.Duration, do func()) {
-	w.schedule(d, func() {
+func (sim *simulation) every(d time.Duration, do func()) {
+	sim.schedule(d, func() {
 		do()
-		w.every(d, do)
+		sim.every(d, do)
 	})
 }
 
 // run advances the clock by span and calls the events that are due by then.
-func (w *simulation) run(span time.Duration) {
-	end := w.clock.Now().Add(span)
-	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		e := heap.Pop(&w.events).(event)
-		if d := e.at.Sub(w.clock.Now()); d > 0 {
-			w.clock.Advance(d)
+func (sim *simulation) run(span time.Duration) {
+	end := sim.clock.Now().Add(span)
+	for len(sim.events) > 0 && !sim.events[0].at.After(end) {
+		e := heap.Pop(&sim.events).(event)
+		if d := e.at.Sub(sim.clock.Now()); d > 0 {
+			sim.clock.Advance(d)
 		}
 		e.do()
 	}
-	if d := end.Sub(w.clock.Now()); d > 0 {
-		w.clock.Advance(d)
+	if d := end.Sub(sim.clock.Now()); d > 0 {
+		sim.clock.Advance(d)
 	}
 }
 
-// runStarted and ended keep count of the workers that run a task. began also records runs
-// that break a rule.
-func (w *simulation) runStarted(v *simWorker, r messenger.Run) {
-	w.runningCount[r.Task]++
-	if _, ok := w.firstStartAt[r.Task]; !ok {
-		w.firstStartAt[r.Task] = w.clock.Now()
+// runStarted and runEnded keep count of the workers that run a task. runStarted also
+// records runs that break a rule.
+func (sim *simulation) runStarted(v *simWorker, r messenger.Run) {
+	sim.runningCount[r.Task]++
+	if _, ok := sim.firstStartAt[r.Task]; !ok {
+		sim.firstStartAt[r.Task] = sim.clock.Now()
 	}
-	if w.done[r.Task] {
-		w.rerunAfterDone = append(w.rerunAfterDone, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
+	if sim.done[r.Task] {
+		sim.rerunAfterDone = append(sim.rerunAfterDone, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
 	}
-	if w.runningCount[r.Task] > 1 {
-		w.duplicates = append(w.duplicates, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
+	if sim.runningCount[r.Task] > 1 {
+		sim.duplicates = append(sim.duplicates, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
 	}
 }
 
-func (w *simulation) runEnded(_ *simWorker, r messenger.Run) { w.runningCount[r.Task]-- }
+func (sim *simulation) runEnded(_ *simWorker, r messenger.Run) { sim.runningCount[r.Task]-- }
 
 // configuration returns a configuration with one queue, for the service quotes.
 func configuration() scheduler.Configuration {
@@ -257,11 +257,11 @@
 }
 
 // configuration returns the configuration of the simulated entries.
-func (w *simulation) configuration() scheduler.Configuration {
-	if !w.farFactorKnown {
+func (sim *simulation) configuration() scheduler.Configuration {
+	if !sim.farFactorKnown {
 		return configuration()
 	}
-	return configuration().WithFarFactor(w.farFactor)
+	return configuration().WithFarFactor(sim.farFactor)
 }
 
 // jobKind describes one kind of job of a workload.
@@ -284,39 +284,39 @@
 
 // submit creates a job of a kind and sends it to an entry, as its caller would. The
 // work and its estimate are drawn at random.
-func (w *simulation) submit(e *simEntry, k jobKind) string {
-	w.jobs++
-	id := fmt.Sprintf("%016x", w.jobs)
-	work := time.Duration(float64(k.work) * (0.6 + 0.8*w.rng.Float64()))
-	estimate := time.Duration(float64(work) * (0.7 + 0.6*w.rng.Float64()))
+func (sim *simulation) submit(e *simEntry, k jobKind) string {
+	sim.jobs++
+	id := fmt.Sprintf("%016x", sim.jobs)
+	work := time.Duration(float64(k.work) * (0.6 + 0.8*sim.rng.Float64()))
+	estimate := time.Duration(float64(work) * (0.7 + 0.6*sim.rng.Float64()))
 	q := quotes()
 	q.Name = fmt.Sprintf("queue-%d", k.priority)
 	q.Priority = k.priority
 	j := scheduler.Job{
-		ID: id, Queue: q, Spec: "spec", Deadline: w.clock.Now().Add(max(1500*time.Millisecond, 3*work)),
+		ID: id, Queue: q, Spec: "spec", Deadline: sim.clock.Now().Add(max(1500*time.Millisecond, 3*work)),
 		Steps: []scheduler.Step{{Count: k.tasks, Demand: messenger.Resources{CPU: k.cpu, Memory: 64}, Estimate: estimate, Rack: k.rack}},
 	}
 	for i := range k.tasks {
-		w.tasks[fmt.Sprintf("%s.0.0.%d", id, i)] = simTask{
-			work:   time.Duration(float64(work) * (0.9 + 0.2*w.rng.Float64())),
+		sim.tasks[fmt.Sprintf("%s.0.0.%d", id, i)] = simTask{
+			work:   time.Duration(float64(work) * (0.9 + 0.2*sim.rng.Float64())),
 			demand: j.Steps[0].Demand,
 			rack:   k.rack,
 		}
 	}
-	w.results[id] = &result{job: j, sent: w.clock.Now()}
-	w.send(e, j)
+	sim.results[id] = &result{job: j, sent: sim.clock.Now()}
+	sim.send(e, j)
 	return id
 }
 
 // send submits a job to an entry. If the entry is down, the caller sends the job again
 // later.
-func (w *simulation) send(e *simEntry, j scheduler.Job) {
-	w.schedule(linkDelay, func() {
+func (sim *simulation) send(e *simEntry, j scheduler.Job) {
+	sim.schedule(linkDelay, func() {
 		if e.down {
-			w.resend(j)
+			sim.resend(j)
 			return
 		}
-		j.EarliestSent = w.clock.Now()
+		j.EarliestSent = sim.clock.Now()
 		e.do(func() {
 			e.lastTicket++
 			e.tickets[e.lastTicket] = j.ID
@@ -327,34 +327,36 @@
 
 // resend sends a job after minResendDelay to a random entry, if its caller still waits
 // then.
-func (w *simulation) resend(j scheduler.Job) {
-	w.schedule(minResendDelay, func() {
-		if w.clock.Now().Before(j.Deadline) {
-			w.send(w.entries[w.rng.IntN(len(w.entries))], j)
+func (sim *simulation) resend(j scheduler.Job) {
+	sim.schedule(minResendDelay, func() {
+		if sim.clock.Now().Before(j.Deadline) {
+			sim.send(sim.entries[sim.rng.IntN(len(sim.entries))], j)
 		}
 	})
 }
 
 // load submits jobs of all kinds to random entries for a span, at their usual rates times
 // factor.
-func (w *simulation) load(span time.Duration, factor float64) { w.loadAt(w.entries, span, factor) }
+func (sim *simulation) load(span time.Duration, factor float64) {
+	sim.loadAt(sim.entries, span, factor)
+}
 
 // loadAt is like load, but submits jobs to the given entries only.
-func (w *simulation) loadAt(entries []*simEntry, span time.Duration, factor float64) {
+func (sim *simulation) loadAt(entries []*simEntry, span time.Duration, factor float64) {
 	perSecond := []float64{34.4, 6.25, 100}
 	for i, k := range jobKinds {
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor))
-		for at := time.Duration(w.rng.Int64N(int64(gap))); at < span; at += time.Duration(float64(gap) * (0.5 + w.rng.Float64())) {
-			w.schedule(at, func() { w.submit(entries[w.rng.IntN(len(entries))], k) })
+		for at := time.Duration(sim.rng.Int64N(int64(gap))); at < span; at += time.Duration(float64(gap) * (0.5 + sim.rng.Float64())) {
+			sim.schedule(at, func() { sim.submit(entries[sim.rng.IntN(len(entries))], k) })
 		}
 	}
 }
 
 // countNoRoom counts the runs that were refused for lack of capacity.
-func (w *simulation) countNoRoom(list []messenger.Refusal) {
+func (sim *simulation) countNoRoom(list []messenger.Refusal) {
 	for _, r := range list {
 		if r.Reason == messenger.RefusedNoRoom {
-			w.refusedNoRoom++
+			sim.refusedNoRoom++
 		}
 	}
 }
@@ -380,11 +382,11 @@
 // missed returns the number of jobs that were not in time.
 func (s summary) missed() int { return s.all - s.inTime }
 
-func (w *simulation) summary() summary {
+func (sim *simulation) summary() summary {
 	var s summary
-	for _, r := range w.results {
+	for _, r := range sim.results {
 		s.all++
-		objective := w.objective(r.job)
+		objective := sim.objective(r.job)
 		switch {
 		case !r.got:
 			s.unanswered++
@@ -403,37 +405,37 @@
 }
 
 // served returns, for each kind, the share of its jobs that were complete in time.
-func (w *simulation) served() []float64 {
+func (sim *simulation) served() []float64 {
 	all := make([]float64, len(jobKinds))
-	good := make([]float64, len(jobKinds))
-	for _, r := range w.results {
+	inTime := make([]float64, len(jobKinds))
+	for _, r := range sim.results {
 		k := slices.IndexFunc(jobKinds, func(k jobKind) bool { return k.tasks == r.job.Steps[0].Count })
 		all[k]++
-		if r.got && r.answer.Outcome == scheduler.Complete && r.took <= w.objective(r.job) {
-			good[k]++
+		if r.got && r.answer.Outcome == scheduler.Complete && r.took <= sim.objective(r.job) {
+			inTime[k]++
 		}
 	}
-	for k := range good {
-		good[k] /= all[k]
+	for k := range inTime {
+		inTime[k] /= all[k]
 	}
-	return good
+	return inTime
 }
 
 // objective returns the time within which a job is to be complete, by its real work.
-func (w *simulation) objective(j scheduler.Job) time.Duration {
-	return time.Duration(j.Queue.Stretch*float64(w.longestTask(j))) + j.Queue.Slack
+func (sim *simulation) objective(j scheduler.Job) time.Duration {
+	return time.Duration(j.Queue.Stretch*float64(sim.longestTask(j))) + j.Queue.Slack
 }
 
-func (w *simulation) longestTask(j scheduler.Job) time.Duration {
-	var most time.Duration
+func (sim *simulation) longestTask(j scheduler.Job) time.Duration {
+	var longest time.Duration
 	for i := range j.Steps[0].Count {
-		most = max(most, w.tasks[fmt.Sprintf("%s.0.0.%d", j.ID, i)].work)
+		longest = max(longest, sim.tasks[fmt.Sprintf("%s.0.0.%d", j.ID, i)].work)
 	}
-	return most
+	return longest
 }
 
 // check requires the invariant of every simulation: no task ran on two workers at once.
-func (w *simulation) check() {
-	w.t.Helper()
-	require.Empty(w.t, w.duplicates, "tasks that ran twice at once")
+func (sim *simulation) check() {
+	sim.t.Helper()
+	require.Empty(sim.t, sim.duplicates, "tasks that ran twice at once")
 }
--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -31,7 +31,7 @@
 		}
 		e.do(func() {
 			core.Tick()
-			e.beat()
+			e.sendHeartbeats()
 		})
 		e.w.schedule(10*time.Millisecond, tick)
 	}
@@ -86,8 +86,8 @@
 	})
 }
 
-// disconnectUnnoticed breaks a caller's connection without the entry noticing. The caller sends
-// the job again.
+// disconnectUnnoticed breaks a caller's connection without the entry noticing. The
+// caller sends the job again.
 func (e *simEntry) disconnectUnnoticed(ticket uint64) {
 	if !e.disconnected[ticket] {
 		e.disconnected[ticket] = true
@@ -95,9 +95,9 @@
 	}
 }
 
-// kill ends the entry process, which starts again after span. Its callers lose their
+// kill ends the entry process, which starts again after downtime. Its callers lose their
 // connections and send their jobs again.
-func (e *simEntry) kill(span time.Duration) {
+func (e *simEntry) kill(downtime time.Duration) {
 	e.down = true
 	for _, ticket := range slices.Sorted(maps.Keys(e.tickets)) {
 		if !e.disconnected[ticket] {
@@ -110,7 +110,7 @@
 			l.close()
 		}
 	}
-	e.w.schedule(span, e.boot)
+	e.w.schedule(downtime, e.boot)
 }
 
 // connect opens a link to an agent, and opens it again after it closes, as long as core
@@ -136,10 +136,10 @@
 	e.w.schedule(20*time.Millisecond, func() { e.connect(a, core) })
 }
 
-// beat sends heartbeats that are due and closes links without traffic.
-func (e *simEntry) beat() {
+// sendHeartbeats sends heartbeats that are due and closes links without traffic.
+func (e *simEntry) sendHeartbeats() {
 	now := e.w.clock.Now()
-	ask := e.core.EarlyHeartbeatDue()
+	early := e.core.EarlyHeartbeatDue()
 	for _, a := range e.w.agents {
 		l := e.links[a.name]
 		if l == nil || !l.open {
@@ -149,7 +149,7 @@
 			l.close()
 			continue
 		}
-		if ask || now.Sub(l.lastHeartbeatAt) >= messenger.HeartbeatInterval {
+		if early || now.Sub(l.lastHeartbeatAt) >= messenger.HeartbeatInterval {
 			l.lastHeartbeatAt = now
 			l.toAgent(messenger.Heartbeat{Timestamp: now.Sub(l.openedAt), Echo: l.echo, Backlog: e.core.Backlog(), AckedOutcome: e.core.LastOutcome(a.name), HeldJobs: e.core.HeldJobs()})
 		}
@@ -263,21 +263,22 @@
 	a.applyEffects()
 }
 
-// kill ends the agent process, which starts again after span. The worker keeps running.
-func (a *simAgent) kill(span time.Duration) {
+// kill ends the agent process, which starts again after downtime. The worker keeps
+// running.
+func (a *simAgent) kill(downtime time.Duration) {
 	a.down = true
 	for _, l := range a.links {
 		l.close()
 	}
 	a.links = make(map[string]*simLink)
-	a.w.schedule(span, a.boot)
+	a.w.schedule(downtime, a.boot)
 }
 
-// restartWorker restarts the worker, which announces itself after span.
-func (a *simAgent) restartWorker(span time.Duration) {
+// restartWorker restarts the worker, which announces itself after delay.
+func (a *simAgent) restartWorker(delay time.Duration) {
 	a.worker.restart()
 	up := a.worker.up
-	a.w.schedule(span, func() { a.do(func() { a.core.SetUpstream(up) }) })
+	a.w.schedule(delay, func() { a.do(func() { a.core.SetUpstream(up) }) })
 }
 
 func (a *simAgent) applyEffects() {
@@ -292,7 +293,7 @@
 			}
 			a.w.schedule(delay, func() { a.worker.stop(e) })
 		case executor.Poll:
-			a.look(e)
+			a.poll(e)
 		case executor.TickAfter:
 			core := a.core
 			a.w.schedule(e.Delay, func() {
@@ -315,7 +316,7 @@
 func (a *simAgent) start(s executor.Start) {
 	core := a.core
 	deadline := s.LeaseUntil
-	done := func(out executor.CallResult) {
+	answer := func(out executor.CallResult) {
 		a.do(func() {
 			if a.core == core {
 				core.HandleStartResult(s.Run, s.Token, out)
@@ -323,9 +324,9 @@
 		})
 	}
 	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
-		late := time.Duration(a.w.rng.Int64N(int64(3 * time.Second)))
-		a.w.schedule(late, func() { a.worker.start(s, deadline) })
-		a.w.schedule(s.Timeout, func() { done(executor.Unanswered) })
+		startDelay := time.Duration(a.w.rng.Int64N(int64(3 * time.Second)))
+		a.w.schedule(startDelay, func() { a.worker.start(s, deadline) })
+		a.w.schedule(s.Timeout, func() { answer(executor.Unanswered) })
 		return
 	}
 	if lost := a.worker.unansweredShare; lost > 0 && a.w.rng.Float64() < lost {
@@ -334,63 +335,63 @@
 			delay += time.Duration(a.w.rng.Int64N(int64(2 * callTimeout)))
 		}
 		a.w.schedule(delay, func() { a.worker.start(s, deadline) })
-		a.w.schedule(s.Timeout, func() { done(executor.Unanswered) })
+		a.w.schedule(s.Timeout, func() { answer(executor.Unanswered) })
 		return
 	}
 	a.w.schedule(localDelay, func() {
 		out := a.worker.start(s, deadline)
-		a.w.schedule(localDelay, func() { done(out) })
+		a.w.schedule(localDelay, func() { answer(out) })
 	})
 }
 
-// look asks the worker for its runs. The worker answers when a run ends or the wait is
-// over.
-func (a *simAgent) look(l executor.Poll) {
+// poll asks the worker for its runs. The worker answers when a run ends or the maximum
+// wait is over.
+func (a *simAgent) poll(p executor.Poll) {
 	core := a.core
-	deadline := l.LeaseUntil
+	deadline := p.LeaseUntil
 	fail := func(out executor.CallResult) {
 		a.do(func() {
 			if a.core == core {
-				core.HandlePollFailure(l.Number, out)
+				core.HandlePollFailure(p.Number, out)
 			}
 		})
 	}
 	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
-		a.w.schedule(l.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
+		a.w.schedule(p.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
 	if a.w.clock.Now().Before(a.worker.lostAnswersUntil) {
 		a.w.schedule(localDelay, func() {
-			if l.Upstream.Born == a.worker.up.Born && l.Upstream.ID == a.worker.up.ID {
-				a.worker.look(l, deadline)
+			if p.Upstream.Born == a.worker.up.Born && p.Upstream.ID == a.worker.up.ID {
+				a.worker.poll(p, deadline)
 			}
 		})
-		a.w.schedule(l.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
+		a.w.schedule(p.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
-	end := a.w.clock.Now().Add(l.MaxWait)
-	var poll func()
-	poll = func() {
-		if l.Upstream.Born != a.worker.up.Born || l.Upstream.ID != a.worker.up.ID {
+	end := a.w.clock.Now().Add(p.MaxWait)
+	var attempt func()
+	attempt = func() {
+		if p.Upstream.Born != a.worker.up.Born || p.Upstream.ID != a.worker.up.ID {
 			fail(executor.Misdirected)
 			return
 		}
-		seen, ok := a.worker.look(l, deadline)
+		pollResult, ok := a.worker.poll(p, deadline)
 		if !ok {
 			fail(executor.Fenced)
 			return
 		}
-		if len(seen.Ended) == 0 && a.w.clock.Now().Before(end) {
-			a.w.schedule(time.Millisecond, poll)
+		if len(pollResult.Ended) == 0 && a.w.clock.Now().Before(end) {
+			a.w.schedule(time.Millisecond, attempt)
 			return
 		}
 		a.w.schedule(localDelay, func() {
 			a.do(func() {
 				if a.core == core {
-					core.HandlePollResult(seen)
+					core.HandlePollResult(pollResult)
 				}
 			})
 		})
 	}
-	a.w.schedule(localDelay, poll)
+	a.w.schedule(localDelay, attempt)
 }
--- a/scheduler/simworker_test.go
+++ b/scheduler/simworker_test.go
@@ -10,8 +10,8 @@
 
 // simRun is a run at a simulated worker.
 type simRun struct {
-	run   messenger.Run
-	began time.Time
+	run       messenger.Run
+	startedAt time.Time
 	// work is how long the run takes at the worker's usual speed.
 	work   time.Duration
 	fails  bool
@@ -24,26 +24,27 @@
 	w    *simulation
 	name string
 	up   messenger.Upstream
-	// slowdown is a factor of the work of runs that start; 0 counts as 1.
+	// slowdown multiplies the work of runs that start; 0 counts as 1.
 	slowdown float64
 	// hangs makes runs neither progress nor end; failsAll makes them fail after 5 ms.
 	hangs, failsAll bool
-	// unansweredShare is the share of the starts that are not answered. About half of these
-	// take effect late.
+	// unansweredShare is the share of the starts that are not answered. About half of
+	// these take effect late.
 	unansweredShare float64
-	// unresponsiveUntil is the time until which calls get no answer and starts take effect late.
+	// unresponsiveUntil is the time until which calls get no answer and starts take
+	// effect late.
 	unresponsiveUntil time.Time
 	// lateStopsUntil is the time until which stops take effect two seconds late, and
-	// lostAnswersUntil the one until which looks take effect but are not answered.
+	// lostAnswersUntil the one until which polls take effect but are not answered.
 	lateStopsUntil, lostAnswersUntil time.Time
 	// starts counts the starts that have taken effect.
-	starts    int
-	running   map[string]*simRun
-	highest   map[string]int
-	ends      []executor.EndRecord
-	endNumber int64
-	token     uint64
-	leaseEnd  time.Time
+	starts        int
+	running       map[string]*simRun
+	highestNumber map[string]int
+	ends          []executor.EndRecord
+	endNumber     int64
+	token         uint64
+	leaseEnd      time.Time
 }
 
 func (v *simWorker) free() messenger.Resources {
@@ -67,7 +68,7 @@
 	if r := v.running[s.Run.Task]; r != nil && r.run == s.Run {
 		return executor.Accepted
 	}
-	if s.Run.Number <= v.highest[s.Run.Task] {
+	if s.Run.Number <= v.highestNumber[s.Run.Task] {
 		return executor.StaleRun
 	}
 	if now.After(deadline) {
@@ -77,7 +78,7 @@
 	if !t.demand.FitsIn(v.free()) {
 		return executor.Full
 	}
-	v.extend(deadline)
+	v.extendLease(deadline)
 	v.w.runStarted(v, s.Run)
 	v.starts++
 	work := t.work
@@ -87,7 +88,7 @@
 	if t.rack != "" && !slices.Contains(v.up.Labels, t.rack) {
 		work = time.Duration(float64(work) * max(v.w.farFactor, 1))
 	}
-	r := &simRun{run: s.Run, began: now, work: work, fails: v.failsAll || t.fails, demand: t.demand}
+	r := &simRun{run: s.Run, startedAt: now, work: work, fails: v.failsAll || t.fails, demand: t.demand}
 	v.running[s.Run.Task] = r
 	if v.failsAll {
 		work = 5 * time.Millisecond
@@ -102,21 +103,21 @@
 	if v.running[r.run.Task] != r {
 		return
 	}
-	how := messenger.RunDone
+	reason := messenger.RunDone
 	if r.fails {
-		how = messenger.RunFailed
+		reason = messenger.RunFailed
 	} else {
 		v.w.done[r.run.Task] = true
 	}
-	v.end(r, how)
+	v.endRun(r, reason)
 }
 
-// end ends a run and lists its end for the next look.
-func (v *simWorker) end(r *simRun, how messenger.EndReason) {
+// endRun ends a run and lists its end for the next poll.
+func (v *simWorker) endRun(r *simRun, reason messenger.EndReason) {
 	delete(v.running, r.run.Task)
-	v.highest[r.run.Task] = max(v.highest[r.run.Task], r.run.Number)
+	v.highestNumber[r.run.Task] = max(v.highestNumber[r.run.Task], r.run.Number)
 	v.endNumber++
-	v.ends = append(v.ends, executor.EndRecord{Number: v.endNumber, RunEnd: messenger.RunEnd{Run: r.run, Reason: how}})
+	v.ends = append(v.ends, executor.EndRecord{Number: v.endNumber, RunEnd: messenger.RunEnd{Run: r.run, Reason: reason}})
 	v.w.runEnded(v, r.run)
 }
 
@@ -126,11 +127,11 @@
 	}
 	v.token = s.Token
 	if r := v.running[s.Run.Task]; r != nil && r.run == s.Run {
-		v.end(r, messenger.RunStopped)
+		v.endRun(r, messenger.RunStopped)
 	}
 }
 
-func (v *simWorker) extend(deadline time.Time) {
+func (v *simWorker) extendLease(deadline time.Time) {
 	if deadline.After(v.leaseEnd) {
 		v.leaseEnd = deadline
 	}
@@ -141,12 +142,12 @@
 	if len(v.running) == 0 || !v.w.clock.Now().After(v.leaseEnd) {
 		return
 	}
-	for _, r := range v.sorted() {
-		v.end(r, messenger.RunLapsed)
+	for _, r := range v.sortedRuns() {
+		v.endRun(r, messenger.RunLapsed)
 	}
 }
 
-func (v *simWorker) sorted() []*simRun {
+func (v *simWorker) sortedRuns() []*simRun {
 	var out []*simRun
 	for _, r := range v.running {
 		out = append(out, r)
@@ -157,21 +158,21 @@
 	return out
 }
 
-// look returns the runs in progress and those that have ended since the last look, or
+// poll returns the runs in progress and those that have ended since the last poll, or
 // false if the token is too low.
-func (v *simWorker) look(l executor.Poll, deadline time.Time) (executor.PollResult, bool) {
-	if l.Token < v.token {
+func (v *simWorker) poll(p executor.Poll, deadline time.Time) (executor.PollResult, bool) {
+	if p.Token < v.token {
 		return executor.PollResult{}, false
 	}
-	v.token = l.Token
-	if !l.LeaseUntil.IsZero() {
-		v.extend(deadline)
+	v.token = p.Token
+	if !p.LeaseUntil.IsZero() {
+		v.extendLease(deadline)
 	}
-	v.ends = slices.DeleteFunc(v.ends, func(e executor.EndRecord) bool { return e.Number <= l.AckedEnd })
-	s := executor.PollResult{Number: l.Number, Born: v.up.Born, Ended: slices.Clone(v.ends)}
+	v.ends = slices.DeleteFunc(v.ends, func(e executor.EndRecord) bool { return e.Number <= p.AckedEnd })
+	s := executor.PollResult{Number: p.Number, Born: v.up.Born, Ended: slices.Clone(v.ends)}
 	now := v.w.clock.Now()
-	for _, r := range v.sorted() {
-		percent := int(100 * now.Sub(r.began) / max(r.work, 1))
+	for _, r := range v.sortedRuns() {
+		percent := int(100 * now.Sub(r.startedAt) / max(r.work, 1))
 		if v.hangs {
 			percent = 0
 		}
@@ -182,11 +183,11 @@
 
 // restart starts a new incarnation of the worker, without runs and state.
 func (v *simWorker) restart() {
-	for _, r := range v.sorted() {
+	for _, r := range v.sortedRuns() {
 		v.w.runEnded(v, r.run)
 	}
 	v.running = make(map[string]*simRun)
-	v.highest = make(map[string]int)
+	v.highestNumber = make(map[string]int)
 	v.ends = nil
 	v.endNumber = 0
 	v.token = 0
--- a/scheduler/withdrawn_test.go
+++ b/scheduler/withdrawn_test.go
@@ -12,155 +12,155 @@
 
 // withdrawnRun places a job of one task at an agent, disconnects its caller, requires
 // that the run is withdrawn, and returns it.
-func (b *fixture) withdrawnRun() messenger.Run {
-	b.connect("a")
-	b.connect("b")
-	run := b.submitPlaced(1, b.job(jobID, 1))
-	b.s.CallerLeft(1)
-	require.Equal(b.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, b.drain())
+func (f *fixture) withdrawnRun() messenger.Run {
+	f.connect("a")
+	f.connect("b")
+	run := f.submitPlaced(1, f.job(jobID, 1))
+	f.s.CallerLeft(1)
+	require.Equal(f.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.drain())
 	return run
 }
 
 func TestJobSentAgainWaitsUntilTheRunsOfItsLastTryAreOver(t *testing.T) {
 	tests := []struct {
 		name string
-		over func(b *fixture, run messenger.Run)
+		end  func(f *fixture, run messenger.Run)
 		run  int
 	}{
-		{"stopped", func(b *fixture, run messenger.Run) {
+		{"stopped", func(f *fixture, run messenger.Run) {
 			r := newReport("a", 1)
 			r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunStopped}}
-			b.s.HandleReport(r)
+			f.s.HandleReport(r)
 		}, 2},
-		{"refused", func(b *fixture, run messenger.Run) {
+		{"refused", func(f *fixture, run messenger.Run) {
 			r := newReport("a", 1)
 			r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.RefusedWithdrawn}}
-			b.s.HandleReport(r)
+			f.s.HandleReport(r)
 		}, 2},
-		{"missing from its agent's list on the next link", func(b *fixture, run messenger.Run) {
-			b.s.LinkClosed("a")
-			b.s.LinkOpened("a")
+		{"missing from its agent's list on the next link", func(f *fixture, run messenger.Run) {
+			f.s.LinkClosed("a")
+			f.s.LinkOpened("a")
 			r := newReport("a", 0)
 			r.RunsComplete = true
 			r.Runs = []messenger.Progress{{Run: run, Percent: 50}}
-			b.s.HandleReport(r)
-			require.Equal(b.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, b.drain())
+			f.s.HandleReport(r)
+			require.Equal(f.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.drain())
 			r.Runs = nil
-			b.s.HandleReport(r)
+			f.s.HandleReport(r)
 		}, 2},
-		{"agent lost", func(b *fixture, _ messenger.Run) {
-			b.s.LinkClosed("a")
+		{"agent lost", func(f *fixture, _ messenger.Run) {
+			f.s.LinkClosed("a")
 			for range 5 {
-				b.clock.Advance(260 * time.Millisecond)
-				b.heartbeat("b", 0)
+				f.clock.Advance(260 * time.Millisecond)
+				f.heartbeat("b", 0)
 			}
-			b.s.Tick()
+			f.s.Tick()
 		}, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
-			run := b.withdrawnRun()
-			b.s.Submit(2, b.longJob())
-			require.Empty(t, b.drain(), "run 1 may not have ended")
-			b.clock.Advance(100 * time.Millisecond)
-			b.s.HandleReport(newReport("b", 0))
-			b.s.Tick()
-			require.Empty(t, b.drain(), "run 1 may still not have ended")
-			tt.over(b, run)
-			b.drain()
-			require.Equal(t, tt.run, b.placed().Tasks[0].Number)
+			f := newFixture(t)
+			run := f.withdrawnRun()
+			f.s.Submit(2, f.longJob())
+			require.Empty(t, f.drain(), "run 1 may not have ended")
+			f.clock.Advance(100 * time.Millisecond)
+			f.s.HandleReport(newReport("b", 0))
+			f.s.Tick()
+			require.Empty(t, f.drain(), "run 1 may still not have ended")
+			tt.end(f, run)
+			f.drain()
+			require.Equal(t, tt.run, f.placed().Tasks[0].Number)
 		})
 	}
 }
 
 func TestWithdrawnRunThatARestartedAgentFoundIsWithdrawnAgain(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	run := b.submitPlaced(1, b.longJob())
-	b.s.LinkClosed("a")
-	b.s.CallerLeft(1)
-	b.drain()
-	b.reconnectRestarted("a", messenger.Progress{Run: run})
-	require.Equal(t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, b.drain())
+	f := newFixture(t)
+	f.connect("a")
+	run := f.submitPlaced(1, f.longJob())
+	f.s.LinkClosed("a")
+	f.s.CallerLeft(1)
+	f.drain()
+	f.reconnectRestarted("a", messenger.Progress{Run: run})
+	require.Equal(t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.drain())
 }
 
 func TestTaskThatWasDoneInTheLastTryIsNotRunAgain(t *testing.T) {
-	b := newFixture(t)
-	run := b.withdrawnRun()
-	b.s.Submit(2, b.job(jobID, 1))
+	f := newFixture(t)
+	run := f.withdrawnRun()
+	f.s.Submit(2, f.job(jobID, 1))
 	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
-	b.s.HandleReport(r)
-	require.Empty(t, b.drain())
-	require.Equal(t, scheduler.Complete, b.replies[2].Outcome)
+	f.s.HandleReport(r)
+	require.Empty(t, f.drain())
+	require.Equal(t, scheduler.Complete, f.replies[2].Outcome)
 }
 
-func TestRefusalOfAJobWhoseLastTryMayHaveRunDoesNotSayThatItHasNotRun(t *testing.T) {
-	b := newFixture(t)
-	b.withdrawnRun()
-	j := b.job(jobID, 1)
-	j.Deadline = b.clock.Now().Add(20 * time.Millisecond)
-	b.s.Submit(2, j)
-	b.drain()
-	require.Equal(t, scheduler.Unsettled, b.replies[2].Outcome)
+func TestRefusalOfAJobWhoseLastTryMayHaveRunIsUnsettled(t *testing.T) {
+	f := newFixture(t)
+	f.withdrawnRun()
+	j := f.job(jobID, 1)
+	j.Deadline = f.clock.Now().Add(20 * time.Millisecond)
+	f.s.Submit(2, j)
+	f.drain()
+	require.Equal(t, scheduler.Unsettled, f.replies[2].Outcome)
 }
 
-func TestRefusalOfARunThatWasThereBeforeDoesNotTellThatTheJobHasNotRun(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.Submit(1, b.job(jobID, 1))
-	b.drain()
+func TestRefusalOfASupersededRunLeavesTheJobUnsettled(t *testing.T) {
+	f := newFixture(t)
+	f.connect("a")
+	f.s.Submit(1, f.job(jobID, 1))
+	f.drain()
 	r := newReport("a", 1)
-	r.Refused = []messenger.Refusal{{Run: b.placed().Tasks[0].Run, Reason: messenger.RefusedSuperseded}}
-	b.s.HandleReport(r)
-	b.clock.Advance(1500 * time.Millisecond)
-	b.s.Tick()
-	b.drain()
-	require.Equal(t, scheduler.Unsettled, b.replies[1].Outcome)
+	r.Refused = []messenger.Refusal{{Run: f.placed().Tasks[0].Run, Reason: messenger.RefusedSuperseded}}
+	f.s.HandleReport(r)
+	f.clock.Advance(1500 * time.Millisecond)
+	f.s.Tick()
+	f.drain()
+	require.Equal(t, scheduler.Unsettled, f.replies[1].Outcome)
 }
 
-func TestJobWhoseTaskFailedTooOftenLeavesNoRunBehind(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	b.s.Submit(1, b.longJob())
-	b.drain()
-	seen := uint64(0)
-	for len(b.replies) == 0 {
-		run := b.placed().Tasks[0].Run
-		seen++
-		r := newReport("a", seen)
+func TestJobWhoseTaskFailedTooOftenLeavesNoWithdrawnRun(t *testing.T) {
+	f := newFixture(t)
+	f.connect("a")
+	f.s.Submit(1, f.longJob())
+	f.drain()
+	ackedPlace := uint64(0)
+	for len(f.replies) == 0 {
+		run := f.placed().Tasks[0].Run
+		ackedPlace++
+		r := newReport("a", ackedPlace)
 		r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunFailed}}
-		b.s.HandleReport(r)
-		b.drain()
-		for len(b.replies) == 0 && len(b.sent) == 0 {
-			b.clock.Advance(100 * time.Millisecond)
-			b.s.HandleReport(newReport("a", seen))
-			b.s.Tick()
-			b.drain()
+		f.s.HandleReport(r)
+		f.drain()
+		for len(f.replies) == 0 && len(f.sent) == 0 {
+			f.clock.Advance(100 * time.Millisecond)
+			f.s.HandleReport(newReport("a", ackedPlace))
+			f.s.Tick()
+			f.drain()
 		}
 	}
 	// Once the record of the job has expired, the caller sends the job again.
-	b.clock.Advance(16 * time.Second)
-	b.s.Tick()
-	b.s.HandleReport(newReport("a", seen))
-	b.drain()
-	b.s.Submit(2, b.longJob())
-	b.drain()
-	require.NotEmpty(t, b.sent, "all runs of the job's earlier submission have ended")
+	f.clock.Advance(16 * time.Second)
+	f.s.Tick()
+	f.s.HandleReport(newReport("a", ackedPlace))
+	f.drain()
+	f.s.Submit(2, f.longJob())
+	f.drain()
+	require.NotEmpty(t, f.sent, "all runs of the job's earlier submission have ended")
 }
 
-func TestRunThatARestartedAgentFoundHasBegunItsJob(t *testing.T) {
-	b := newFixture(t)
-	b.connect("a")
-	run := b.submitPlaced(1, b.job(jobID, 1))
-	b.s.LinkClosed("a")
-	r := b.reconnectRestarted("a", messenger.Progress{Run: run})
+func TestRunThatARestartedAgentFoundShowsThatItsJobMayHaveStarted(t *testing.T) {
+	f := newFixture(t)
+	f.connect("a")
+	run := f.submitPlaced(1, f.job(jobID, 1))
+	f.s.LinkClosed("a")
+	r := f.reconnectRestarted("a", messenger.Progress{Run: run})
 	r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.RefusedNoRoom}}
 	r.Free = messenger.Resources{}
-	b.s.HandleReport(r)
-	b.clock.Advance(400 * time.Millisecond)
-	b.s.Tick()
-	b.drain()
-	require.NotEqual(t, scheduler.Overloaded, b.replies[1].Outcome)
+	f.s.HandleReport(r)
+	f.clock.Advance(400 * time.Millisecond)
+	f.s.Tick()
+	f.drain()
+	require.NotEqual(t, scheduler.Overloaded, f.replies[1].Outcome)
 }
