--- a/scheduler/simcluster_test.go
+++ b/scheduler/simcluster_test.go
@@ -57,12 +57,13 @@
 	minResendDelay = 1300 * time.Millisecond
 )
 
-// simTask is what a task takes in fact, whatever its estimate says.
+// simTask is the actual work and demand of a task, as opposed to its estimate.
 type simTask struct {
 	work   time.Duration
 	demand messenger.Resources
 	fails  bool
-	// rack is the label of the rack that has the task's data; empty means any worker.
+	// rack is the label of the rack that has the task's data; empty means that it makes
+	// no difference where the task runs.
 	rack string
 }
 
@@ -270,8 +271,8 @@
 	work     time.Duration
 	cpu      int
 	priority int
-	// rack is the label of the rack that has the data of the tasks; empty means any
-	// worker.
+	// rack is the label of the rack that has the data of the tasks; empty means that it
+	// makes no difference where they run.
 	rack string
 }
 
--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -210,7 +210,8 @@
 	})
 }
 
-// close closes the link. The agent of a link that is cut is not told.
+// close closes the link. The entry always learns of it, the agent only if the link is
+// not cut.
 func (l *simLink) close() {
 	if !l.open {
 		return
