--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -31,14 +31,15 @@
 		}
 		e.do(func() {
 			core.Tick()
-			e.beat()
+			e.sendHeartbeats()
 		})
 		e.w.schedule(10*time.Millisecond, tick)
 	}
 	tick()
 }
 
-// do lets the entry take one message in, after any freeze.
+// do calls f, which handles one event of the entry, and then applies the effects. If the
+// process is paused, that happens after the pause.
 func (e *simEntry) do(f func()) {
 	core := e.core
 	if wait := e.pausedUntil.Sub(e.w.clock.Now()); wait > 0 {
@@ -69,7 +70,7 @@
 	}
 }
 
-// reply brings an answer to its caller.
+// reply delivers an answer to its caller, if that is still connected.
 func (e *simEntry) reply(m scheduler.Reply) {
 	r := e.w.results[e.tickets[m.Ticket]]
 	delete(e.tickets, m.Ticket)
@@ -85,7 +86,8 @@
 	})
 }
 
-// disconnectUnnoticed breaks a caller's connection, which the entry does not hear of.
+// disconnectUnnoticed breaks a caller's connection without the entry noticing. The
+// caller sends the job again.
 func (e *simEntry) disconnectUnnoticed(ticket uint64) {
 	if !e.disconnected[ticket] {
 		e.disconnected[ticket] = true
@@ -93,8 +95,9 @@
 	}
 }
 
-// kill ends the entry. Its callers' connections break, and they send again.
-func (e *simEntry) kill(span time.Duration) {
+// kill ends the entry process, which starts again after downtime. Its callers lose their
+// connections and send their jobs again.
+func (e *simEntry) kill(downtime time.Duration) {
 	e.down = true
 	for _, ticket := range slices.Sorted(maps.Keys(e.tickets)) {
 		if !e.disconnected[ticket] {
@@ -107,10 +110,11 @@
 			l.close()
 		}
 	}
-	e.w.schedule(span, e.boot)
+	e.w.schedule(downtime, e.boot)
 }
 
-// connect keeps a link to an agent open for as long as core lives.
+// connect opens a link to an agent, and opens it again after it closes, as long as core
+// is the entry's scheduler.
 func (e *simEntry) connect(a *simAgent, core *scheduler.Scheduler) {
 	if e.core != core || e.down {
 		return
@@ -132,10 +136,10 @@
 	e.w.schedule(20*time.Millisecond, func() { e.connect(a, core) })
 }
 
-// beat sends heartbeats and closes links that have been silent.
-func (e *simEntry) beat() {
+// sendHeartbeats sends heartbeats that are due and closes links without traffic.
+func (e *simEntry) sendHeartbeats() {
 	now := e.w.clock.Now()
-	ask := e.core.EarlyHeartbeatDue()
+	early := e.core.EarlyHeartbeatDue()
 	for _, a := range e.w.agents {
 		l := e.links[a.name]
 		if l == nil || !l.open {
@@ -145,14 +149,15 @@
 			l.close()
 			continue
 		}
-		if ask || now.Sub(l.lastHeartbeatAt) >= messenger.HeartbeatInterval {
+		if early || now.Sub(l.lastHeartbeatAt) >= messenger.HeartbeatInterval {
 			l.lastHeartbeatAt = now
 			l.toAgent(messenger.Heartbeat{Timestamp: now.Sub(l.openedAt), Echo: l.echo, Backlog: e.core.Backlog(), AckedOutcome: e.core.LastOutcome(a.name), HeldJobs: e.core.HeldJobs()})
 		}
 	}
 }
 
-// toAgent carries a message to the agent.
+// toAgent delivers a message to the agent after the link's delay, unless the link is
+// closed or replaced by then.
 func (l *simLink) toAgent(msg any) {
 	if !l.open {
 		return
@@ -185,7 +190,8 @@
 	})
 }
 
-// toEntry carries a report to the entry.
+// toEntry delivers a report to the entry after the link's delay, unless the link is
+// closed or replaced by then.
 func (l *simLink) toEntry(r messenger.Report) {
 	if l.agent.w.withoutSpeeds {
 		r.Speed, r.SpeedJobs = 0, 0
@@ -204,7 +210,8 @@
 	})
 }
 
-// close ends the link for both sides.
+// close closes the link. The entry always learns of it, the agent only if the link is
+// not cut.
 func (l *simLink) close() {
 	if !l.open {
 		return
@@ -238,7 +245,8 @@
 	tick()
 }
 
-// do lets the agent take one message in, after any freeze.
+// do calls f, which handles one event of the agent, and then applies the effects. If the
+// process is paused, that happens after the pause.
 func (a *simAgent) do(f func()) {
 	core := a.core
 	if wait := a.pausedUntil.Sub(a.w.clock.Now()); wait > 0 {
@@ -256,21 +264,22 @@
 	a.applyEffects()
 }
 
-// kill ends the agent process; the worker runs on.
-func (a *simAgent) kill(span time.Duration) {
+// kill ends the agent process, which starts again after downtime. The worker keeps
+// running.
+func (a *simAgent) kill(downtime time.Duration) {
 	a.down = true
 	for _, l := range a.links {
 		l.close()
 	}
 	a.links = make(map[string]*simLink)
-	a.w.schedule(span, a.boot)
+	a.w.schedule(downtime, a.boot)
 }
 
-// restartWorker ends the worker, which announces itself anew after span.
-func (a *simAgent) restartWorker(span time.Duration) {
+// restartWorker restarts the worker, which announces itself after delay.
+func (a *simAgent) restartWorker(delay time.Duration) {
 	a.worker.restart()
 	up := a.worker.up
-	a.w.schedule(span, func() { a.do(func() { a.core.SetUpstream(up) }) })
+	a.w.schedule(delay, func() { a.do(func() { a.core.SetUpstream(up) }) })
 }
 
 func (a *simAgent) applyEffects() {
@@ -285,7 +294,7 @@
 			}
 			a.w.schedule(delay, func() { a.worker.stop(e) })
 		case executor.Poll:
-			a.look(e)
+			a.poll(e)
 		case executor.TickAfter:
 			core := a.core
 			a.w.schedule(e.Delay, func() {
@@ -303,12 +312,12 @@
 	}
 }
 
-// start calls the worker. While it is mute, the call takes effect late and
-// without an answer.
+// start calls the worker to start a run. While the worker is unresponsive, the call takes
+// effect late and without an answer.
 func (a *simAgent) start(s executor.Start) {
 	core := a.core
 	deadline := s.LeaseUntil
-	done := func(out executor.CallResult) {
+	answer := func(out executor.CallResult) {
 		a.do(func() {
 			if a.core == core {
 				core.HandleStartResult(s.Run, s.Token, out)
@@ -316,9 +325,9 @@
 		})
 	}
 	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
-		late := time.Duration(a.w.rng.Int64N(int64(3 * time.Second)))
-		a.w.schedule(late, func() { a.worker.start(s, deadline) })
-		a.w.schedule(s.Timeout, func() { done(executor.Unanswered) })
+		startDelay := time.Duration(a.w.rng.Int64N(int64(3 * time.Second)))
+		a.w.schedule(startDelay, func() { a.worker.start(s, deadline) })
+		a.w.schedule(s.Timeout, func() { answer(executor.Unanswered) })
 		return
 	}
 	if lost := a.worker.unansweredShare; lost > 0 && a.w.rng.Float64() < lost {
@@ -327,62 +336,63 @@
 			delay += time.Duration(a.w.rng.Int64N(int64(2 * callTimeout)))
 		}
 		a.w.schedule(delay, func() { a.worker.start(s, deadline) })
-		a.w.schedule(s.Timeout, func() { done(executor.Unanswered) })
+		a.w.schedule(s.Timeout, func() { answer(executor.Unanswered) })
 		return
 	}
 	a.w.schedule(localDelay, func() {
 		out := a.worker.start(s, deadline)
-		a.w.schedule(localDelay, func() { done(out) })
+		a.w.schedule(localDelay, func() { answer(out) })
 	})
 }
 
-// look calls the worker, which answers when a run ends or the wait is over.
-func (a *simAgent) look(l executor.Poll) {
+// poll asks the worker for its runs. The worker answers when a run ends or the maximum
+// wait is over.
+func (a *simAgent) poll(p executor.Poll) {
 	core := a.core
-	deadline := l.LeaseUntil
+	deadline := p.LeaseUntil
 	fail := func(out executor.CallResult) {
 		a.do(func() {
 			if a.core == core {
-				core.HandlePollFailure(l.Number, out)
+				core.HandlePollFailure(p.Number, out)
 			}
 		})
 	}
 	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
-		a.w.schedule(l.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
+		a.w.schedule(p.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
 	if a.w.clock.Now().Before(a.worker.lostAnswersUntil) {
 		a.w.schedule(localDelay, func() {
-			if l.Upstream.Born == a.worker.up.Born && l.Upstream.ID == a.worker.up.ID {
-				a.worker.look(l, deadline)
+			if p.Upstream.Born == a.worker.up.Born && p.Upstream.ID == a.worker.up.ID {
+				a.worker.poll(p, deadline)
 			}
 		})
-		a.w.schedule(l.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
+		a.w.schedule(p.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
-	end := a.w.clock.Now().Add(l.MaxWait)
-	var poll func()
-	poll = func() {
-		if l.Upstream.Born != a.worker.up.Born || l.Upstream.ID != a.worker.up.ID {
+	end := a.w.clock.Now().Add(p.MaxWait)
+	var attempt func()
+	attempt = func() {
+		if p.Upstream.Born != a.worker.up.Born || p.Upstream.ID != a.worker.up.ID {
 			fail(executor.Misdirected)
 			return
 		}
-		seen, ok := a.worker.look(l, deadline)
+		pollResult, ok := a.worker.poll(p, deadline)
 		if !ok {
 			fail(executor.Fenced)
 			return
 		}
-		if len(seen.Ended) == 0 && a.w.clock.Now().Before(end) {
-			a.w.schedule(time.Millisecond, poll)
+		if len(pollResult.Ended) == 0 && a.w.clock.Now().Before(end) {
+			a.w.schedule(time.Millisecond, attempt)
 			return
 		}
 		a.w.schedule(localDelay, func() {
 			a.do(func() {
 				if a.core == core {
-					core.HandlePollResult(seen)
+					core.HandlePollResult(pollResult)
 				}
 			})
 		})
 	}
-	a.w.schedule(localDelay, poll)
+	a.w.schedule(localDelay, attempt)
 }
