--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// waitSlackShare is the share of a job's slack that the wait before it may
-	// take for the job to be taken on; maxWait bounds that wait, so that no
-	// caller is kept in doubt for long.
+	// waitSlackShare is the greatest part of a job's slack that the expected wait may
+	// take for the job to be admitted. maxWait bounds that wait, so that no caller
+	// waits long before it is refused.
 	waitSlackShare = 0.6
 	maxWait        = 350 * time.Millisecond
-	// warmUpTime is how long after its first configuration an entry refuses
-	// nothing for lack of room: its links to the agents are still being opened,
-	// so it does not know the room yet.
+	// warmUpTime is how long after its first configuration an entry refuses no job for
+	// lack of capacity: its links to the agents are still being opened, so it does not
+	// know the free capacity yet.
 	warmUpTime = 150 * time.Millisecond
-	// shortageAfter is how long a job waits before its entry counts as short of
-	// room. One that waits for less has met with a race for room.
+	// shortageAfter is how long a job waits before it counts as a shortage of capacity.
+	// A shorter wait comes from losing capacity to another entry that placed tasks at
+	// the same moment.
 	shortageAfter = 30 * time.Millisecond
 )
 
-// admit decides whether a new job is taken on, and returns the refusal.
+// admit decides whether a new job is admitted, and returns the refusal if not.
 func (s *Scheduler) admit(j *job, now time.Time) (Answer, bool) {
 	if err := j.Validate(); err != nil {
 		return Answer{Outcome: Impossible, Why: err.Error()}, false
@@ -50,14 +51,14 @@
 	return Answer{}, true
 }
 
-// waitLimit is how long a job may wait for its first task.
+// waitLimit returns the longest time that a job may wait for its first placement.
 func (s *Scheduler) waitLimit(j *job) time.Duration {
-	usual := min(time.Duration(waitSlackShare*float64(j.latestStart.Sub(j.arrived))), maxWait)
-	return max(usual, s.warmUpEnd.Sub(j.arrived))
+	limit := min(time.Duration(waitSlackShare*float64(j.latestStart.Sub(j.arrived))), maxWait)
+	return max(limit, s.warmUpEnd.Sub(j.arrived))
 }
 
-// impossibleReason tells why no known worker could ever run a job, or returns
-// nothing. It is silent as long as no worker of the service is known.
+// impossibleReason returns why no known worker could ever run a job, or "" if one
+// could. It also returns "" as long as no worker of the service is known.
 func (s *Scheduler) impossibleReason(j *job) string {
 	for i, step := range j.Steps {
 		known, fits := false, false
@@ -74,8 +75,9 @@
 	return ""
 }
 
-// tooLate reports whether a job that nothing has been done for cannot be in time any
-// more, or ends after its caller has stopped waiting.
+// tooLate reports whether an unstarted job has exceeded its wait limit, so that it
+// cannot meet its objective any more, or would end after its caller has stopped
+// waiting.
 func (s *Scheduler) tooLate(j *job, now time.Time) bool {
 	if !j.unstarted() {
 		return false
@@ -83,8 +85,8 @@
 	return now.Sub(j.arrived) > s.waitLimit(j) || now.Add(j.minDuration()).After(j.Deadline)
 }
 
-// hasCapacity reports whether an agent has room for one of a new job's tasks. What waits
-// already cannot use that room, or it would have been placed there.
+// hasCapacity reports whether an agent has capacity for one of a new job's tasks. The
+// backlog cannot use that capacity, or it would have been placed there.
 func (s *Scheduler) hasCapacity(j *job, now time.Time) bool {
 	return slices.ContainsFunc(j.tasksIn(ready), func(t *task) bool {
 		a, _ := s.bestAgent(s.agentsByName, j, t.step, []*task{t}, now)
@@ -92,7 +94,8 @@
 	})
 }
 
-// coreShare is the entry's share of the cores of all workers in use.
+// coreShare returns the entry's share of the cores of all usable workers: each worker
+// is divided equally among the entries that are connected to its agent.
 func (s *Scheduler) coreShare() float64 {
 	now := s.clock.Now()
 	var cores float64
@@ -104,49 +107,51 @@
 	return cores
 }
 
-// throughputHalfLife is the time in which past work loses half of its weight.
+// throughputHalfLife is the half-life of past work in throughput.
 const throughputHalfLife = 300 * time.Millisecond
 
-// throughput is the work that the entry has had done lately. An entry that gets
-// more callers than others has more done than its share of the cores.
+// throughput measures the work recently done for the entry. An entry that gets more
+// callers than others has more work done than its share of the cores.
 type throughput struct {
-	// sum is the fading sum of the work, in core-milliseconds.
+	// sum is the decaying sum of the work, in core-milliseconds, as of at.
 	sum float64
 	at  time.Time
 }
 
-// add notes work that is done.
-func (h *throughput) add(work float64, now time.Time) {
-	h.sum = h.decayed(now) + work
-	h.at = now
+// add adds finished work, in core-milliseconds.
+func (t *throughput) add(work float64, now time.Time) {
+	t.sum = t.decayed(now) + work
+	t.at = now
 }
 
-func (h *throughput) decayed(now time.Time) float64 {
-	if h.at.IsZero() {
+// decayed returns the sum decayed to now.
+func (t *throughput) decayed(now time.Time) float64 {
+	if t.at.IsZero() {
 		return 0
 	}
-	return h.sum * math.Exp2(-float64(now.Sub(h.at))/float64(throughputHalfLife))
+	return t.sum * math.Exp2(-float64(now.Sub(t.at))/float64(throughputHalfLife))
 }
 
-// perSecond returns the core-seconds done in a second.
-func (h *throughput) perSecond(now time.Time) float64 {
-	return h.decayed(now) / 1000 * math.Ln2 / throughputHalfLife.Seconds()
+// perSecond returns the rate of finished work in core-seconds per second.
+func (t *throughput) perSecond(now time.Time) float64 {
+	return t.decayed(now) / 1000 * math.Ln2 / throughputHalfLife.Seconds()
 }
 
-// CapacityNeed is what an entry needs of room, and of links to agents for it.
+// CapacityNeed describes an entry's need of capacity, by which it decides how many
+// links to agents it keeps.
 type CapacityNeed struct {
-	// Shortage means that jobs have waited long for room, or were refused for lack of
-	// it since the last call.
+	// Shortage means that jobs have waited longer than shortageAfter for capacity, or
+	// were refused for lack of it since the last call.
 	Shortage bool
-	// Workers is how many workers the work done lately would keep busy.
+	// Workers is the number of workers that the recent throughput would keep busy.
 	Workers float64
 }
 
-// CapacityNeed returns the present need.
+// CapacityNeed returns the present need and resets the record of refusals.
 func (s *Scheduler) CapacityNeed() CapacityNeed {
 	now := s.clock.Now()
-	waited := slices.ContainsFunc(s.queue, func(j *job) bool { return now.Sub(j.arrived) > shortageAfter })
-	n := CapacityNeed{Shortage: s.refusedForCapacity || waited}
+	longWait := slices.ContainsFunc(s.queue, func(j *job) bool { return now.Sub(j.arrived) > shortageAfter })
+	n := CapacityNeed{Shortage: s.refusedForCapacity || longWait}
 	s.refusedForCapacity = false
 	if cores := s.meanCores(); cores > 0 {
 		n.Workers = s.throughput.perSecond(now) / cores
@@ -154,7 +159,7 @@
 	return n
 }
 
-// meanCores returns the mean number of cores of the workers in touch.
+// meanCores returns the mean number of cores of the workers whose agents are synced.
 func (s *Scheduler) meanCores() float64 {
 	var sum, n float64
 	for _, a := range s.agentsByName {
--- a/scheduler/agent.go
+++ b/scheduler/agent.go
@@ -8,114 +8,122 @@
 )
 
 const (
-	// maxReportAge is the greatest age of a report on which tasks are placed.
+	// maxReportAge is the greatest age of an agent's last report with which tasks are
+	// still placed there.
 	maxReportAge = 250 * time.Millisecond
-	// AgentLossTimeout is how long after its last report an agent's runs are over for
-	// certain: the agent drops them when the entry has echoed nothing newer for
-	// a while, and the worker's lease runs out if it cannot.
+	// AgentLossTimeout is how long after an agent's last report its runs for this entry
+	// have certainly ended: the agent stops them when the entry has echoed nothing
+	// newer for a while, and the worker's lease expires if the agent cannot.
 	AgentLossTimeout = 1290 * time.Millisecond
 )
 
-// agent is what the entry knows of one agent and its worker.
+// agent is the state of one agent and its worker as last reported.
 type agent struct {
 	name string
-	// hash is that of the name.
+	// hash is the hash of the name.
 	hash uint64
-	// synced is whether a link is open and a complete list has come on it.
+	// synced means that a link is open and a complete list of runs has arrived on it.
 	synced      bool
 	incarnation int64
 	report      messenger.Report
 	// upstream is the worker as last reported.
 	upstream   messenger.Upstream
 	reportedAt time.Time
-	// lastOutcome is the number of the last outcome told on the link.
+	// lastOutcome is the number of the last outcome reported on the link.
 	lastOutcome uint64
-	// heldJobs are the jobs that other entries hold, as the agent told at heldJobsAt.
+	// heldJobs are the jobs that other entries hold, as the agent last reported at
+	// heldJobsAt.
 	heldJobs   map[string]holdState
 	heldJobsAt time.Time
-	// heldJobsIncarnation is the incarnation that held is of. earlierHeldJobs has what earlier ones
-	// told, and until when it counts.
+	// heldJobsIncarnation is the incarnation of the agent that reported heldJobs.
+	// earlierHeldJobs has the jobs reported by earlier incarnations, and until when
+	// they count.
 	heldJobsIncarnation int64
 	earlierHeldJobs     map[string]time.Time
-	// linkOpenedAt is when the link was opened; the entry's stamps count from there.
+	// linkOpenedAt is when the link was opened; the entry's timestamps on it are
+	// relative to that.
 	linkOpenedAt time.Time
-	// echoedHeartbeatAt is when the entry's last heartbeat was sent that the agent had heard
-	// when it last reported on the link.
+	// echoedHeartbeatAt is when the newest heartbeat was sent that the agent has echoed
+	// on the link.
 	echoedHeartbeatAt time.Time
-	// linkNumber counts the links that have been opened.
+	// linkNumber counts the links that have been opened to the agent.
 	linkNumber int
-	// placeNumber counts the Place messages on the link.
+	// placeNumber is the number of the last Place on the link.
 	placeNumber uint64
-	// pending are placements that the last report does not cover.
+	// pending lists the placements that the last report does not cover.
 	pending []pendingPlacement
-	// tasks are those placed here.
+	// tasks are those placed here, by run.
 	tasks map[messenger.Run]*task
-	// withdrawn are runs of jobs that are over, until it is known that they
-	// have ended.
+	// withdrawn are the runs of finished jobs that are not known to have ended.
 	withdrawn map[messenger.Run]*task
 	health    health
-	// reservation is the one that the agent was last asked for; nil for none.
+	// reservation is the last one requested from the agent; nil for none.
 	reservation *reservation
-	// reserveNumber counts the Reserve messages on the link that ask for room, and
-	// nextReserveAt is the earliest time of the next one.
+	// reserveNumber is the number of the last Reserve on the link that requests
+	// capacity. nextReserveAt is the earliest time of the next one.
 	reserveNumber uint64
 	nextReserveAt time.Time
 	speed         speed
 }
 
-// pendingPlacement is what a Place holds that the agent has not reported on.
+// pendingPlacement is the demand of a Place that the agent has not reported on.
 type pendingPlacement struct {
 	number uint64
 	demand messenger.Resources
 }
 
-// Idle reports whether no run of the entry's depends on the link to an agent.
+// Idle reports whether no run of this entry depends on the link to an agent.
 func (s *Scheduler) Idle(name string) bool {
 	a := s.agents[name]
 	return a == nil || a.idle()
 }
 
+// idle reports whether the agent has no placed or withdrawn runs.
 func (a *agent) idle() bool { return len(a.tasks) == 0 && len(a.withdrawn) == 0 }
 
-// free returns the room that can be counted on.
+// free returns the reported free capacity less the pending placements.
 func (a *agent) free() messenger.Resources {
-	d := a.report.Free
+	free := a.report.Free
 	for _, p := range a.pending {
-		d = d.Minus(p.demand)
+		free = free.Minus(p.demand)
 	}
-	return d
+	return free
 }
 
-// dropReported drops the placements that the report takes into account.
+// dropReported drops the pending placements that the last report covers.
 func (a *agent) dropReported() {
 	a.pending = slices.DeleteFunc(a.pending, func(p pendingPlacement) bool { return p.number <= a.report.AckedPlace })
 }
 
-// acceptsQueue reports whether tasks of a queue may be placed here at all.
-func (a *agent) acceptsQueue(q Queue, c Configuration, now, woke time.Time) bool {
-	up := a.upstream
+// acceptsQueue reports whether tasks of a queue may be placed at the agent at all: it
+// is synced, has reported recently and has echoed a heartbeat sent after the last pause
+// of the entry, its worker serves the queue's service, neither of them is shutting
+// down, and neither data centre is evacuated.
+func (a *agent) acceptsQueue(q Queue, c Configuration, now, resumedAt time.Time) bool {
+	worker := a.upstream
 	return a.synced &&
-		!a.echoedHeartbeatAt.Before(woke) &&
+		!a.echoedHeartbeatAt.Before(resumedAt) &&
 		now.Sub(a.reportedAt) <= maxReportAge &&
-		up.Born != 0 &&
-		up.Service == q.Service &&
-		!up.Draining &&
+		worker.Born != 0 &&
+		worker.Service == q.Service &&
+		!worker.Draining &&
 		!a.report.Leaving &&
-		!c.Evacuated[up.DataCentre] &&
+		!c.Evacuated[worker.DataCentre] &&
 		!c.Evacuated[a.report.DataCentre]
 }
 
-// healthy reports whether the worker is trusted with tasks now.
+// healthy reports whether the worker may get tasks now: it answers its agent's calls,
+// and it is either not ejected or due for a probe.
 func (a *agent) healthy(now time.Time) bool {
 	return a.report.UnansweredCalls == 0 && a.health.usable(now)
 }
 
-// matchesLabel reports whether a step may run on the worker.
+// matchesLabel reports whether the worker has the label that a step requires.
 func (a *agent) matchesLabel(s Step) bool {
 	return s.Label == "" || slices.Contains(a.upstream.Labels, s.Label)
 }
 
-// near reports whether the worker stands where the step's data is.
+// near reports whether the worker is on the rack that holds a step's data.
 func (a *agent) near(s Step) bool {
 	return s.Rack == "" || slices.Contains(a.upstream.Labels, s.Rack)
 }
--- a/scheduler/configuration.go
+++ b/scheduler/configuration.go
@@ -5,59 +5,62 @@
 	"time"
 )
 
-// Configuration is what the operators have set. It is immutable.
+// Configuration is what the operators have configured. It is immutable.
 type Configuration struct {
-	// Version only rises.
+	// Version never decreases.
 	Version uint64
 	Queues  []Queue
-	// Evacuated lists data centres in which nothing is to start.
+	// Evacuated lists the data centres in which no task is started.
 	Evacuated map[string]bool
-	// Revision is that of the directives as a whole; it rises with each change.
+	// Revision is that of the operators' directives as a whole; it rises with each
+	// change.
 	Revision int64
-	// BodyLimit bounds a request's body, in bytes.
+	// BodyLimit bounds the body of a request, in bytes.
 	BodyLimit int64
-	// FarFactor is how many times as long a task takes away from its data. It comes
-	// from the entry's settings; 0 or 1 means that this makes no difference.
+	// FarFactor is the factor by which a task takes longer on a worker away from its
+	// data. It comes from the entry's settings; with 0 or 1 the place makes no
+	// difference.
 	FarFactor float64
 }
 
-// WithEvacuated returns a copy of c with the evacuated data centres as of a
-// revision of the directives.
-func (c Configuration) WithEvacuated(list map[string]bool, revision int64) Configuration {
-	c.Evacuated = list
+// WithEvacuated returns a copy of c with the evacuated data centres as of a revision of
+// the directives.
+func (c Configuration) WithEvacuated(evacuated map[string]bool, revision int64) Configuration {
+	c.Evacuated = evacuated
 	c.Revision = revision
 	return c
 }
 
 // WithFarFactor returns a copy of c with a far factor.
-func (c Configuration) WithFarFactor(f float64) Configuration {
-	c.FarFactor = f
+func (c Configuration) WithFarFactor(factor float64) Configuration {
+	c.FarFactor = factor
 	return c
 }
 
-// Queue takes jobs of one kind.
+// Queue describes a queue, which takes the jobs of one kind.
 type Queue struct {
 	Name string
-	// Host and Prefix select the requests of the queue.
+	// Host and Prefix select the requests that belong to the queue.
 	Host    string
 	Prefix  string
 	Service string
-	// Priority is 0 for the queue that comes first.
+	// Priority is 0 for the most urgent queues.
 	Priority int
-	// MaxAttempts is how often a task may fail before its job has failed.
+	// MaxAttempts is the number of failed runs of one task at which its job fails.
 	MaxAttempts int
-	// Stretch and Slack give the latency objective: Stretch times the longest
-	// chain of work, and Slack more.
+	// Stretch and Slack give the latency objective: Stretch times the critical path,
+	// plus Slack.
 	Stretch float64
 	Slack   time.Duration
-	// Timeout bounds a request.
+	// Timeout bounds the duration of a request.
 	Timeout time.Duration
-	// Advised queues have a service that must be asked where a step may run.
+	// Advised means that the queue has a service that must be asked where a step may
+	// run.
 	Advised bool
 }
 
-// Find returns the queue with the longest prefix of path at host, and what
-// follows the prefix.
+// Find returns the queue at host with the longest prefix of path, and the rest of the
+// path after the prefix.
 func (c Configuration) Find(host, path string) (Queue, string, bool) {
 	var best Queue
 	found := false
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -2,18 +2,18 @@
 
 import "github.com/pomeloferry/pomeloferry/messenger"
 
-// Dump is the state of a scheduler, for people.
+// Dump is the state of a scheduler in readable form, for operators.
 type Dump struct {
 	Version   uint64
 	Evacuated map[string]bool
 	Jobs      int
-	// Yielding counts the jobs that wait since another entry holds them.
+	// Yielding counts the jobs that wait because another entry holds them.
 	Yielding int
 	Waiting  []JobDump
 	Agents   []AgentDump
 }
 
-// JobDump is the state of one job that waits.
+// JobDump is the state of one job with ready tasks.
 type JobDump struct {
 	ID     string
 	Queue  string
@@ -22,7 +22,7 @@
 	AgeMS  int64
 }
 
-// AgentDump is what is known of one agent.
+// AgentDump is the state of one agent and its worker as last reported.
 type AgentDump struct {
 	Name     string
 	Open     bool
@@ -32,17 +32,17 @@
 	Tasks    int
 	Ejected  bool
 	Pace     float64
-	// Speed is the relative speed of the worker.
+	// Speed is the speed of the worker relative to the others of its service.
 	Speed  float64
 	Failed int
 }
 
-// Dump returns the state.
+// Dump returns the current state.
 func (s *Scheduler) Dump() Dump {
-	d := Dump{Version: s.config.Version, Evacuated: s.config.Evacuated, Jobs: len(s.jobs), Yielding: len(s.yielding)}
+	dump := Dump{Version: s.config.Version, Evacuated: s.config.Evacuated, Jobs: len(s.jobs), Yielding: len(s.yielding)}
 	for _, j := range s.queue {
 		if n := len(j.tasksIn(ready)); n > 0 {
-			d.Waiting = append(d.Waiting, JobDump{
+			dump.Waiting = append(dump.Waiting, JobDump{
 				ID:     j.ID,
 				Queue:  j.Queue.Name,
 				Ready:  n,
@@ -52,7 +52,7 @@
 		}
 	}
 	for _, a := range s.agentsByName {
-		d.Agents = append(d.Agents, AgentDump{
+		dump.Agents = append(dump.Agents, AgentDump{
 			Name:     a.name,
 			Open:     a.synced,
 			ReportMS: s.clock.Since(a.reportedAt).Milliseconds(),
@@ -65,5 +65,5 @@
 			Failed:   a.report.ConsecutiveFailedJobs,
 		})
 	}
-	return d
+	return dump
 }
--- a/scheduler/effect.go
+++ b/scheduler/effect.go
@@ -6,68 +6,68 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// Outcome is what became of a job.
+// Outcome is the state or result of a job.
 type Outcome string
 
 // The outcomes.
 const (
-	// Complete jobs have all tasks done.
+	// Complete means that all tasks are done.
 	Complete Outcome = "Complete"
-	// JobFailed jobs had a task that failed too often.
+	// JobFailed means that a task failed in all its attempts.
 	JobFailed Outcome = "Failed"
-	// Unsettled jobs were given up here after a task may have started. They may
-	// be sent again.
+	// Unsettled means that this entry gave the job up after a task may have started.
+	// The job may be sent again.
 	Unsettled Outcome = "Unsettled"
-	// Overloaded jobs have not run and will not run; there was no room.
+	// Overloaded means that the job has not run and will not run, for lack of capacity.
 	Overloaded Outcome = "Overloaded"
-	// Unavailable jobs have not run and will not run; nothing can run them now.
+	// Unavailable means that the job has not run and will not run, because nothing can
+	// run it now.
 	Unavailable Outcome = "Unavailable"
-	// Impossible jobs have not run; no worker could ever run them.
+	// Impossible means that the job has not run, because no worker could ever run it.
 	Impossible Outcome = "Impossible"
-	// Cancelled jobs were given up by their caller.
+	// Cancelled means that the caller cancelled the job or left.
 	Cancelled Outcome = "Cancelled"
-	// Running jobs have no outcome yet.
+	// Running means that the job has no result yet.
 	Running Outcome = "Running"
-	// Unknown jobs are not known here.
+	// Unknown means that this entry has neither the job nor a record of it.
 	Unknown Outcome = "Unknown"
 )
 
-// Answer is what a caller gets.
+// Answer is the answer to a caller.
 type Answer struct {
 	Outcome Outcome
-	// RetryAfter is when to come back; zero when it would not help.
+	// RetryAfter is the time after which a retry makes sense; zero if none does.
 	RetryAfter time.Duration
-	// Why explains the outcome, for the log.
+	// Why explains the outcome, for the log and the caller.
 	Why string
-	// Refusal tells more of a refusal for lack of room.
+	// Refusal has the details of a refusal for lack of capacity.
 	Refusal Refusal
 }
 
-// RefusalPoint is when a job was refused for lack of room.
+// RefusalPoint is the stage at which a job was refused for lack of capacity.
 type RefusalPoint string
 
 // The points.
 const (
-	// AtOnce is on arrival.
+	// AtOnce means on arrival.
 	AtOnce RefusalPoint = "AtOnce"
-	// AfterWaiting is once it had waited in vain.
+	// AfterWaiting means after the job had waited for capacity.
 	AfterWaiting RefusalPoint = "AfterWaiting"
 )
 
-// Refusal is what was known when a job was refused for lack of room. It is empty
+// Refusal is what was known when a job was refused for lack of capacity. It is empty
 // for all other answers.
 type Refusal struct {
 	Point RefusalPoint
-	// Wait is how long the job was expected to wait, from then on.
+	// Wait is how long the job was expected to wait from then on.
 	Wait time.Duration
 	// JobsBefore counts the jobs of its queue that waited before it.
 	JobsBefore int
-	// StartRate is how many jobs of its queue were started a second; zero when that
-	// was not known.
+	// StartRate is the number of jobs of its queue started per second; zero if unknown.
 	StartRate float64
 }
 
-// Effect is something that the entry process has to do.
+// Effect is an action for the entry process: a Send, a Reply or a Note.
 type Effect interface{ effect() }
 
 // Send sends a message to an agent.
@@ -82,7 +82,7 @@
 	Answer Answer
 }
 
-// Note is a line for the log about one job or agent.
+// Note is a log entry about a job or an agent.
 type Note struct {
 	Job   string
 	Queue string
@@ -90,10 +90,11 @@
 	Agent string
 	What  string
 	Why   string
-	// Age is how long ago the job arrived, or how old the agent's last report is.
+	// Age is the time since the job arrived or the run was placed, or the age of the
+	// agent's last report.
 	Age time.Duration
-	// Size and Wait are set where tasks are placed: how large they are, and how
-	// long they have waited.
+	// Size and Wait are set when tasks are placed: their size, and how long they have
+	// waited.
 	Size Size
 	Wait time.Duration
 }
--- a/scheduler/error.go
+++ b/scheduler/error.go
@@ -9,11 +9,11 @@
 const (
 	// Invalid jobs can never run.
 	Invalid Kind = "Invalid"
-	// Unsupported jobs ask for something that is not built.
+	// Unsupported jobs ask for a feature that is not implemented.
 	Unsupported Kind = "Unsupported"
 )
 
-// Error is the error of this package.
+// Error is the type of the errors that this package returns.
 type Error struct {
 	Op   string
 	Kind Kind
--- a/scheduler/fit.go
+++ b/scheduler/fit.go
@@ -3,36 +3,36 @@
 import "time"
 
 const (
-	// headroomTasks is the room, in tasks of the same size, that an agent keeps when it
-	// counts as having room to spare. What it last reported may be half a heartbeat
-	// old, and other entries have placed tasks since.
+	// headroomTasks is the free capacity, in tasks of the same size, that an agent must
+	// keep beside a placement to count as having headroom. What it last reported may be
+	// half a heartbeat interval old, and other entries have placed tasks since.
 	headroomTasks = 3
-	// minChunkTasks is the least number of a job's tasks that are kept together at an
-	// agent with room to spare. A job with more is split rather than sent to the
-	// emptiest agent, which is the same one for every entry.
+	// minChunkTasks is the minimum number of a job's tasks that are kept together at an
+	// agent with headroom. A larger job is split rather than sent to the emptiest
+	// agent, which is the same one for every entry.
 	minChunkTasks = 2
 )
 
-// chooseAgent returns the one of the agents for the first of the tasks, and how many of
-// them go there. Tasks that are held for a near worker are not counted, so that the
-// number may be 0. The agent is nil if none has room.
-func (s *Scheduler) chooseAgent(agents []*agent, j *job, step int, todo []*task, now time.Time) (*agent, int) {
-	a, n := s.bestAgent(agents, j, step, todo, now)
+// chooseAgent returns the best of the agents for the first of the tasks, and how many
+// of them to place there. Deferred tasks do not count, so the number may be 0. The
+// agent is nil if none has capacity.
+func (s *Scheduler) chooseAgent(agents []*agent, j *job, step int, waiting []*task, now time.Time) (*agent, int) {
+	a, n := s.bestAgent(agents, j, step, waiting, now)
 	if a == nil {
 		return nil, 0
 	}
-	return a, s.chooseNearOrFar(a, n, j, step, todo, now)
+	return a, s.chooseNearOrFar(a, n, j, step, waiting, now)
 }
 
-// bestAgent returns the one of the agents that suits the first of the tasks best, and
-// how many of them it can take; nil if none has room. While agents have room to spare, any of these will do; each
-// job has an order of its own, so that entries seldom meet at one agent. Else the
-// fullest that can take all comes first, which leaves the room of the others whole,
-// and after these the one that can take most.
-func (s *Scheduler) bestAgent(agents []*agent, j *job, step int, todo []*task, now time.Time) (*agent, int) {
+// bestAgent returns the agent that suits the first of the tasks best, and how many of
+// them it can take; nil if none has capacity. Among agents with headroom, each job has
+// a pseudo-random order of its own, so that entries seldom choose the same agent.
+// Without headroom, the fullest agent that can take all tasks comes first, which leaves
+// the capacity of the others unfragmented, and after these the one that can take most.
+func (s *Scheduler) bestAgent(agents []*agent, j *job, step int, waiting []*task, now time.Time) (*agent, int) {
 	var best *agent
 	var bestFit fit
-	timing := s.speedCriteriaOf(j, step, todo, now)
+	criteria := s.speedCriteriaOf(j, step, waiting, now)
 	for _, a := range agents {
 		if !j.Steps[step].Demand.FitsIn(a.capacityFor(j, step, now)) {
 			continue
@@ -40,14 +40,14 @@
 		if !a.acceptsQueue(j.Queue, s.config, now, s.resumedAt) || !a.healthy(now) || !a.matchesLabel(j.Steps[step]) {
 			continue
 		}
-		f := a.fit(j, step, todo, now, timing.fastOnly)
+		f := a.fit(j, step, waiting, now, criteria.fastOnly)
 		if f.tasks == 0 {
 			continue
 		}
 		f.near = a.near(j.Steps[step])
 		f.sameDataCentre = a.report.DataCentre == s.dataCentre
-		timing.applyTo(&f, a)
-		if timing.fastOnly && !(f.inTime && f.tasks == len(todo)) {
+		criteria.applyTo(&f, a)
+		if criteria.fastOnly && !(f.inTime && f.tasks == len(waiting)) {
 			continue
 		}
 		if best == nil || f.better(bestFit) {
@@ -58,28 +58,29 @@
 	return best, bestFit.tasks
 }
 
-// fit is how well an agent suits the tasks that wait.
+// fit describes how well an agent suits the waiting tasks.
 type fit struct {
-	// tasks is how many it can take.
+	// tasks is how many of them it can take.
 	tasks int
-	// headroom means that it has room to spare beside these.
+	// headroom means that capacity for headroomTasks is left beside these.
 	headroom bool
-	// all means that it can take all that wait.
+	// all means that it can take all waiting tasks.
 	all bool
 	// near means that its worker is on the rack of the data.
 	near bool
-	// inTime means that the job is expected to end within its objective there.
+	// inTime means that the job is expected to meet its objective there.
 	inTime bool
-	// speedRank is greater for a worker whose speed is the better choice.
+	// speedRank is greater for a worker whose speed is preferred.
 	speedRank int
-	// sameDataCentre means that it is in the entry's data centre.
+	// sameDataCentre means that the agent is in the entry's data centre.
 	sameDataCentre bool
-	// freeCPU is the room left beside these, in thousandths of a core.
+	// freeCPU is the CPU left beside the tasks, in thousandths of a core.
 	freeCPU int
-	// tieBreak is the agent's place in the job's own order of agents.
+	// tieBreak is the agent's position in the job's own order of agents.
 	tieBreak uint64
 }
 
+// better reports whether f is preferred to g.
 func (f fit) better(g fit) bool {
 	switch {
 	case f.near != g.near:
@@ -108,43 +109,44 @@
 	return f.sameDataCentre && !g.sameDataCentre
 }
 
-// fit counts how many of the tasks, in order, the agent has room for: with room to
-// spare if that takes enough of them, which is all of them for a job that is to stay
-// whole.
-func (a *agent) fit(j *job, step int, todo []*task, now time.Time, whole bool) fit {
-	least := min(len(todo), minChunkTasks)
+// fit counts how many of the tasks, in order, the agent has capacity for. It keeps
+// headroom if it can take enough of them that way: minChunkTasks, or all tasks of a job
+// that must stay whole.
+func (a *agent) fit(j *job, step int, waiting []*task, now time.Time, whole bool) fit {
+	minTasks := min(len(waiting), minChunkTasks)
 	if whole {
-		least = len(todo)
+		minTasks = len(waiting)
 	}
 	d := j.Steps[step].Demand
-	most := a.maxTasks(j, step, todo, now)
+	maxTasks := a.maxTasks(j, step, waiting, now)
 	free := a.capacityFor(j, step, now)
-	slots := j.Steps[step].countFitting(free, most+headroomTasks)
-	if n := min(most, slots-headroomTasks); n >= least {
+	slots := j.Steps[step].countFitting(free, maxTasks+headroomTasks)
+	if n := min(maxTasks, slots-headroomTasks); n >= minTasks {
 		return fit{tasks: n, headroom: true, tieBreak: j.agentOrder(a)}
 	}
-	n := min(most, slots)
-	return fit{tasks: n, all: n == len(todo), freeCPU: free.CPU - n*d.CPU}
+	n := min(maxTasks, slots)
+	return fit{tasks: n, all: n == len(waiting), freeCPU: free.CPU - n*d.CPU}
 }
 
-// maxTasks counts how many of the tasks, in order, may be placed at the agent at once,
-// room aside.
-func (a *agent) maxTasks(j *job, step int, todo []*task, now time.Time) int {
-	most := len(todo)
-	if spread := j.Steps[step].MaxPerWorker; spread > 0 {
-		most = min(most, spread-a.countPlaced(j, step))
+// maxTasks returns how many of the tasks, in order, may be placed at the agent at once,
+// regardless of its capacity.
+func (a *agent) maxTasks(j *job, step int, waiting []*task, now time.Time) int {
+	limit := len(waiting)
+	if maxPerWorker := j.Steps[step].MaxPerWorker; maxPerWorker > 0 {
+		limit = min(limit, maxPerWorker-a.countPlaced(j, step))
 	}
 	if a.health.ejected {
-		most = min(most, 1)
+		limit = min(limit, 1)
 	}
 	n := 0
-	for n < most && !now.Before(todo[n].avoidUntil[a.name]) {
+	for n < limit && !now.Before(waiting[n].avoidUntil[a.name]) {
 		n++
 	}
 	return n
 }
 
-// agentOrder returns the agent's place in the job's own order, which differs between jobs.
+// agentOrder returns the agent's position in the job's own order of agents, which
+// differs between jobs.
 func (j *job) agentOrder(a *agent) uint64 {
 	// An odd multiplier that mixes all bits, as in Fibonacci hashing.
 	const multiplier = 0x9E3779B97F4A7C15
--- a/scheduler/heldjobs.go
+++ b/scheduler/heldjobs.go
@@ -8,41 +8,45 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// A caller whose connection broke sends its job again, to any entry, while the
-// entry that has the job may not have heard of the break. So entries tell each
-// other, by way of the agents, of jobs that go on for long. An entry that gets
-// such a job tells that it waits; the first one gives it up then, since its
-// caller has gone, and the second one goes on when its runs are over.
+// A caller whose connection broke sends its job again, to any entry, while the entry
+// that has the job may not have noticed the break. So entries announce their
+// long-running jobs to each other by way of the agents. An entry that receives a job
+// held by another one yields: it announces that the job waits there. The first entry
+// then gives the job up, since its caller has left, and the second one goes on once the
+// runs of the first one have ended.
 
 const (
-	// announceAfter is the age from which the others are told of a job, announceDeadline that
-	// at which one must have heard: callers send again no sooner than 1.3 s after
-	// the first time, and the word takes a while from the agent on.
+	// announceAfter is the age from which a job is announced to the other entries, and
+	// announceDeadline the age at which an agent must have received the announcement:
+	// callers send a job again no sooner than 1.3 s after the first time, and the
+	// announcement needs some time from the agent to the other entries.
 	announceAfter    = 500 * time.Millisecond
 	announceDeadline = 1200 * time.Millisecond
-	// maxEchoAge is the greatest age of the last heartbeat known to have arrived
-	// for the others still to know of the jobs in it. The rest of HeldJobsTTL is for
-	// a tick, the word to withdraw runs, their stop and the way of both.
+	// maxEchoAge is the greatest age of the last heartbeat known to have arrived for
+	// the jobs in it to count as still announced to the other entries. The rest of
+	// HeldJobsTTL is for a tick, the withdrawal of the runs, their stop, and the
+	// transfer of both messages.
 	maxEchoAge = messenger.HeldJobsTTL - 290*time.Millisecond
-	// pauseCatchUpTime is how long after a pause no job is given up for it: its end may
-	// be among what has still to be read.
+	// pauseCatchUpTime is how long after a pause no job is given up because of it: the
+	// end of the job may be among the messages that have still to be read.
 	pauseCatchUpTime = 50 * time.Millisecond
 )
 
-// hold is what other entries know of a job.
+// hold is the state of a job with regard to the other entries.
 type hold struct {
-	// sentAt is when the job may have been sent at the earliest. One that had to
-	// wait for other runs counts as old enough to be named when it goes on.
+	// sentAt is the earliest time at which the job may have been sent. A job that had
+	// to wait for other runs counts as old enough to be announced when it goes on.
 	sentAt time.Time
-	// announcedAt is when the first heartbeat named the job; zero before.
+	// announcedAt is when the first heartbeat with the job was composed; zero before.
 	announcedAt time.Time
-	// placedHere means that a run was placed by this entry.
+	// placedHere means that this entry has placed a run of the job.
 	placedHere bool
-	// contested means that another entry holds the job as well.
+	// contested means that another entry has announced the job as running as well.
 	contested bool
 }
 
-// HeldJobs returns the jobs that other entries have to know of, for a heartbeat.
+// HeldJobs returns the jobs to announce to the other entries with a heartbeat. It
+// counts as the announcement of those that are running.
 func (s *Scheduler) HeldJobs() messenger.HeldJobs {
 	now := s.clock.Now()
 	var h messenger.HeldJobs
@@ -69,7 +73,8 @@
 	return h
 }
 
-// holdState is how another entry holds a job; a later one says more.
+// holdState is how another entry holds a job. If entries differ, the greatest one
+// counts.
 type holdState int
 
 const (
@@ -79,8 +84,9 @@
 	heldRunning
 )
 
-// handleHeldJobs takes in what an agent tells of other entries' jobs, and what it
-// has heard of this entry's.
+// handleHeldJobs processes the part of a report about held jobs: those of other
+// entries, and the echo that shows which announcements of this entry the agent has
+// received.
 func (s *Scheduler) handleHeldJobs(a *agent, r messenger.Report) {
 	now := s.clock.Now()
 	if r.Echo > 0 {
@@ -99,8 +105,9 @@
 	}
 }
 
-// keepEarlierHeldJobs keeps what an earlier incarnation of the agent told for a while, since
-// one that has restarted has not heard of all jobs yet.
+// keepEarlierHeldJobs keeps the held jobs that an earlier incarnation of the agent
+// reported for HeldJobsTTL, since a restarted agent has not yet received all
+// announcements.
 func (a *agent) keepEarlierHeldJobs(incarnation int64, now time.Time) {
 	maps.DeleteFunc(a.earlierHeldJobs, func(_ string, until time.Time) bool { return !now.Before(until) })
 	if a.heldJobsIncarnation == incarnation {
@@ -118,37 +125,38 @@
 	}
 }
 
-// holdStates returns how other entries hold the jobs that an agent tells of.
+// holdStates returns, by job ID, how other entries hold the jobs that an agent reports.
 func holdStates(h messenger.HeldJobs) map[string]holdState {
-	held := make(map[string]holdState, len(h.Running)+len(h.Yielding)+len(h.Finished))
+	states := make(map[string]holdState, len(h.Running)+len(h.Yielding)+len(h.Finished))
 	for _, id := range h.Finished {
-		held[id] = heldFinished
+		states[id] = heldFinished
 	}
 	for _, id := range h.Yielding {
-		held[id] = heldYielding
+		states[id] = heldYielding
 	}
 	for _, id := range h.Running {
-		held[id] = heldRunning
+		states[id] = heldRunning
 	}
-	return held
+	return states
 }
 
-// giveUpIfHeld gives a job up that another entry holds as well, when it has been here
-// for so long that its caller must have sent it there since, and reports that.
+// giveUpIfHeld gives up a job that another entry holds as well, if the job has been
+// here for so long that its caller must have sent it there since. It reports whether it
+// did.
 func (s *Scheduler) giveUpIfHeld(j *job, now time.Time) bool {
 	age := now.Sub(j.arrived)
 	if age < announceDeadline {
 		return false
 	}
-	how := s.holdElsewhere(j.ID, now)
-	if how == heldRunning && j.hold.placedHere && !j.hold.contested {
+	state := s.holdElsewhere(j.ID, now)
+	if state == heldRunning && j.hold.placedHere && !j.hold.contested {
 		j.hold.contested = true
 		s.emit(Note{Job: j.ID, Queue: j.Queue.Name, What: "job held by two entries", Age: age})
 	}
 	switch {
-	case how == heldYielding:
+	case state == heldYielding:
 		s.giveUp(j, "sent again to another entry")
-	case how == heldRunning && j.hold.placedHere && age >= AgentLossTimeout:
+	case state == heldRunning && j.hold.placedHere && age >= AgentLossTimeout:
 		s.giveUp(j, "another entry has begun it")
 	default:
 		return false
@@ -156,21 +164,23 @@
 	return true
 }
 
-// holdElsewhere returns how other entries hold a job by what agents have lately said.
+// holdElsewhere returns how other entries hold a job according to recent reports of the
+// agents.
 func (s *Scheduler) holdElsewhere(id string, now time.Time) holdState {
-	how := notHeld
+	state := notHeld
 	for _, a := range s.agentsByName {
 		if now.Sub(a.heldJobsAt) <= messenger.HeldJobsTTL {
-			how = max(how, a.heldJobs[id])
+			state = max(state, a.heldJobs[id])
 		}
 		if now.Before(a.earlierHeldJobs[id]) {
-			how = max(how, heldFinished)
+			state = max(state, heldFinished)
 		}
 	}
-	return how
+	return state
 }
 
-// yieldIfHeld has a job wait if another entry holds it, and reports whether it does.
+// yieldIfHeld makes a job of which this entry has placed nothing wait if another entry
+// holds it, and reports whether it does.
 func (s *Scheduler) yieldIfHeld(j *job) bool {
 	now := s.clock.Now()
 	if j.hold.placedHere || s.holdElsewhere(j.ID, now) == notHeld {
@@ -180,12 +190,12 @@
 		s.yielding[j.ID] = j
 		s.emit(Note{Job: j.ID, Queue: j.Queue.Name, What: "job waits", Why: "another entry holds it", Age: now.Sub(j.arrived)})
 	}
-	// It may have run there.
+	// The other entry may have started it.
 	j.mayHaveStarted = true
 	return true
 }
 
-// releaseYielding takes the jobs up that no other entry holds any more.
+// releaseYielding enqueues the yielding jobs that no other entry holds any more.
 func (s *Scheduler) releaseYielding() {
 	now := s.clock.Now()
 	for _, id := range slices.Sorted(maps.Keys(s.yielding)) {
@@ -201,20 +211,22 @@
 	}
 }
 
-// Resumed notes that the entry has taken nothing in for a while. What it reads now
-// may have been said before that, so an agent counts from its next echo on.
+// Resumed records the end of a pause, in which the entry has processed nothing.
+// Messages read now may have been sent before the pause, so an agent is used again only
+// once it has echoed a newer heartbeat.
 func (s *Scheduler) Resumed() {
 	s.resumedAt = s.clock.Now()
 	s.emit(Note{What: "entry was paused"})
 }
 
-// ownsExclusively reports whether no other entry can have begun a job that its caller has
-// sent again: it is too early for that, or the others know that it is held here.
+// ownsExclusively reports whether no other entry can have started the job after its
+// caller has sent it again: it is too early for that, or the other entries have been
+// told in time, and recently enough, that it is held here.
 func (s *Scheduler) ownsExclusively(j *job, now time.Time) bool {
 	if now.Sub(j.hold.sentAt) < announceDeadline || s.yielding[j.ID] == j {
 		return true
 	}
-	told := j.hold.announcedAt
-	inTime := !told.IsZero() && told.Sub(j.hold.sentAt) < announceDeadline
-	return inTime && !s.echoedHeartbeatAt.Before(told) && now.Sub(s.echoedHeartbeatAt) < maxEchoAge
+	announcedAt := j.hold.announcedAt
+	inTime := !announcedAt.IsZero() && announcedAt.Sub(j.hold.sentAt) < announceDeadline
+	return inTime && !s.echoedHeartbeatAt.Before(announcedAt) && now.Sub(s.echoedHeartbeatAt) < maxEchoAge
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -10,17 +10,17 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// Job is a caller's request.
+// Job is a caller's request to run the tasks of one or more steps.
 type Job struct {
 	ID    string
 	Queue Queue
-	// Spec is passed on to the workers as it is.
+	// Spec is passed on to the workers unchanged.
 	Spec  string
 	Steps []Step
-	// Deadline is when the caller stops waiting.
+	// Deadline is when the caller stops waiting for the answer.
 	Deadline time.Time
-	// EarliestSent is when the caller may have sent the job at the earliest; zero means
-	// when it is handed in.
+	// EarliestSent is the earliest time at which the caller may have sent the job
+	// first; zero means the time of submission.
 	EarliestSent time.Time
 }
 
@@ -28,19 +28,22 @@
 type Step struct {
 	Count  int
 	Demand messenger.Resources
-	// Estimate is about how long a task takes on a sound worker.
+	// Estimate is roughly how long a task takes on a healthy worker.
 	Estimate time.Duration
-	// After lists the steps that must be done first, by their numbers.
+	// After lists, by index, the steps that must be done before this one starts.
 	After []int
-	// Label is what the worker must be labelled with; empty means none.
+	// Label is a label that the worker must have; empty means none.
 	Label string
-	// Rack is the label of the rack where the data is; empty means anywhere.
+	// Rack is the label of the rack that holds the data; empty means that the data is
+	// not on a rack.
 	Rack string
-	// MaxPerWorker is how many tasks of the step one worker may run; 0 means any.
+	// MaxPerWorker is the maximum number of tasks of the step on one worker; 0 means no
+	// limit.
 	MaxPerWorker int
 }
 
-// Validate reports what is wrong with a job, or nothing.
+// Validate returns an Invalid error if the job has no steps, a step has no tasks, or a
+// step depends on itself or a later one.
 func (j Job) Validate() error {
 	if len(j.Steps) == 0 {
 		return &Error{Op: "job", Kind: Invalid, Text: "no steps"}
@@ -58,99 +61,100 @@
 	return nil
 }
 
-// criticalPath returns the longest chain of estimated work.
+// criticalPath returns the longest chain of estimated durations over dependent steps.
 func (j Job) criticalPath() time.Duration {
-	ends := make([]time.Duration, len(j.Steps))
+	pathEnds := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i, s := range j.Steps {
 		for _, a := range s.After {
-			ends[i] = max(ends[i], ends[a])
+			pathEnds[i] = max(pathEnds[i], pathEnds[a])
 		}
-		ends[i] += s.Estimate
-		longest = max(longest, ends[i])
+		pathEnds[i] += s.Estimate
+		longest = max(longest, pathEnds[i])
 	}
 	return longest
 }
 
-// criticalPathsFrom returns, for each step, the longest chain of estimated work that begins
-// with it.
+// criticalPathsFrom returns, for each step, the longest chain of estimated durations
+// that begins with it.
 func (j Job) criticalPathsFrom() []time.Duration {
-	chains := make([]time.Duration, len(j.Steps))
+	paths := make([]time.Duration, len(j.Steps))
 	for i := len(j.Steps) - 1; i >= 0; i-- {
-		chains[i] += j.Steps[i].Estimate
+		paths[i] += j.Steps[i].Estimate
 		for _, a := range j.Steps[i].After {
-			chains[a] = max(chains[a], chains[i])
+			paths[a] = max(paths[a], paths[i])
 		}
 	}
-	return chains
+	return paths
 }
 
-// estimateError is how far estimates usually are off, either way.
+// estimateError is the usual relative error of estimates, in either direction.
 const estimateError = 0.4
 
-// minDuration returns the time that the job takes if the estimates are as far too
-// high as they usually get.
+// minDuration returns the duration of the job if the estimates are too high by their
+// usual error.
 func (j Job) minDuration() time.Duration {
 	return time.Duration((1 - estimateError) * float64(j.criticalPath()))
 }
 
-// MaxDuration returns the time that the job takes if the estimates are as far too low
-// as they usually get.
+// MaxDuration returns the duration of the job if the estimates are too low by their
+// usual error.
 func (j Job) MaxDuration() time.Duration {
 	return time.Duration((1 + estimateError) * float64(j.criticalPath()))
 }
 
-// objective returns the time in which the job is to be complete.
+// objective returns the latency objective of the job, counted from its arrival.
 func (j Job) objective() time.Duration {
 	return time.Duration(j.Queue.Stretch*float64(j.criticalPath())) + j.Queue.Slack
 }
 
-// taskState is where a task stands.
+// taskState is the state of a task within its job.
 type taskState int
 
 const (
 	// blocked tasks wait for earlier steps.
 	blocked taskState = iota
-	// ready tasks wait for a worker.
+	// ready tasks wait to be placed.
 	ready
 	// placed tasks have been sent to an agent.
 	placed
 	finished
 )
 
-// task is one task of a job that is being worked on.
+// task is the state of one task of an unfinished job.
 type task struct {
 	job   *job
 	step  int
 	id    string
 	state taskState
-	// readyAt is when the steps before it were done.
+	// readyAt is when the steps that it depends on were done.
 	readyAt time.Time
 	// runNumber is the number of the last run.
 	runNumber int
 	agent     *agent
-	// lastPlaceAt is when the last run was sent; link and place are the numbers of
-	// the agent's link and of the Place on it.
+	// placedAt is when the last run was sent. linkNumber and placeNumber identify the
+	// agent's link and the Place message on it.
 	placedAt    time.Time
 	linkNumber  int
 	placeNumber uint64
-	// placedSpeed is the relative speed of the worker as it was known at lastPlaceAt; 1 for
-	// a probe.
+	// placedSpeed is the relative speed of the worker as estimated at placedAt; 1 for a
+	// probe.
 	placedSpeed float64
 	// failures counts the runs that ended as failed.
 	failures int
-	// avoidUntil lists agents that the task is kept away from, and until when.
+	// avoidUntil lists, by agent name, until when the task is not placed there.
 	avoidUntil map[string]time.Time
-	// progressPercent is how far the last run had come at age.
+	// progressPercent is the progress of the last run when it had the age progressAge.
 	progressPercent int
 	progressAge     time.Duration
-	// moving means that the last run is being stopped to run it elsewhere.
+	// moving means that the last run is being stopped so that the task can run
+	// elsewhere.
 	moving bool
-	// farFactor is how many times as long the last run takes for being away from
-	// its data; 0 counts as 1.
+	// farFactor is the factor by which the last run takes longer because its worker is
+	// away from the data; 0 counts as 1.
 	farFactor float64
-	// deferred means that the task waits for a near worker although a far one had room
-	// when the agents were last looked at.
+	// deferred means that the task waits for a near worker although a far one had
+	// capacity when the agents were last checked.
 	deferred bool
 }
 
@@ -164,47 +168,51 @@
 	return float64(s.Demand.CPU) / 1000 * float64(s.Estimate.Milliseconds())
 }
 
-// job is a Job that is being worked on.
+// job is the state of an unfinished Job.
 type job struct {
 	Job
-	// number orders jobs by their arrival.
+	// number rises in order of arrival.
 	number uint64
-	// hash is that of the ID.
+	// hash is the hash of the ID.
 	hash    uint64
 	arrived time.Time
 	tickets []uint64
 	tasks   []*task
-	// unfinished counts the tasks of each step that are not finished.
+	// unfinished counts the unfinished tasks of each step.
 	unfinished []int
-	// inQueue means that the scheduler's queue holds the job.
+	// inQueue means that the job is in Scheduler.queue.
 	inQueue bool
-	// queuedAt is when it was last put there, apart from placements that were
-	// refused since.
+	// queuedAt is when the job was last put into the queue. A refused placement does
+	// not change it.
 	queuedAt time.Time
-	// mayHaveStarted means that a task may have started.
+	// mayHaveStarted means that a run of one of the job's tasks may have started, here
+	// or at another entry.
 	mayHaveStarted bool
 	hold           hold
-	// overdue means that latest had passed, and rank is the place of its kind,
-	// both as of when the queue was last sorted.
+	// overdue means that latestStart had passed, and rank is the queue's rank, both as
+	// of the last time that the scheduler's queue was sorted.
 	overdue bool
 	rank    int
-	// waitedForCapacity means that a pass has found no room for the job, and counted that its
-	// first placement after that is among its queue's starts.
+	// waitedForCapacity means that a pass found no capacity for the job. startCounted
+	// means that the first placement after that was counted in the start rate of its
+	// queue.
 	waitedForCapacity bool
 	startCounted      bool
-	// fastOnly means that the job has waited for too long for any worker but a fast
-	// one.
+	// fastOnly means that the job has waited so long that only a fast worker can still
+	// meet the objective.
 	fastOnly bool
-	// latestStart is when the first task must start for the job to be in time, and objectiveAt
-	// when the last one must have ended.
+	// latestStart is when the first task must start for the job to meet its objective,
+	// and objectiveAt when the last task must have ended.
 	latestStart, objectiveAt time.Time
-	// criticalPaths are the longest chains of estimated work from each step on.
+	// criticalPaths has, for each step, the longest chain of estimated durations that
+	// begins with it.
 	criticalPaths []time.Duration
 }
 
-// newJob returns a job of which last is the record of the last try.
+// newJob returns a job. last is the record of an earlier attempt, whose run numbers the
+// new one continues.
 func newJob(j Job, number uint64, now time.Time, last record) *job {
-	n := &job{
+	out := &job{
 		Job:            j,
 		number:         number,
 		hash:           xxhash.Sum64String(j.ID),
@@ -217,24 +225,24 @@
 		hold:           hold{sentAt: j.EarliestSent},
 	}
 	if j.EarliestSent.IsZero() {
-		n.hold.sentAt = now
+		out.hold.sentAt = now
 	}
 	for i, s := range j.Steps {
-		n.unfinished[i] = s.Count
+		out.unfinished[i] = s.Count
 		for k := range s.Count {
-			t := &task{job: n, step: i, id: fmt.Sprintf("%s.0.%d.%d", j.ID, i, k), runNumber: last.lastRunNumber}
+			t := &task{job: out, step: i, id: fmt.Sprintf("%s.0.%d.%d", j.ID, i, k), runNumber: last.lastRunNumber}
 			if len(s.After) == 0 {
 				t.state = ready
 				t.readyAt = now
 			}
-			n.tasks = append(n.tasks, t)
+			out.tasks = append(out.tasks, t)
 		}
 	}
-	return n
+	return out
 }
 
-// unsettledIfStarted returns an answer that does not claim that a job which may have
-// begun has not run.
+// unsettledIfStarted returns a, or Unsettled in place of an answer that would claim
+// that the job has not run although a task may have started.
 func (j *job) unsettledIfStarted(a Answer) Answer {
 	if j.mayHaveStarted && a.Outcome != Complete {
 		return Answer{Outcome: Unsettled, RetryAfter: AgentLossTimeout, Why: a.Why + "; an earlier try may have run"}
@@ -242,10 +250,10 @@
 	return a
 }
 
-// unstarted reports whether nothing has been done for a job.
+// unstarted reports whether no task is placed and none may have started.
 func (j *job) unstarted() bool { return !j.mayHaveStarted && !j.hasTask(placed) }
 
-// unblock makes the tasks ready whose steps may begin.
+// unblock makes the blocked tasks ready whose step is ready.
 func (j *job) unblock(now time.Time) {
 	for _, t := range j.tasks {
 		if t.state == blocked && j.stepReady(t.step) {
@@ -255,7 +263,7 @@
 	}
 }
 
-// stepReady reports whether all steps before step are done.
+// stepReady reports whether all steps that a step depends on are done.
 func (j *job) stepReady(step int) bool {
 	for _, a := range j.Steps[step].After {
 		if j.unfinished[a] > 0 {
@@ -265,11 +273,12 @@
 	return true
 }
 
-// hasRackData reports whether the data of a step is on a rack.
+// hasRackData reports whether a step has its data on a rack.
 func (j Job) hasRackData() bool {
 	return slices.ContainsFunc(j.Steps, func(s Step) bool { return s.Rack != "" })
 }
 
+// done reports whether all tasks are finished.
 func (j *job) done() bool {
 	for _, n := range j.unfinished {
 		if n > 0 {
@@ -279,7 +288,7 @@
 	return true
 }
 
-// hasTask reports whether a task is in a state.
+// hasTask reports whether any task is in a state.
 func (j *job) hasTask(state taskState) bool {
 	return slices.ContainsFunc(j.tasks, func(t *task) bool { return t.state == state })
 }
@@ -304,8 +313,8 @@
 	return n
 }
 
-// queuedWork returns the estimated work of the tasks that wait, in core-milliseconds.
-// Tasks held for a near worker are left out: other jobs can have the far room.
+// queuedWork returns the estimated work of the ready tasks, in core-milliseconds.
+// Deferred tasks are left out: they leave the capacity of far workers to other jobs.
 func (j *job) queuedWork() float64 {
 	var sum float64
 	for _, t := range j.tasks {
@@ -316,7 +325,7 @@
 	return sum
 }
 
-// FirstStep returns the first step, or an empty one, for the log.
+// FirstStep returns the first step for the log, or an empty one if there is none.
 func (j Job) FirstStep() Step {
 	if len(j.Steps) == 0 {
 		return Step{}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -8,58 +8,61 @@
 )
 
 const (
-	// refusalHalfLife is the time in which what is known of a queue's refusals loses
-	// half of its weight.
+	// refusalHalfLife is the half-life of the refusal stats of a queue.
 	refusalHalfLife = time.Second
-	// urgentAdvantage is the share of refusals by which the other queues must be
-	// worse off before a queue of priority 0 waits for them.
+	// urgentAdvantage is added to the refused share of a queue of priority 0. Such a
+	// queue waits for another one only if the refused share of that one is greater by
+	// this much.
 	urgentAdvantage = 0.5
-	// refusedShareStep is the smallest difference of shares that changes the order.
+	// refusedShareStep is the smallest difference between refused shares that changes
+	// the order.
 	refusedShareStep = 0.05
 )
 
-// refusalStats counts the jobs of a queue that were handed in and refused lately.
+// refusalStats has decaying counts of the jobs of a queue that were submitted and
+// refused.
 type refusalStats struct {
 	submitted float64
 	refused   float64
 	at        time.Time
 }
 
-// decay lets the counts fade.
-func (h *refusalStats) decay(now time.Time) {
-	if !h.at.IsZero() {
-		f := math.Exp2(-float64(now.Sub(h.at)) / float64(refusalHalfLife))
-		h.submitted *= f
-		h.refused *= f
+// decay applies the decay since the last call to the counts.
+func (r *refusalStats) decay(now time.Time) {
+	if !r.at.IsZero() {
+		factor := math.Exp2(-float64(now.Sub(r.at)) / float64(refusalHalfLife))
+		r.submitted *= factor
+		r.refused *= factor
 	}
-	h.at = now
+	r.at = now
 }
 
-// refusedShare returns the share of jobs that were refused.
-func (h *refusalStats) refusedShare() float64 { return h.refused / max(h.submitted, 1) }
+// refusedShare returns the refused fraction of the submitted jobs.
+func (r *refusalStats) refusedShare() float64 { return r.refused / max(r.submitted, 1) }
 
-// refusalsOf returns the counts of a queue.
+// refusalsOf returns the refusal stats of a queue.
 func (s *Scheduler) refusalsOf(q Queue) *refusalStats {
-	h := s.refusals[q.Name]
-	if h == nil {
-		h = &refusalStats{}
-		s.refusals[q.Name] = h
+	stats := s.refusals[q.Name]
+	if stats == nil {
+		stats = &refusalStats{}
+		s.refusals[q.Name] = stats
 	}
-	return h
+	return stats
 }
 
-// queueRank orders queues when there is too little room: the queue that has had to
-// take the most refusals lately comes first, with an advantage for urgent ones.
-// So no kind of request is starved by another one that happens to fit better.
+// queueRank returns the rank of a queue for the time when capacity is scarce, lowest
+// first: the queue with the greatest refused share comes first, with an advantage for
+// priority 0. So no kind of request is starved by another one that happens to fit
+// better.
 func (s *Scheduler) queueRank(q Queue) int {
-	lost := s.refusalsOf(q).refusedShare()
+	refusedShare := s.refusalsOf(q).refusedShare()
 	if q.Priority == 0 {
-		lost += urgentAdvantage
+		refusedShare += urgentAdvantage
 	}
-	return -int(lost / refusedShareStep)
+	return -int(refusedShare / refusedShareStep)
 }
 
-// sortQueue brings the queue into the order in which its jobs are placed.
+// sortQueue sorts the queue into the order in which its jobs are placed.
 func (s *Scheduler) sortQueue(now time.Time) {
 	ranks := make(map[string]int)
 	for _, j := range s.queue {
@@ -72,9 +75,10 @@
 	slices.SortStableFunc(s.queue, compareJobs)
 }
 
-// compareJobs orders jobs: those begun first, since what they have done is lost if
-// they are late; those last that will be late whatever happens; then by their
-// queues' rank; then those that must start soonest.
+// compareJobs orders jobs for placement. Jobs that may have started come first, since
+// their work is wasted if they are late. Overdue jobs, which will miss their objective
+// in any case, come last. Within these groups jobs are ordered by the rank of their
+// queue, then by their latest start, then by arrival.
 func compareJobs(a, b *job) int {
 	if a.mayHaveStarted != b.mayHaveStarted {
 		if a.mayHaveStarted {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// placementWaitLimit is how long a run waits at an agent whose room another
-	// entry has just taken.
+	// placementWaitLimit is how long a run waits at an agent whose free capacity
+	// another entry has just taken.
 	placementWaitLimit = 5 * time.Millisecond
-	// minEarlyHeartbeatInterval is the least time between two rounds of heartbeats that are sent
-	// to ask for room before they are due.
+	// minEarlyHeartbeatInterval is the minimum time between two rounds of heartbeats
+	// that are sent before they are due, to announce a backlog.
 	minEarlyHeartbeatInterval = messenger.HeartbeatInterval / 2
 )
 
-// schedulingPass places what waits, in order, and refuses what has waited too long.
+// schedulingPass places ready tasks at all agents, in queue order, and refuses the jobs
+// that have waited too long.
 func (s *Scheduler) schedulingPass() {
 	now := s.clock.Now()
 	defer s.observeStartRates(now)
@@ -43,22 +44,22 @@
 	s.requestReservations(now)
 }
 
-// schedulingPassAt places what waits at one agent, whose room has changed. The others
-// were found without room in the last pass, so that looking at them again at
-// each report of each agent would only cost time when there is least of it.
+// schedulingPassAt places ready tasks at one agent, whose free capacity has changed.
+// The last pass found no capacity at the others; checking all agents at each report of
+// each agent would cost time just when the load is highest.
 func (s *Scheduler) schedulingPassAt(a *agent) {
 	if len(s.queue) == 0 || !s.backlog.Min.FitsIn(a.capacityWithBackfill()) {
 		return
 	}
 	now := s.clock.Now()
-	only := []*agent{a}
+	agents := []*agent{a}
 	s.backlog = s.computeBacklog()
 	s.passBacklog = passBacklog{}
 	for _, j := range s.queueOrderAt(a, now) {
 		if s.tooLate(j, now) && !j.fastOnly {
 			continue
 		}
-		s.placeJob(j, only, now)
+		s.placeJob(j, agents, now)
 		if !s.backlog.Min.FitsIn(a.capacityWithBackfill()) {
 			break
 		}
@@ -67,36 +68,38 @@
 	s.observeStartRates(now)
 }
 
-// computeBacklog returns what the queue holds.
+// computeBacklog returns the backlog of the queue and updates maxBacklogDemand.
 func (s *Scheduler) computeBacklog() messenger.Backlog {
-	var w messenger.Backlog
+	var backlog messenger.Backlog
 	s.maxBacklogDemand = messenger.Resources{}
 	for _, j := range s.queue {
 		for _, t := range j.tasks {
 			if t.state == ready {
-				w = w.With(t.demand())
+				backlog = backlog.With(t.demand())
 				s.maxBacklogDemand = s.maxBacklogDemand.Max(t.demand())
 			}
 		}
 	}
-	w.WantsForecast = w.Tasks > 0 && s.needsCapacityForecast()
-	return w
+	backlog.WantsForecast = backlog.Tasks > 0 && s.needsCapacityForecast()
+	return backlog
 }
 
-// needsCapacityForecast reports whether what will fall free decides on what waits: tasks whose
-// data is on a rack, or large ones.
+// needsCapacityForecast reports whether placing the backlog depends on the agents'
+// capacity forecasts: some job has its data on a rack and far runs take longer, or a
+// waiting task is large.
 func (s *Scheduler) needsCapacityForecast() bool {
 	return s.rackJobSeen && s.config.FarFactor > 1 || s.largeForAnyService(s.maxBacklogDemand)
 }
 
-// Backlog returns what waits for room.
+// Backlog returns what waits for capacity.
 func (s *Scheduler) Backlog() messenger.Backlog {
 	s.backlog = s.computeBacklog()
 	return s.backlog
 }
 
-// EarlyHeartbeatDue reports whether all agents are to hear now that jobs wait: one has begun
-// to. Without that they tell of room that falls free only now and then.
+// EarlyHeartbeatDue reports whether heartbeats must be sent to all agents now because
+// jobs have begun to wait. Agents report freed capacity at once only to entries that
+// have announced a backlog.
 func (s *Scheduler) EarlyHeartbeatDue() bool {
 	if len(s.queue) == 0 {
 		s.backlogAnnounced = false
@@ -111,7 +114,8 @@
 	return true
 }
 
-// pruneQueue drops the jobs from the queue that have no task to place.
+// pruneQueue removes the jobs without ready tasks from the queue, and those that have
+// ended or yield.
 func (s *Scheduler) pruneQueue() {
 	s.queue = slices.DeleteFunc(s.queue, func(j *job) bool {
 		j.inQueue = s.jobs[j.ID] == j && s.yielding[j.ID] != j && j.hasTask(ready)
@@ -119,8 +123,8 @@
 	})
 }
 
-// enqueue makes pass look at a job that has tasks to place, once no run of its
-// last try can go on and no other entry holds it.
+// enqueue puts a job with ready tasks into the queue, unless withdrawn runs of an
+// earlier attempt may not have ended or another entry holds the job.
 func (s *Scheduler) enqueue(j *job) {
 	if s.withdrawnRuns[j.ID] > 0 || s.yieldIfHeld(j) {
 		return
@@ -133,37 +137,38 @@
 	}
 }
 
-// placeJob sends as many of a job's waiting tasks as there is room for. Tasks
-// go to as few workers as possible, so that one bad worker harms few jobs.
+// placeJob places as many ready tasks of a job as there is capacity for. Tasks are
+// placed on as few workers as possible, so that one bad worker harms few jobs.
 func (s *Scheduler) placeJob(j *job, agents []*agent, now time.Time) {
 	if s.yieldIfHeld(j) || !s.ownsExclusively(j, now) {
 		return
 	}
 	for step := range j.Steps {
-		var todo []*task
+		var waiting []*task
 		for _, t := range j.tasks {
 			if t.step == step && t.state == ready {
-				todo = append(todo, t)
+				waiting = append(waiting, t)
 			}
 		}
-		for len(todo) > 0 {
-			a, n := s.chooseAgent(agents, j, step, todo, now)
+		for len(waiting) > 0 {
+			a, n := s.chooseAgent(agents, j, step, waiting, now)
 			if a == nil && len(agents) == len(s.agentsByName) {
-				clearDeferred(todo)
+				clearDeferred(waiting)
 			}
 			if n == 0 {
 				break
 			}
-			s.placeTasks(a, j, todo[:n])
-			todo = todo[n:]
+			s.placeTasks(a, j, waiting[:n])
+			waiting = waiting[n:]
 		}
 		if s.config.FarFactor > 1 {
-			s.passBacklog.add(j.Steps[step], todo)
+			s.passBacklog.add(j.Steps[step], waiting)
 		}
 	}
 }
 
-// placeTasks places tasks of one step at an agent.
+// placeTasks places tasks of one step at an agent. Tasks that are placed there already
+// are sent again with the same run.
 func (s *Scheduler) placeTasks(a *agent, j *job, tasks []*task) {
 	now := s.clock.Now()
 	s.countStart(j, now)
@@ -177,11 +182,11 @@
 		MaxWait: placementWaitLimit,
 		Echo:    a.report.Timestamp,
 	}
-	var sum messenger.Resources
-	fresh := 0
+	var total messenger.Resources
+	newRuns := 0
 	for _, t := range tasks {
 		if t.state == ready {
-			fresh++
+			newRuns++
 			t.runNumber++
 			t.state = placed
 			t.placedAt = now
@@ -190,7 +195,7 @@
 			t.farFactor = s.config.farFactor(a, j.Steps[t.step])
 			t.placedSpeed = a.expectedSpeed()
 			a.tasks[t.current()] = t
-			sum = sum.Plus(t.demand())
+			total = total.Plus(t.demand())
 		}
 		t.placeNumber = p.Number
 		t.linkNumber = a.linkNumber
@@ -200,11 +205,11 @@
 			Estimate: t.estimate(),
 		})
 	}
-	s.backlog = s.backlog.Without(fresh, sum)
+	s.backlog = s.backlog.Without(newRuns, total)
 	p.Backlog = s.backlog
-	a.pending = append(a.pending, pendingPlacement{number: p.Number, demand: sum})
+	a.pending = append(a.pending, pendingPlacement{number: p.Number, demand: total})
 	a.health.recordPlacement(p.Tasks[0].Run)
-	if fresh > 0 {
+	if newRuns > 0 {
 		s.useReservation(a, j, tasks[0].step)
 	}
 	s.emit(Send{Agent: a.name, Message: p})
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// avoidAfterFailure and avoidAfterRefusal are how long a task is kept away from a worker
-	// on which it has failed, or whose agent has refused it.
+	// avoidAfterFailure and avoidAfterRefusal are how long a task is not placed on a
+	// worker on which it has failed, or at an agent that has refused it.
 	avoidAfterFailure = 2 * time.Second
 	avoidAfterRefusal = 200 * time.Millisecond
 )
 
-// LinkOpened notes a new link to an agent. Nothing is placed there before it has
-// sent a complete list of what it runs for this entry.
+// LinkOpened records a new link to an agent. Nothing is placed there before the agent
+// has reported a complete list of the runs that it has for this entry.
 func (s *Scheduler) LinkOpened(name string) {
 	a := s.findOrAddAgent(name)
 	a.synced = false
@@ -32,7 +32,7 @@
 	a.speed = defaultSpeed
 }
 
-// LinkClosed notes that the link to an agent has ended.
+// LinkClosed records that the link to an agent has ended.
 func (s *Scheduler) LinkClosed(name string) {
 	a := s.findOrAddAgent(name)
 	a.synced = false
@@ -41,16 +41,16 @@
 	s.emit(Note{Agent: name, What: "agent out of touch", Why: "link closed", Age: s.clock.Since(a.reportedAt)})
 }
 
-// LastOutcome returns the number of the last outcome that an agent has told on its
-// link. The agent need not tell it again.
+// LastOutcome returns the number of the last outcome that an agent has reported on its
+// link. The agent need not report it again.
 func (s *Scheduler) LastOutcome(name string) uint64 { return s.findOrAddAgent(name).lastOutcome }
 
-// Upstream returns what was last heard of the worker at an agent.
+// Upstream returns the worker of an agent as last reported.
 func (s *Scheduler) Upstream(name string) messenger.Upstream {
 	return s.findOrAddAgent(name).upstream
 }
 
-// HandleReport takes in an agent's word.
+// HandleReport processes an agent's report.
 func (s *Scheduler) HandleReport(r messenger.Report) {
 	a := s.findOrAddAgent(r.Agent)
 	a.lastOutcome = r.LastOutcome
@@ -59,9 +59,9 @@
 			a.health = health{}
 			a.speed = defaultSpeed
 		}
-		old := a.upstream.Service
+		oldService := a.upstream.Service
 		a.upstream = *r.Upstream
-		s.updateMaxCapacity(old)
+		s.updateMaxCapacity(oldService)
 		s.updateMaxCapacity(a.upstream.Service)
 	}
 	a.report = r
@@ -69,7 +69,7 @@
 	a.reportedAt = s.clock.Now()
 	a.dropReported()
 	s.confirmReservation(a)
-	waiting := s.enqueueCount
+	enqueuedBefore := s.enqueueCount
 	for _, e := range r.Ended {
 		s.handleEnd(a, e)
 	}
@@ -84,50 +84,51 @@
 		s.reconcile(a, r)
 	}
 	s.checkHealth(a)
-	if r.RunsComplete || s.enqueueCount != waiting {
+	if r.RunsComplete || s.enqueueCount != enqueuedBefore {
 		s.schedulingPass()
 		return
 	}
 	s.schedulingPassAt(a)
 }
 
-// reconcile compares an agent's complete list with what was placed there.
+// reconcile compares an agent's complete list of runs with what was placed there.
 func (s *Scheduler) reconcile(a *agent, r messenger.Report) {
-	there := make(map[messenger.Run]bool, len(r.Runs))
+	listed := make(map[messenger.Run]bool, len(r.Runs))
 	for _, p := range r.Runs {
-		there[p.Run] = true
+		listed[p.Run] = true
 	}
 	restarted := a.incarnation != r.Incarnation
-	s.emit(Note{Agent: a.name, What: "list of runs taken in", Why: fmt.Sprintf("%d runs there, %d tasks placed, restarted: %t", len(r.Runs), len(a.tasks), restarted)})
+	s.emit(Note{Agent: a.name, What: "list of runs taken in", Why: fmt.Sprintf("%d runs listed, %d tasks placed, agent restarted: %t", len(r.Runs), len(a.tasks), restarted)})
 	a.incarnation = r.Incarnation
 	a.synced = true
 	for _, t := range a.sortedTasks() {
 		switch {
-		case !there[t.current()] && t.coveredBy(a, r):
-			// It does not run, but it may have: the agent forgets in the end.
+		case !listed[t.current()] && t.coveredBy(a, r):
+			// The run is not there now, but it may have been: an agent evicts finished
+			// runs in the end.
 			t.job.mayHaveStarted = true
-			s.requeueTask(t, "not at agent")
-		case !there[t.current()]:
+			s.requeueTask(t, "not in the run list of the agent")
+		case !listed[t.current()]:
 		case restarted:
-			// A restarted agent does not know whose run it is.
+			// A restarted agent does not know which entry owns the run.
 			t.job.mayHaveStarted = true
 			s.placeTasks(a, t.job, []*task{t})
 		}
 	}
-	s.reconcileWithdrawn(a, r, there)
-	var strays []messenger.Run
+	s.reconcileWithdrawn(a, r, listed)
+	var unknownRuns []messenger.Run
 	for _, p := range r.Runs {
 		if a.withdrawn[p.Run] != nil || (a.tasks[p.Run] == nil && (!restarted || s.jobs[jobIDOf(p.Task)] != nil)) {
-			strays = append(strays, p.Run)
+			unknownRuns = append(unknownRuns, p.Run)
 		}
 	}
-	if len(strays) > 0 {
-		s.emit(Send{Agent: a.name, Message: messenger.Withdraw{Runs: strays}})
+	if len(unknownRuns) > 0 {
+		s.emit(Send{Agent: a.name, Message: messenger.Withdraw{Runs: unknownRuns}})
 	}
 }
 
-// requeueLost gives up the runs of an agent that has been out of touch for so long
-// that they have ended for certain.
+// requeueLost requeues the tasks of an agent that has been disconnected for so long
+// that their runs have certainly ended.
 func (s *Scheduler) requeueLost(a *agent) {
 	for _, t := range a.sortedTasks() {
 		t.job.mayHaveStarted = true
@@ -138,10 +139,10 @@
 	}
 }
 
-// sortedTasks returns the agent's tasks in a fixed order.
+// sortedTasks returns the tasks placed at the agent, ordered as by sortTasks.
 func (a *agent) sortedTasks() []*task { return sortTasks(a.tasks) }
 
-// sortTasks returns tasks in a fixed order.
+// sortTasks returns tasks ordered by the arrival of their jobs and then by ID.
 func sortTasks(tasks map[messenger.Run]*task) []*task {
 	out := slices.Collect(maps.Values(tasks))
 	slices.SortFunc(out, func(x, y *task) int {
@@ -153,6 +154,7 @@
 	return out
 }
 
+// handleProgress processes the reported progress of a run.
 func (s *Scheduler) handleProgress(a *agent, p messenger.Progress) {
 	t := a.tasks[p.Run]
 	if t == nil || p.Age <= 0 {
@@ -163,7 +165,8 @@
 	t.progressAge = p.Age
 }
 
-// pace returns the work done over the work expected by now.
+// pace returns the work done by the current run over the work expected by now; 1 when
+// nothing is known.
 func (t *task) pace() float64 {
 	estimate := t.estimate()
 	if t.progressAge <= 0 || estimate <= 0 {
@@ -172,7 +175,7 @@
 	return float64(t.progressPercent) / 100 * float64(estimate) / float64(t.progressAge)
 }
 
-// handleEnd takes in the end of a run.
+// handleEnd processes the end of a run.
 func (s *Scheduler) handleEnd(a *agent, e messenger.RunEnd) {
 	if t := a.withdrawn[e.Run]; t != nil {
 		s.handleWithdrawnEnd(a, t, e)
@@ -193,16 +196,17 @@
 	}
 }
 
+// handleSuccess processes a run that ended as done.
 func (s *Scheduler) handleSuccess(a *agent, t *task) {
 	s.throughput.add(t.work(), s.clock.Now())
-	took := s.clock.Since(t.placedAt)
-	a.health.recordSuccess(t.current(), float64(t.estimate())/float64(max(took, time.Millisecond)))
+	elapsed := s.clock.Since(t.placedAt)
+	a.health.recordSuccess(t.current(), float64(t.estimate())/float64(max(elapsed, time.Millisecond)))
 	t.unplace()
 	s.completeTask(t)
 }
 
-// completeTask notes that a task is done, which may end its job or begin its next
-// steps.
+// completeTask marks a task as finished. This may end its job or make the tasks of
+// later steps ready.
 func (s *Scheduler) completeTask(t *task) {
 	j := t.job
 	t.state = finished
@@ -217,7 +221,8 @@
 	}
 }
 
-// handleFailure takes in a run that failed, by its own fault or the worker's.
+// handleFailure processes a run that failed, whether the task or the worker is at
+// fault.
 func (s *Scheduler) handleFailure(a *agent, t *task) {
 	if a.health.isProbe(t.current()) {
 		s.eject(a, "failed the probe")
@@ -233,13 +238,14 @@
 	s.requeueTask(t, "run failed")
 }
 
-// coveredBy reports whether a complete list must hold the task: it was placed on
-// an earlier link, or the agent had taken its placement in.
+// coveredBy reports whether a complete list of runs must contain the task's run if it
+// is still there: the task was placed on an earlier link, or the agent had processed
+// its placement.
 func (t *task) coveredBy(a *agent, r messenger.Report) bool {
 	return t.linkNumber < a.linkNumber || t.placeNumber <= r.AckedPlace
 }
 
-// avoidAgent keeps a task away from an agent for a while.
+// avoidAgent keeps the task from being placed at an agent until a time.
 func (t *task) avoidAgent(a *agent, until time.Time) {
 	if t.avoidUntil == nil {
 		t.avoidUntil = make(map[string]time.Time)
@@ -247,7 +253,8 @@
 	t.avoidUntil[a.name] = until
 }
 
-// handleRefusal takes in a run that has not started.
+// handleRefusal processes the refusal of a run, which has not started and will not
+// start.
 func (s *Scheduler) handleRefusal(a *agent, r messenger.Refusal) {
 	if t := a.withdrawn[r.Run]; t != nil {
 		s.releaseWithdrawn(a, t)
@@ -258,26 +265,27 @@
 		return
 	}
 	if r.Reason == messenger.RefusedSuperseded {
-		// A run of the task has been at the worker before.
+		// The worker has already seen this run number of the task or a higher one.
 		t.job.mayHaveStarted = true
 	}
 	if r.Reason != messenger.RefusedNoRoom {
 		t.avoidAgent(a, s.clock.Now().Add(avoidAfterRefusal))
 	}
-	since := t.job.queuedAt
+	queuedAt := t.job.queuedAt
 	s.requeueTask(t, "refused: "+string(r.Reason))
-	t.job.queuedAt = since
+	t.job.queuedAt = queuedAt
 	s.uncountStart(t.job, s.clock.Now())
 }
 
-// unplace takes a task off its agent, whose worker its run tells nothing more of.
+// unplace removes the task from its agent. If its run was the probe, the run says
+// nothing more about the worker.
 func (t *task) unplace() {
 	t.agent.health.clearProbe(t.current())
 	delete(t.agent.tasks, t.current())
 	t.agent = nil
 }
 
-// requeueTask makes a task wait for a worker once more.
+// requeueTask makes a placed task ready again.
 func (s *Scheduler) requeueTask(t *task, why string) {
 	s.emit(Note{Job: t.job.ID, Queue: t.job.Queue.Name, Run: t.current(), Agent: t.agent.name, What: "task to be placed again", Why: why, Age: s.clock.Since(t.job.arrived)})
 	t.unplace()
@@ -288,6 +296,7 @@
 	s.enqueue(t.job)
 }
 
+// jobIDOf returns the job ID that a task ID begins with.
 func jobIDOf(task string) string {
 	for i := range len(task) {
 		if task[i] == '.' {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -3,47 +3,47 @@
 import "time"
 
 const (
-	// minRetryAfter and maxRetryAfter bound the time after which callers are asked to
-	// come back.
+	// minRetryAfter and maxRetryAfter bound the time after which refused callers are
+	// asked to retry.
 	minRetryAfter = time.Second
 	maxRetryAfter = 10 * time.Second
-	// defaultRetryGap is the time between two callers while the rate at which their queue
-	// is served is unknown.
+	// defaultRetryGap is the time between the retries of two callers while the start
+	// rate of their queue is unknown.
 	defaultRetryGap = 20 * time.Millisecond
 )
 
-// retrySchedule spreads the times at which refused callers of a queue come back, so
-// that a burst that was refused does not return as one.
+// retrySchedule spreads the retries of the refused callers of a queue, so that a
+// refused burst does not return as a burst.
 type retrySchedule struct {
-	// nextFree is the earliest time that no caller has been given yet.
+	// nextFree is the earliest time that has not been given to a caller.
 	nextFree time.Time
 }
 
-// retryAfter returns when the next refused caller is asked to come back: once the
-// waiting work is done, and gap after the caller before it. Times past the bound
-// begin anew at the earliest one.
-func (c *retrySchedule) retryAfter(now time.Time, drained, gap time.Duration) time.Duration {
-	first := min(max(drained, minRetryAfter), maxRetryAfter)
-	wait := max(c.nextFree.Sub(now), first)
+// retryAfter returns when the next refused caller is asked to retry: once the backlog
+// is worked off, and gap after the caller before it. Times beyond maxRetryAfter start
+// over at the earliest one.
+func (r *retrySchedule) retryAfter(now time.Time, backlogTime, gap time.Duration) time.Duration {
+	earliest := min(max(backlogTime, minRetryAfter), maxRetryAfter)
+	wait := max(r.nextFree.Sub(now), earliest)
 	if wait > maxRetryAfter {
-		wait = first
+		wait = earliest
 	}
-	c.nextFree = now.Add(wait + gap)
+	r.nextFree = now.Add(wait + gap)
 	return wait
 }
 
-// retryAfter is when a refused caller of a job had better come back.
+// retryAfter returns when the refused caller of a job is asked to retry.
 func (s *Scheduler) retryAfter(j *job) time.Duration {
 	now := s.clock.Now()
-	c := s.retrySchedules[j.Queue.Name]
-	if c == nil {
-		c = &retrySchedule{}
-		s.retrySchedules[j.Queue.Name] = c
+	schedule := s.retrySchedules[j.Queue.Name]
+	if schedule == nil {
+		schedule = &retrySchedule{}
+		s.retrySchedules[j.Queue.Name] = schedule
 	}
-	return c.retryAfter(now, s.backlogTimeBefore(nil), s.retryGap(j, now))
+	return schedule.retryAfter(now, s.backlogTimeBefore(nil), s.retryGap(j, now))
 }
 
-// retryGap is the time in which the queue of a job serves one.
+// retryGap returns the time in which the queue of a job starts one job.
 func (s *Scheduler) retryGap(j *job, now time.Time) time.Duration {
 	if rate, known := s.startRateOf(j.Queue.Name).perSecond(now); known {
 		return seconds(1 / rate)
@@ -54,5 +54,5 @@
 	return defaultRetryGap
 }
 
-// seconds returns a number of seconds as a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,11 +1,12 @@
-// Package scheduler holds an entry's decisions on jobs: what is taken on, in
-// which order tasks go to which worker, what is refused, and what is run again
-// elsewhere. It does no input or output and reads time from a clock interface.
-// It returns effects; the entry process carries them out.
+// Package scheduler makes an entry's decisions on jobs: which jobs are admitted, in
+// which order tasks are placed on which workers, what is refused, and what is run again
+// elsewhere. It does no input or output and reads the time from a clock interface. It
+// returns effects, which the entry process applies.
 //
-// The entry that takes a job on owns it. A caller whose connection broke sends
-// the job again only after a time within which every run of a lost owner has
-// ended, and within which the other entries have heard of an owner that lives.
+// The entry that admits a job owns it. A caller whose connection broke sends the job
+// again only after a time within which every run of a lost owner has ended, and within
+// which the other entries have received the announcement of an owner that is still
+// running.
 package scheduler
 
 import (
@@ -21,10 +22,10 @@
 )
 
 const (
-	// recordTTL is how long the outcome of a job is kept for callers that send
-	// it again.
+	// recordTTL is how long the outcome of a finished job is kept for callers that send
+	// the job again.
 	recordTTL = 15 * time.Second
-	// maxRecords bounds the outcomes that are kept.
+	// maxRecords bounds the number of outcomes that are kept.
 	maxRecords = 20_000
 )
 
@@ -34,74 +35,83 @@
 	dataCentre string
 	config     Configuration
 	agents     map[string]*agent
-	// agentsByName lists the agents in the order of their names.
+	// agentsByName lists the agents sorted by name.
 	agentsByName []*agent
 	jobs         map[string]*job
+	// tickets has the job that the caller of each ticket waits for.
 	tickets      map[uint64]*job
-	// queue lists the jobs with tasks that wait, in the order of pass.
+	// queue lists the jobs that have ready tasks, in the order in which a scheduling
+	// pass places them.
 	queue   []*job
 	records map[string]record
-	// withdrawnRuns counts, for jobs that are over, the runs that may still go on.
+	// withdrawnRuns counts, by job ID, the runs of finished jobs that are not known to
+	// have ended.
 	withdrawnRuns map[string]int
-	// yielding are the jobs that wait since another entry holds them.
+	// yielding holds the jobs that wait because another entry holds them.
 	yielding map[string]*job
-	// refusals counts refusals by the name of the queue.
+	// refusals counts recent refusals by queue name.
 	refusals map[string]*refusalStats
-	// startRates and comebacks are kept by the name of the queue as well.
+	// startRates and retrySchedules are also kept by queue name.
 	startRates     map[string]*startRate
 	retrySchedules map[string]*retrySchedule
-	// speedProfiles are the workers by service, as compared at speedsComparedAt.
+	// speedProfiles describes the spread of the workers' speeds by service, as compared
+	// at speedsComparedAt.
 	speedProfiles    map[string]speedProfile
 	speedsComparedAt time.Time
-	// recordOrder lists the records in the order of their making.
+	// recordOrder lists the job IDs of the records, oldest first.
 	recordOrder   []string
 	lastJobNumber uint64
 	effects       []Effect
-	// enqueueCount counts the times that a job was put into the queue.
+	// enqueueCount counts the calls that put a job's tasks up for placement.
 	enqueueCount uint64
-	// backlog is what waited for room when it was last counted, less what has been
+	// backlog is what waited for capacity when it was last computed, less what has been
 	// placed since.
 	backlog messenger.Backlog
-	// backlogAnnounced is whether the agents have been told that jobs wait, and earlyHeartbeatAt when
-	// they were last told so before a heartbeat was due.
+	// backlogAnnounced means that the agents have been told that jobs wait.
+	// earlyHeartbeatAt is when heartbeats were last sent for that before they were due.
 	backlogAnnounced bool
 	earlyHeartbeatAt time.Time
-	// passBacklog is what the last pass has found to wait, and scarce whether tasks
-	// that would run anywhere had found no room when all agents were last looked at.
+	// passBacklog is what the last scheduling pass left waiting. capacityScarce means
+	// that the last pass over all agents found no capacity for tasks that could run on
+	// any worker.
 	passBacklog    passBacklog
 	capacityScarce bool
-	// rackJobSeen means that a job has come whose data is on a rack.
+	// rackJobSeen means that a job has arrived whose data is on a rack.
 	rackJobSeen bool
-	// throughput is the work done lately; short is for Need.
+	// throughput is the work done recently. refusedForCapacity means that a job was
+	// refused for lack of capacity since the last call of CapacityNeed.
 	throughput         throughput
 	refusedForCapacity bool
-	// maxCapacity has the most of each resource that a worker of a service has.
+	// maxCapacity has, by service, the maximum of each resource over the workers.
 	maxCapacity map[string]messenger.Resources
-	// maxBacklogDemand has the most of each resource that a waiting task takes.
+	// maxBacklogDemand is the maximum of each resource over the demands of the waiting
+	// tasks.
 	maxBacklogDemand messenger.Resources
-	// reservations are those that agents have been asked for.
+	// reservations lists those requested from agents.
 	reservations []*reservation
-	// echoedHeartbeatAt is when the last heartbeat was sent that an agent has echoed.
+	// echoedHeartbeatAt is when the newest heartbeat that any agent has echoed was
+	// sent.
 	echoedHeartbeatAt time.Time
-	// resumedAt is when the entry last went on after a pause; zero before one.
+	// resumedAt is when the last pause of this process ended; zero if there was none.
 	resumedAt time.Time
-	// warmUpEnd is when the entry can be taken to know the room; zero before the
+	// warmUpEnd is when the entry is assumed to know the free capacity; zero before the
 	// first configuration.
 	warmUpEnd time.Time
 }
 
-// record is the outcome of a job that is over.
+// record is the outcome of a finished job.
 type record struct {
 	answer        Answer
 	endedAt       time.Time
 	lastRunNumber int
-	// mayHaveStarted means that a task may have started.
+	// mayHaveStarted means that a run of one of the job's tasks may have started.
 	mayHaveStarted bool
-	// announced means that other entries have been told of the job.
+	// announced means that the job was listed in a heartbeat as held by this entry.
 	announced bool
 }
 
-// NewScheduler returns a scheduler without configuration, which takes no jobs.
+// NewScheduler returns a scheduler without a configuration. Without queues no jobs can
+// be submitted to it.
 func NewScheduler(clock clockwork.Clock, dataCentre string) *Scheduler {
 	return &Scheduler{
 		clock:          clock,
@@ -119,7 +129,7 @@
 	}
 }
 
-// TakeEffects returns the effects since the last call.
+// TakeEffects returns the effects accumulated since the last call.
 func (s *Scheduler) TakeEffects() []Effect {
 	out := s.effects
 	s.effects = nil
@@ -128,7 +138,7 @@
 
 func (s *Scheduler) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// Configure puts a configuration into force.
+// Configure applies a configuration. The first one starts the warm-up.
 func (s *Scheduler) Configure(c Configuration) {
 	s.config = c
 	if s.warmUpEnd.IsZero() {
@@ -137,27 +147,29 @@
 	s.schedulingPass()
 }
 
-// Submit takes a job of the request with a ticket. The ticket gets one Reply.
+// Submit admits or refuses a job. Each ticket gets exactly one Reply, unless its caller
+// leaves first. A job that is already running gets one more ticket; a job with a
+// recorded outcome is answered with it.
 func (s *Scheduler) Submit(ticket uint64, in Job) {
 	now := s.clock.Now()
 	if j := s.jobs[in.ID]; j != nil {
-		// The caller sent the job again while it runs.
+		// The caller has sent the job again while it is running.
 		j.tickets = append(j.tickets, ticket)
 		s.tickets[ticket] = j
 		return
 	}
-	r, known := s.records[in.ID]
-	if known && (r.answer.Outcome == Complete || r.answer.Outcome == JobFailed) {
+	r, recorded := s.records[in.ID]
+	if recorded && (r.answer.Outcome == Complete || r.answer.Outcome == JobFailed) {
 		s.emit(Reply{Ticket: ticket, Answer: r.answer})
 		return
 	}
 	s.lastJobNumber++
 	j := newJob(in, s.lastJobNumber, now, r)
-	h := s.refusalsOf(in.Queue)
-	h.decay(now)
-	h.submitted++
+	stats := s.refusalsOf(in.Queue)
+	stats.decay(now)
+	stats.submitted++
 	if a, ok := s.admit(j, now); !ok {
-		h.refused++
+		stats.refused++
 		s.emit(Reply{Ticket: ticket, Answer: j.unsettledIfStarted(a)})
 		return
 	}
@@ -167,14 +179,14 @@
 	s.rackJobSeen = s.rackJobSeen || j.hasRackData()
 	if n := s.withdrawnRuns[j.ID]; n > 0 {
 		j.hold.sentAt = now.Add(-max(announceAfter, now.Sub(j.hold.sentAt)))
-		s.emit(Note{Job: j.ID, Queue: j.Queue.Name, What: "job waits", Why: fmt.Sprintf("%d runs of its last try may go on", n)})
+		s.emit(Note{Job: j.ID, Queue: j.Queue.Name, What: "job waits", Why: fmt.Sprintf("%d runs of its previous attempt may still be running", n)})
 	}
 	s.enqueue(j)
 	s.schedulingPass()
 }
 
-// CallerLeft notes that the caller of a ticket has gone. A job that nobody waits
-// for is given up.
+// CallerLeft records that the caller of a ticket has disconnected. A job without
+// callers is cancelled.
 func (s *Scheduler) CallerLeft(ticket uint64) {
 	j := s.tickets[ticket]
 	if j == nil {
@@ -188,7 +200,8 @@
 	}
 }
 
-// Cancel gives a job up at its caller's wish and reports whether it was known.
+// Cancel cancels a job on behalf of its caller and reports whether the job was running
+// here.
 func (s *Scheduler) Cancel(id string) bool {
 	j := s.jobs[id]
 	if j == nil {
@@ -199,7 +212,8 @@
 	return true
 }
 
-// State returns what is known of a job.
+// State returns the outcome of a job: Running while it is unfinished, Unknown if there
+// is no record of it.
 func (s *Scheduler) State(id string) Answer {
 	if s.jobs[id] != nil {
 		return Answer{Outcome: Running}
@@ -210,7 +224,7 @@
 	return Answer{Outcome: Unknown}
 }
 
-// Waiting counts the jobs of a queue of which no task has been placed.
+// Waiting counts the unstarted jobs of a queue.
 func (s *Scheduler) Waiting(queue string) int {
 	n := 0
 	for _, j := range s.queue {
@@ -221,7 +235,9 @@
 	return n
 }
 
-// Tick looks at what has come due.
+// Tick applies the timeouts: it requeues the runs of lost agents, ends the jobs that
+// can no longer be completed here, releases yielding jobs, moves slow runs, compares
+// the speeds of the workers and expires records. It then runs a scheduling pass.
 func (s *Scheduler) Tick() {
 	now := s.clock.Now()
 	for _, a := range s.agentsByName {
@@ -245,7 +261,8 @@
 	s.schedulingPass()
 }
 
-// giveUp ends a job that cannot be completed.
+// giveUp ends a job that cannot be completed here: as Unsettled if one of its tasks may
+// have started, as Overloaded if not.
 func (s *Scheduler) giveUp(j *job, why string) {
 	if j.mayHaveStarted || j.hasTask(placed) {
 		s.endJob(j, Answer{Outcome: Unsettled, RetryAfter: AgentLossTimeout, Why: why})
@@ -257,8 +274,7 @@
 	s.endJob(j, Answer{Outcome: Overloaded, RetryAfter: s.retryAfter(j), Why: why + "; " + f.String(), Refusal: f.refusal(AfterWaiting)})
 }
 
-// endJob answers all callers of a job, withdraws what is placed and keeps a
-// record.
+// endJob answers all callers of a job, withdraws its placed runs and keeps a record.
 func (s *Scheduler) endJob(j *job, a Answer) {
 	now := s.clock.Now()
 	for _, t := range j.tickets {
@@ -270,37 +286,40 @@
 	if s.yielding[j.ID] == j {
 		delete(s.yielding, j.ID)
 	}
-	left := j.tasksIn(placed)
-	s.withdraw(left)
-	s.trackWithdrawn(left)
+	placedTasks := j.tasksIn(placed)
+	s.withdraw(placedTasks)
+	s.trackWithdrawn(placedTasks)
 	for _, t := range j.tasks {
 		if t.agent != nil {
 			t.unplace()
 		}
 		t.state = finished
 	}
-	s.records[j.ID] = record{answer: a, endedAt: now, lastRunNumber: j.lastRunNumber(), mayHaveStarted: j.mayHaveStarted || len(left) > 0, announced: !j.hold.announcedAt.IsZero()}
+	s.records[j.ID] = record{answer: a, endedAt: now, lastRunNumber: j.lastRunNumber(), mayHaveStarted: j.mayHaveStarted || len(placedTasks) > 0, announced: !j.hold.announcedAt.IsZero()}
 	s.recordOrder = append(s.recordOrder, j.ID)
 }
 
-// withdraw asks the agents to drop runs.
+// withdraw asks the agents to withdraw the current runs of tasks, with one message to
+// each synced agent.
 func (s *Scheduler) withdraw(tasks []*task) {
 	byAgent := make(map[*agent][]messenger.Run)
-	var order []*agent
+	var agents []*agent
 	for _, t := range tasks {
 		if byAgent[t.agent] == nil {
-			order = append(order, t.agent)
+			agents = append(agents, t.agent)
 		}
 		byAgent[t.agent] = append(byAgent[t.agent], t.current())
 	}
-	for _, a := range order {
-		s.emit(Note{Job: jobIDOf(byAgent[a][0].Task), Run: byAgent[a][0], Agent: a.name, What: "runs withdrawn", Why: fmt.Sprintf("%d runs, agent in touch: %t", len(byAgent[a]), a.synced)})
+	for _, a := range agents {
+		s.emit(Note{Job: jobIDOf(byAgent[a][0].Task), Run: byAgent[a][0], Agent: a.name, What: "runs withdrawn", Why: fmt.Sprintf("%d runs, agent synced: %t", len(byAgent[a]), a.synced)})
 		if a.synced {
 			s.emit(Send{Agent: a.name, Message: messenger.Withdraw{Runs: byAgent[a]}})
 		}
 	}
 }
 
+// expireRecords deletes the records that are older than recordTTL, and the oldest ones
+// beyond maxRecords.
 func (s *Scheduler) expireRecords(now time.Time) {
 	for len(s.recordOrder) > 0 {
 		id := s.recordOrder[0]
@@ -313,7 +332,7 @@
 	}
 }
 
-// jobsByArrival returns the unfinished jobs in the order of their arrival.
+// jobsByArrival returns the unfinished jobs in order of arrival.
 func (s *Scheduler) jobsByArrival() []*job {
 	out := make([]*job, 0, len(s.jobs))
 	for _, j := range s.jobs {
@@ -323,7 +342,7 @@
 	return out
 }
 
-// findOrAddAgent returns the agent with a name, a new one if need be.
+// findOrAddAgent returns the agent with a name and adds it if it is not known yet.
 func (s *Scheduler) findOrAddAgent(name string) *agent {
 	a := s.agents[name]
 	if a == nil {
--- a/scheduler/startrate.go
+++ b/scheduler/startrate.go
@@ -6,83 +6,82 @@
 )
 
 const (
-	// startRateHalfLife is the time in which what was seen of a queue's starts loses half
-	// of its weight.
+	// startRateHalfLife is the half-life of the counts behind a start rate.
 	startRateHalfLife = 500 * time.Millisecond
-	// minStartWeight is the weight of starts from which on the rate counts as known.
-	// A queue of long jobs gets only a few starts in startRateHalfLife.
+	// minStartWeight is the decayed number of starts from which on the rate counts as
+	// known. A queue of long jobs gets only a few starts within startRateHalfLife.
 	minStartWeight = 1
 )
 
-// startRate is the rate at which waiting jobs of a queue get their first placements.
-// Only the time in which jobs wait counts: a queue in which nothing waits shows
-// how often jobs arrive, not how fast they could be served.
+// startRate measures the rate at which waiting jobs of a queue get their first
+// placements. Only the time in which jobs wait counts: a queue without waiting jobs
+// shows how often jobs arrive, not how fast they could be started.
 type startRate struct {
 	// starts is the decaying number of first placements of jobs that had waited.
 	starts float64
 	// waitingSeconds is the decaying time in which jobs waited, in seconds.
 	waitingSeconds float64
-	// jobsWait is whether jobs have waited since at.
+	// jobsWait means that jobs have waited since at.
 	jobsWait bool
 	at       time.Time
-	// foundWaiting is whether the present look at the queue has met a job that waits.
+	// foundWaiting means that the present walk over the queue has found a waiting job.
 	foundWaiting bool
 }
 
-// observe brings the counts up to now, from when on jobs wait or don't.
-func (d *startRate) observe(waiting bool, now time.Time) {
-	d.decay(now)
-	d.jobsWait = waiting
+// observe updates the counts to now and records whether jobs wait from now on.
+func (r *startRate) observe(waiting bool, now time.Time) {
+	r.decay(now)
+	r.jobsWait = waiting
 }
 
-// addStart notes the first placement of a job that had waited.
-func (d *startRate) addStart(now time.Time) {
-	d.decay(now)
-	d.starts++
+// addStart counts the first placement of a job that had waited.
+func (r *startRate) addStart(now time.Time) {
+	r.decay(now)
+	r.starts++
 }
 
-// removeStart takes a first placement back that the agent has refused.
-func (d *startRate) removeStart(now time.Time) {
-	d.decay(now)
-	d.starts = max(d.starts-1, 0)
+// removeStart takes back a first placement that the agent has refused.
+func (r *startRate) removeStart(now time.Time) {
+	r.decay(now)
+	r.starts = max(r.starts-1, 0)
 }
 
-// decay lets the counts decay and adds the time since at if jobs have waited in it.
-func (d *startRate) decay(now time.Time) {
-	if !d.at.IsZero() {
-		kept := math.Exp2(-float64(now.Sub(d.at)) / float64(startRateHalfLife))
-		d.starts *= kept
-		d.waitingSeconds *= kept
-		if d.jobsWait {
-			d.waitingSeconds += (1 - kept) * startRateHalfLife.Seconds() / math.Ln2
+// decay applies the decay since at, and adds that time if jobs waited in it.
+func (r *startRate) decay(now time.Time) {
+	if !r.at.IsZero() {
+		factor := math.Exp2(-float64(now.Sub(r.at)) / float64(startRateHalfLife))
+		r.starts *= factor
+		r.waitingSeconds *= factor
+		if r.jobsWait {
+			r.waitingSeconds += (1 - factor) * startRateHalfLife.Seconds() / math.Ln2
 		}
 	}
-	d.at = now
+	r.at = now
 }
 
-// perSecond returns the rate of first placements; false if too few were seen.
-func (d *startRate) perSecond(now time.Time) (float64, bool) {
-	d.decay(now)
-	if d.starts < minStartWeight || d.waitingSeconds <= 0 {
+// perSecond returns the rate of first placements; false if too few were counted.
+func (r *startRate) perSecond(now time.Time) (float64, bool) {
+	r.decay(now)
+	if r.starts < minStartWeight || r.waitingSeconds <= 0 {
 		return 0, false
 	}
-	return d.starts / d.waitingSeconds, true
+	return r.starts / r.waitingSeconds, true
 }
 
-// startRateOf returns the drain of a queue.
+// startRateOf returns the start rate of a queue.
 func (s *Scheduler) startRateOf(queue string) *startRate {
-	d := s.startRates[queue]
-	if d == nil {
-		d = &startRate{}
-		s.startRates[queue] = d
+	rate := s.startRates[queue]
+	if rate == nil {
+		rate = &startRate{}
+		s.startRates[queue] = rate
 	}
-	return d
+	return rate
 }
 
-// observeStartRates notes of which queues jobs wait from now on.
+// observeStartRates records for which queues jobs wait from now on.
 func (s *Scheduler) observeStartRates(now time.Time) {
-	for _, d := range s.startRates {
-		d.foundWaiting = false
+	for _, rate := range s.startRates {
+		rate.foundWaiting = false
 	}
 	for _, j := range s.queue {
 		if j.unstarted() {
@@ -90,9 +89,9 @@
 			s.startRateOf(j.Queue.Name).foundWaiting = true
 		}
 	}
-	for _, d := range s.startRates {
-		if d.foundWaiting || d.jobsWait {
-			d.observe(d.foundWaiting, now)
+	for _, rate := range s.startRates {
+		if rate.foundWaiting || rate.jobsWait {
+			rate.observe(rate.foundWaiting, now)
 		}
 	}
 }
@@ -105,7 +104,7 @@
 	}
 }
 
-// uncountStart takes the first placement of a job back that waits once more.
+// uncountStart takes back the first placement of a job that waits again.
 func (s *Scheduler) uncountStart(j *job, now time.Time) {
 	if j.startCounted && j.unstarted() {
 		j.startCounted = false
--- a/scheduler/withdrawn.go
+++ b/scheduler/withdrawn.go
@@ -2,11 +2,11 @@
 
 import "github.com/pomeloferry/pomeloferry/messenger"
 
-// A job that is over may leave runs behind that go on for a while: the word to
-// withdraw them takes its time, and may get lost with the link. When its caller
-// sends the job again, its tasks wait until these runs are known to have ended.
+// Runs of a finished job may go on for a while: the message that withdraws them takes
+// time, and may be lost with the link. If the caller sends the job again, its tasks
+// wait until these runs are known to have ended.
 
-// trackWithdrawn keeps tasks of a job that is over until their runs have ended.
+// trackWithdrawn tracks the runs of a finished job until they are known to have ended.
 func (s *Scheduler) trackWithdrawn(tasks []*task) {
 	for _, t := range tasks {
 		t.agent.withdrawn[t.current()] = t
@@ -14,8 +14,8 @@
 	}
 }
 
-// releaseWithdrawn notes that a withdrawn run has ended or has never started. The job may
-// run again when it was the last one.
+// releaseWithdrawn records that a withdrawn run has ended or has never started. If it
+// was the last one of its job, the job may run again.
 func (s *Scheduler) releaseWithdrawn(a *agent, t *task) {
 	delete(a.withdrawn, t.current())
 	id := t.job.ID
@@ -28,24 +28,24 @@
 	}
 }
 
-// handleWithdrawnEnd takes in the end of a withdrawn run. A task that is done need not
-// run again when its job has been sent again meanwhile.
+// handleWithdrawnEnd processes the end of a withdrawn run. If the run was done and its
+// job has been sent again meanwhile, the task does not run again.
 func (s *Scheduler) handleWithdrawnEnd(a *agent, t *task, e messenger.RunEnd) {
 	if j := s.jobs[t.job.ID]; j != nil && e.Reason == messenger.RunDone {
-		for _, again := range j.tasks {
-			if again.id == t.id && again.state == ready {
-				s.completeTask(again)
+		for _, newTask := range j.tasks {
+			if newTask.id == t.id && newTask.state == ready {
+				s.completeTask(newTask)
 			}
 		}
 	}
 	s.releaseWithdrawn(a, t)
 }
 
-// reconcileWithdrawn compares an agent's complete list with the runs that were
+// reconcileWithdrawn compares an agent's complete list of runs with the runs that were
 // withdrawn there.
-func (s *Scheduler) reconcileWithdrawn(a *agent, r messenger.Report, there map[messenger.Run]bool) {
+func (s *Scheduler) reconcileWithdrawn(a *agent, r messenger.Report, listed map[messenger.Run]bool) {
 	for _, t := range sortTasks(a.withdrawn) {
-		if !there[t.current()] && t.coveredBy(a, r) {
+		if !listed[t.current()] && t.coveredBy(a, r) {
 			s.releaseWithdrawn(a, t)
 		}
 	}
