--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -39,7 +39,7 @@
 	agentsByName []*agent
 	jobs         map[string]*job
 	// tickets has the job that the caller of each ticket waits for.
-	tickets      map[uint64]*job
+	tickets map[uint64]*job
 	// queue lists the jobs that have ready tasks, in the order in which a scheduling
 	// pass places them.
 	queue   []*job
