--- a/announcer/announcer.go
+++ b/announcer/announcer.go
@@ -1,6 +1,7 @@
-// Package announcer tells the world outside a process what the process does:
-// it connects the actor library to the process's own log, and writes state
-// dumps when a signal asks for one.
+// Package announcer holds what the processes share to serve requests and to make
+// their state visible: listeners, an HTTP server with graceful shutdown, the set-up of
+// actors and their log, handlers for metrics, and state dumps over HTTP and on a
+// signal.
 package announcer
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// NewActorSystem returns an actor system that logs to the process's log.
+// NewActorSystem returns an actor system that logs its errors to the log of deps.
 func NewActorSystem(deps provider.Deps) *actor.ActorSystem {
 	handler := slog.NewJSONHandler(deps.Log.Logger.Out, &slog.HandlerOptions{Level: slog.LevelError})
 	return actor.NewActorSystem(actor.WithLoggerFactory(func(*actor.ActorSystem) *slog.Logger {
@@ -26,12 +27,13 @@
 	}))
 }
 
-// Dumper is a process whose state can be written out.
+// Dumper is a process that can return its state for diagnosis.
 type Dumper interface {
 	Dump() (any, error)
 }
 
-// NewDumpHandler returns a handler that writes the state of d as JSON.
+// NewDumpHandler returns a handler that writes the state of d as JSON. It answers 503
+// if there is no state.
 func NewDumpHandler(d Dumper) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		dump, err := d.Dump()
@@ -46,8 +48,8 @@
 	})
 }
 
-// DumpOnSignal logs the state of d whenever the process gets SIGUSR1, until
-// ctx ends.
+// DumpOnSignal logs the state of d whenever the process receives SIGUSR1, until ctx
+// ends.
 func DumpOnSignal(ctx context.Context, deps provider.Deps, d Dumper) {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGUSR1)
@@ -65,18 +67,18 @@
 func logDump(deps provider.Deps, d Dumper) {
 	dump, err := d.Dump()
 	if err != nil {
-		deps.Log.WithError(err).Warn("no dump")
+		deps.Log.WithError(err).Warn("state dump failed")
 		return
 	}
 	raw, err := json.Marshal(dump)
 	if err != nil {
-		deps.Log.WithError(err).Warn("no dump")
+		deps.Log.WithError(err).Warn("state dump failed")
 		return
 	}
 	deps.Log.WithField("dump", json.RawMessage(raw)).Info("state dump")
 }
 
-// NewMetricsHandler returns a handler of a process's metrics and state dump.
+// NewMetricsHandler returns the handler of a process's metrics and state dump.
 func NewMetricsHandler(deps provider.Deps, d Dumper) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -87,8 +89,9 @@
 	return mux
 }
 
-// LogDependency logs when a dependency of the process is lost, fails in another
-// way or is regained. It returns the text to pass as last to the next call.
+// LogDependency logs when a dependency of the process fails, fails with another error
+// or works again. err is the present error, nil if there is none. It returns the text
+// to pass as last to the next call.
 func LogDependency(deps provider.Deps, name, last string, err error) string {
 	now := ""
 	if err != nil {
--- a/announcer/conn.go
+++ b/announcer/conn.go
@@ -9,15 +9,16 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// ContextWithConn keeps a connection for Gone. It is a ConnContext hook of a server.
+// ContextWithConn stores a connection in the context for PeerClosed. It is the
+// ConnContext hook of a server.
 func ContextWithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
 // PeerClosed reports whether the peer of a request's connection has closed or reset
-// it. The context of a request ends with its connection, but only once the
-// library has come to read from it: a process that has been kept from running
-// would begin a request whose caller has long sent it elsewhere.
+// it. The context of a request is cancelled when its connection ends, but only after
+// package net/http has read from it: a process that was paused would begin a request
+// that its caller has long since sent elsewhere.
 func PeerClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(syscall.Conn)
 	if !ok {
@@ -28,8 +29,8 @@
 		return true
 	}
 	gone := false
-	// The read lock of the connection is held by the library's own read, so that
-	// Control is used in place of Read.
+	// Read would wait for the connection's read lock, which package net/http holds in
+	// its own read, so Control is used.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/announcer/conn_test.go
+++ b/announcer/conn_test.go
@@ -47,7 +47,7 @@
 			require.NoError(t, err)
 			<-arrived
 			tt.leave(t, c.(*net.TCPConn))
-			time.Sleep(20 * time.Millisecond) // The way of the packet over loopback.
+			time.Sleep(20 * time.Millisecond) // Time for the packet to cross loopback.
 			close(proceed)
 			require.Equal(t, tt.gone, <-gone)
 		})
--- a/announcer/dispatcher.go
+++ b/announcer/dispatcher.go
@@ -7,23 +7,23 @@
 	"github.com/asynkron/protoactor-go/actor"
 )
 
-// dispatcherThroughput is how many messages an actor takes in before it lets
-// others go on.
+// dispatcherThroughput is the number of messages that an actor processes before it
+// yields.
 const dispatcherThroughput = 300
 
-// singleGoroutineDispatcher runs one actor on a goroutine that it keeps. A goroutine for each
-// batch of messages would have to grow its stack each time.
+// singleGoroutineDispatcher runs one actor on one long-lived goroutine. A new goroutine
+// for each batch of messages would have to grow its stack each time.
 type singleGoroutineDispatcher struct {
 	work chan func()
 
 	mu sync.Mutex
-	// stopped means that the goroutine takes nothing more.
+	// stopped is whether the goroutine has ended and takes no more work.
 	stopped bool
 }
 
 // NewDispatcher returns a dispatcher for one actor. Its goroutine ends with ctx.
 func NewDispatcher(ctx context.Context) actor.Dispatcher {
-	// An actor schedules itself at most once while it runs.
+	// An actor schedules itself at most once while it runs, so one slot is enough.
 	d := &singleGoroutineDispatcher{work: make(chan func(), 1)}
 	go d.run(ctx)
 	return d
@@ -41,7 +41,7 @@
 	}
 }
 
-// stop lets what is scheduled go on elsewhere.
+// stop ends the dispatcher. Work that is scheduled already runs on a new goroutine.
 func (d *singleGoroutineDispatcher) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,8 +53,8 @@
 	}
 }
 
-// Schedule implements actor.Dispatcher. After the end of the context the actor
-// still takes in what tells it to stop.
+// Schedule implements actor.Dispatcher. After the end of the context the actor runs on
+// new goroutines, so that it still processes the message that stops it.
 func (d *singleGoroutineDispatcher) Schedule(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/announcer/dispatcher_test.go
+++ b/announcer/dispatcher_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// counter counts the numbers that it gets, and answers questions.
+// counter counts the numbers that it receives and answers queries for the count.
 type counter struct{ n int }
 
 func (c *counter) Receive(ctx actor.Context) {
@@ -50,7 +50,7 @@
 	require.Equal(t, senders*messages, n)
 	cancel()
 	n, err = system.Root.RequestFuture(pid, "count", time.Second).Result()
-	require.NoError(t, err, "while the process stops")
+	require.NoError(t, err, "after the context has ended")
 	require.Equal(t, senders*messages, n)
 	system.Shutdown()
 }
--- a/announcer/graceful.go
+++ b/announcer/graceful.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// newConnTimeout is how long a connection without a request counts as one
-	// whose request is on its way.
+	// newConnTimeout is how long a request is still expected on a connection that has
+	// not carried one.
 	newConnTimeout = 500 * time.Millisecond
-	// quietPeriod is how long no request must have been in progress for a front
-	// to be drained.
+	// quietPeriod is the time without a request in progress or expected after which
+	// the server counts as drained.
 	quietPeriod = 50 * time.Millisecond
-	// drainPollInterval is the time between two looks at the connections.
+	// drainPollInterval is the time between two checks of the connections.
 	drainPollInterval = 5 * time.Millisecond
 )
 
 // GracefulServer is an HTTP server that can be stopped without cutting off a request.
-// The library's Shutdown closes a connection unanswered when the head of its
-// request is read just after the call, so Front does not use it.
+// It does not use http.Server.Shutdown, which closes a connection without a response
+// if the header of its request is read just after the call.
 type GracefulServer struct {
 	clock    clockwork.Clock
 	server   *http.Server
 	listener net.Listener
 
 	mu sync.Mutex
-	// draining is whether a planned stop has begun.
+	// draining is whether Drain has been called.
 	draining bool
-	// newConns holds the connections that have not carried a request yet, and when
-	// they were opened; active those with a request in progress.
+	// newConns holds the connections that have not carried a request yet, with the
+	// times when they were opened; activeConns those with a request in progress.
 	newConns    map[net.Conn]time.Time
 	activeConns map[net.Conn]bool
-	// lastBusyAt is when a connection was last found busy.
+	// lastBusyAt is when a request was last in progress or expected.
 	lastBusyAt time.Time
 }
 
-// NewGracefulServer returns a front that serves s at l. It takes over the ConnState hook
-// of s.
+// NewGracefulServer returns a server that serves s at l. It sets the ConnState hook of
+// s.
 func NewGracefulServer(clock clockwork.Clock, s *http.Server, l net.Listener) *GracefulServer {
 	f := &GracefulServer{
 		clock:       clock,
@@ -55,8 +55,8 @@
 	return f
 }
 
-// Serve serves until the front is closed, which is no error. A drained front
-// goes on until then, so that it does not end a run group before its time.
+// Serve serves until the server is closed, which is no error. If the server is drained
+// before, Serve returns when ctx ends, so that it does not end a run group early.
 func (f *GracefulServer) Serve(ctx context.Context) error {
 	err := Serve(f.server, f.listener)
 	f.mu.Lock()
@@ -69,12 +69,11 @@
 	return err
 }
 
-// Close ends the front at once.
+// Close stops the server at once and closes all connections.
 func (f *GracefulServer) Close() { _ = f.server.Close() }
 
-// Drain takes no more connections, closes those that are idle, and waits until
-// every request has been answered, or ctx ends. It returns the number of
-// requests still in progress.
+// Drain accepts no more connections, closes idle ones, and waits until every request
+// has been answered or ctx ends. It returns the number of requests still in progress.
 func (f *GracefulServer) Drain(ctx context.Context) int {
 	f.mu.Lock()
 	f.draining = true
@@ -91,8 +90,8 @@
 	}
 }
 
-// checkDrained counts the requests in progress, and reports whether there have been
-// none for the quiet time.
+// checkDrained returns the number of requests in progress, and whether none has been in
+// progress or expected for quietPeriod.
 func (f *GracefulServer) checkDrained() (int, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +106,7 @@
 	return len(f.activeConns), now.Sub(f.lastBusyAt) >= quietPeriod
 }
 
-// trackConnState follows the state of each connection.
+// trackConnState records the state of each connection. It is the ConnState hook.
 func (f *GracefulServer) trackConnState(c net.Conn, state http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/announcer/graceful_test.go
+++ b/announcer/graceful_test.go
@@ -14,7 +14,8 @@
 	"github.com/pomeloferry/pomeloferry/announcer"
 )
 
-// startFront serves a handler on loopback until the test ends.
+// startFront serves a handler on loopback until the test ends. It returns the server, its
+// address and a channel with the result of Serve.
 func startFront(t *testing.T, h http.HandlerFunc) (*announcer.GracefulServer, string, chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,8 +31,8 @@
 	return f, l.Addr().String(), served
 }
 
-// ask sends a request on an open connection and returns the status, or the
-// error of a connection that ends without an answer.
+// ask sends a request on an open connection and returns the status of the response, or
+// the error if the connection ends without a response.
 func ask(c net.Conn) (int, error) {
 	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		return 0, err
@@ -65,12 +66,12 @@
 			_ = c.Close()
 		}
 		return err != nil
-	}, time.Second, time.Millisecond, "the stop has not begun")
+	}, time.Second, time.Millisecond, "the server still accepts connections")
 	status, err = ask(fresh)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
 	_, err = ask(used)
-	require.Error(t, err, "an idle connection is closed, so that no late request comes over it")
+	require.Error(t, err, "an idle connection is closed, so that it carries no late request")
 	require.Zero(t, <-drained)
 }
 
@@ -94,8 +95,8 @@
 	<-began
 	short, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	require.Equal(t, 1, f.Drain(short), "the limit ends the wait")
-	require.Empty(t, served, "a drained front goes on until it is closed")
+	require.Equal(t, 1, f.Drain(short), "the end of the context ends the wait")
+	require.Empty(t, served, "Serve returns before the end of its context")
 	close(proceed)
 	require.NoError(t, <-answered)
 	require.Zero(t, f.Drain(context.Background()))
--- a/announcer/listen.go
+++ b/announcer/listen.go
@@ -14,10 +14,10 @@
 // Kind classifies an Error.
 type Kind string
 
-// Unusable means that a setting names something that cannot be used.
+// Unusable means that a process cannot use the value of a setting.
 const Unusable Kind = "Unusable"
 
-// Error is the error of this package. Op is the name of the setting.
+// Error is the error type of this package. Op is the name of the setting.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -30,13 +30,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Address is where a process listens, and the setting that says so.
+// Address is an address to listen on and the name of the setting that holds it.
 type Address struct {
 	Setting string
 	Addr    string
 }
 
-// Listen opens all addresses, or none. Its error names the setting.
+// Listen opens listeners on all addresses, or on none if one fails. Its error names the
+// setting.
 func Listen(list ...Address) ([]net.Listener, error) {
 	var out []net.Listener
 	for _, a := range list {
@@ -52,7 +53,7 @@
 	return out, nil
 }
 
-// Serve serves until the server is closed, which is no error.
+// Serve serves s at l until the server is closed, which is no error.
 func Serve(s *http.Server, l net.Listener) error {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
--- a/provider/clock.go
+++ b/provider/clock.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	// maxBootAge is the longest time for which the time since boot is reckoned
-	// from the steady clock.
+	// maxBootAge is the longest time for which the time since boot is extrapolated
+	// from the monotonic clock.
 	maxBootAge = 50 * time.Millisecond
-	// clockTolerance is the least difference between the ways of the steady clock
-	// and the time of day that may be a suspension.
+	// clockTolerance is the smallest difference between the progress of the
+	// monotonic clock and of the wall clock that is taken for a possible suspension.
 	clockTolerance = time.Millisecond
 )
 
-// BootClock is a clock whose time also counts while the machine is suspended
-// and that the time of day does not move. Timers are those of the real clock.
+// BootClock is a clock that includes the time in which the machine is suspended and
+// ignores changes of the wall clock. Timers are those of the real clock.
 //
-// The kernel tells the time since boot only by a system call, which costs far
-// more than the other clocks, and time is read several times for each message.
-// So the time since boot is read now and then; in between it is reckoned from the
-// steady clock, unless the time of day has gone another way. After a suspension,
-// which the steady clock does not count and the time of day does, it is read anew.
+// The time since boot is available only by a system call, which costs far more than
+// reading the other clocks, and the time is read several times for each message. So
+// the time since boot is read only from time to time and is extrapolated from the
+// monotonic clock in between. It is read again as soon as the wall clock and the
+// monotonic clock have advanced differently, as they do after a suspension, which
+// the wall clock counts and the monotonic clock does not.
 type BootClock struct {
 	clockwork.Clock
 	startTime time.Time
 	read      clockReader
 
 	mu sync.Mutex
-	// wall, steady and boot are the readings when the time since boot was last
-	// read.
+	// wall, monotonic and boot are the readings taken when the time since boot was
+	// last read.
 	wall, monotonic, boot time.Duration
-	// startBoot is the time since boot at base.
+	// startBoot is the time since boot at startTime.
 	startBoot time.Duration
-	// lastTime is the last time that was told. Time does not go back.
+	// lastTime is the last time returned. Now never returns an earlier one.
 	lastTime time.Time
 }
 
 // clockReader reads the machine's clocks.
 type clockReader struct {
-	// wallAndMonotonic returns the time of day and the steady clock, each from a start of
-	// its own.
-	wallAndMonotonic func() (wall, steady time.Duration)
+	// wallAndMonotonic returns the wall clock and the monotonic clock, each since an
+	// origin of its own.
+	wallAndMonotonic func() (wall, monotonic time.Duration)
 	// boot returns the time since boot.
 	boot func() time.Duration
 }
 
-// NewBootClock returns a clock that starts at the present time of day.
+// NewBootClock returns a clock that starts at the current time of the wall clock.
 func NewBootClock() *BootClock {
 	start := time.Now()
 	return newBootClock(start, clockReader{
@@ -68,7 +69,7 @@
 	return c
 }
 
-// Now returns the time.
+// Now returns the current time, which never goes back.
 func (c *BootClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +86,8 @@
 	return c.lastTime
 }
 
-// refresh reads all clocks, once more when the process was held up meanwhile.
+// refresh reads all clocks. It reads them again, up to three times in all, if the
+// process was delayed between the readings.
 func (c *BootClock) refresh() {
 	const tries = 3
 	for range tries {
@@ -98,16 +100,17 @@
 	}
 }
 
-// Since returns the time since t, which this clock gave.
+// Since returns the time elapsed since t, which must come from this clock.
 func (c *BootClock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until returns the time until t.
+// Until returns the time until t, which must come from this clock.
 func (c *BootClock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
+// sinceBoot returns the time since the machine booted, suspensions included.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The call fails only for a clock that the kernel does not have.
+		// The call fails only if the kernel does not support the clock.
 		panic("clock: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
--- a/provider/clock_test.go
+++ b/provider/clock_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeMachine has clocks that the test moves.
+// fakeMachine has clocks that the test advances.
 type fakeMachine struct {
 	wall, monotonic, boot time.Duration
-	// reads counts the readings of the time since boot.
+	// reads counts the reads of the time since boot.
 	reads int
 }
 
@@ -45,8 +45,8 @@
 	m.run(20 * time.Millisecond)
 	require.Equal(t, suspended+30*time.Millisecond, c.Since(time.Unix(0, 0)))
 
-	// A time of day that is set back by as much as the machine slept hides that
-	// for a moment only.
+	// A wall clock that is set back by the duration of the suspension hides the
+	// suspension until the time since boot is read again, after maxBootAge.
 	m.boot += suspended
 	m.run(maxBootAge)
 	require.Equal(t, 2*suspended+30*time.Millisecond+maxBootAge, c.Since(time.Unix(0, 0)))
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -1,6 +1,6 @@
-// Package provider holds the dependencies that every part of a process shares:
-// the clock, the log and the metrics. They are built once at start-up and
-// passed down, so that no package keeps global state.
+// Package provider holds the dependencies that all parts of a process share: the
+// clock, the log and the metrics. They are created once at start-up and passed down,
+// so that no package keeps global state.
 package provider
 
 import (
@@ -13,20 +13,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Deps is the one dependencies value of a process.
+// Deps are the shared dependencies of a process. There is one value per process.
 type Deps struct {
-	// Clock is the source of time. Tests pass a fake one.
+	// Clock is the source of time. Tests use a fake clock.
 	Clock clockwork.Clock
 	// Log writes JSON lines. It is never nil.
 	Log *logrus.Entry
 	// Metrics is served at /metrics. It is never nil.
 	Metrics *metrics.Set
-	// BundleVersion is the version of the bundle in force at the process.
-	// Every log line names it.
+	// BundleVersion is the version of the bundle that is in force at the process.
+	// Every log line contains it.
 	BundleVersion *atomic.Uint64
 }
 
-// NewDeps returns the dependencies of a real process that logs to w.
+// NewDeps returns dependencies with the real clock and a JSON log written to w.
 func NewDeps(w io.Writer) Deps {
 	log := logrus.New()
 	log.SetOutput(w)
@@ -41,8 +41,8 @@
 	}
 }
 
-// versionHook adds the version of the bundle in force to log lines that do not
-// name another one.
+// versionHook adds the version of the bundle in force to log lines that do not have
+// a version yet.
 type versionHook struct {
 	version *atomic.Uint64
 }
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// WithField returns a copy of d whose log lines carry one more field.
+// WithField returns a copy of d that adds a field to its log lines.
 func (d Deps) WithField(key string, value any) Deps {
 	d.Log = d.Log.WithField(key, value)
 	return d
 }
 
-// WithClock returns a copy of d that reads time from clock.
+// WithClock returns a copy of d that uses clock.
 func (d Deps) WithClock(clock clockwork.Clock) Deps {
 	d.Clock = clock
 	return d
--- a/provider/writer.go
+++ b/provider/writer.go
@@ -7,15 +7,16 @@
 	"sync/atomic"
 )
 
-// lineBufferSize is the number of log lines that wait for a slow reader.
+// lineBufferSize is the number of log lines that are buffered for a slow reader.
 const lineBufferSize = 4096
 
-// maxBatchBytes bounds what is written at once, in bytes.
+// maxBatchBytes is the size in bytes from which a batch takes no more lines. A batch
+// is written by one call.
 const maxBatchBytes = 32 << 10
 
-// NonBlockingWriter passes writes on to another writer without ever blocking. What
-// does not fit the ring is dropped and counted; the count is written as a line
-// of its own when there is room again.
+// NonBlockingWriter buffers writes for another writer and never blocks. Lines that do
+// not fit into the buffer are dropped and counted; the count is written as a log line
+// of its own once the other writer accepts lines again.
 type NonBlockingWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
@@ -23,14 +24,15 @@
 	once    sync.Once
 }
 
-// NewNonBlockingWriter returns a writer that passes lines on to w.
+// NewNonBlockingWriter returns a writer that writes lines to w from a goroutine of its
+// own, until Close.
 func NewNonBlockingWriter(w io.Writer) *NonBlockingWriter {
 	r := &NonBlockingWriter{lines: make(chan []byte, lineBufferSize), done: make(chan struct{})}
 	go r.writeLines(w)
 	return r
 }
 
-// Write implements io.Writer. It takes p as one line and never fails.
+// Write implements io.Writer. It queues a copy of p as one line and never fails.
 func (r *NonBlockingWriter) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -41,16 +43,17 @@
 	return len(p), nil
 }
 
-// Dropped returns the number of lines dropped and not yet told of.
+// Dropped returns the number of dropped lines that the log does not report yet.
 func (r *NonBlockingWriter) Dropped() uint64 { return r.dropped.Load() }
 
-// Close passes on what waits. Nothing may be written after it.
+// Close writes the queued lines. Write must not be called afterwards.
 func (r *NonBlockingWriter) Close() {
 	r.once.Do(func() { close(r.lines) })
 	<-r.done
 }
 
-// writeLines passes on all that waits in one write, since each costs a system call.
+// writeLines writes the queued lines in batches, since each write costs a system
+// call.
 func (r *NonBlockingWriter) writeLines(w io.Writer) {
 	defer close(r.done)
 	var batch []byte
@@ -60,12 +63,12 @@
 			batch = fmt.Appendf(batch, "{\"level\":\"warning\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n)
 		}
 		batch = r.appendQueued(append(batch, line...))
-		// A log that cannot be written cannot be told of either.
+		// A failure to write the log cannot be logged either.
 		_, _ = w.Write(batch)
 	}
 }
 
-// appendQueued appends the lines that wait, up to about maxBatchBytes bytes.
+// appendQueued appends queued lines until batch has at least maxBatchBytes bytes.
 func (r *NonBlockingWriter) appendQueued(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
--- a/provider/writer_test.go
+++ b/provider/writer_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// blockedWriter is a reader's end that does not read until it is released.
+// blockedWriter blocks every write until it is released.
 type blockedWriter struct {
 	release chan struct{}
 	got     bytes.Buffer
@@ -37,7 +37,7 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("logging blocks on a reader that has stopped")
+		t.Fatal("logging blocks on a writer that is blocked")
 	}
 	require.Positive(t, ring.Dropped())
 	close(w.release)
