--- a/announcer/conn.go
+++ b/announcer/conn.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return true
 	}
-	gone := false
+	closed := false
 	// Read would wait for the connection's read lock, which package net/http holds in
 	// its own read, so Control is used.
 	err = raw.Control(func(fd uintptr) {
@@ -36,10 +36,10 @@
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch err {
 		case nil:
-			gone = n == 0
+			closed = n == 0
 		case syscall.ECONNRESET, syscall.EPIPE, syscall.ENOTCONN, syscall.ETIMEDOUT:
-			gone = true
+			closed = true
 		}
 	})
-	return gone || err != nil
+	return closed || err != nil
 }
--- a/announcer/conn_test.go
+++ b/announcer/conn_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			arrived, proceed, gone := make(chan bool), make(chan bool), make(chan bool, 1)
+			arrived, proceed, closed := make(chan bool), make(chan bool), make(chan bool, 1)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			s := &http.Server{
@@ -35,7 +35,7 @@
 				Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 					arrived <- true
 					<-proceed
-					gone <- announcer.PeerClosed(r.Context())
+					closed <- announcer.PeerClosed(r.Context())
 				}),
 			}
 			go func() { _ = s.Serve(l) }()
@@ -49,7 +49,7 @@
 			tt.leave(t, c.(*net.TCPConn))
 			time.Sleep(20 * time.Millisecond) // Time for the packet to cross loopback.
 			close(proceed)
-			require.Equal(t, tt.gone, <-gone)
+			require.Equal(t, tt.gone, <-closed)
 		})
 	}
 }
--- a/announcer/graceful.go
+++ b/announcer/graceful.go
@@ -44,24 +44,24 @@
 // NewGracefulServer returns a server that serves s at l. It sets the ConnState hook of
 // s.
 func NewGracefulServer(clock clockwork.Clock, s *http.Server, l net.Listener) *GracefulServer {
-	f := &GracefulServer{
+	g := &GracefulServer{
 		clock:       clock,
 		server:      s,
 		listener:    l,
 		newConns:    make(map[net.Conn]time.Time),
 		activeConns: make(map[net.Conn]bool),
 	}
-	s.ConnState = f.trackConnState
-	return f
+	s.ConnState = g.trackConnState
+	return g
 }
 
 // Serve serves until the server is closed, which is no error. If the server is drained
 // before, Serve returns when ctx ends, so that it does not end a run group early.
-func (f *GracefulServer) Serve(ctx context.Context) error {
-	err := Serve(f.server, f.listener)
-	f.mu.Lock()
-	draining := f.draining
-	f.mu.Unlock()
+func (g *GracefulServer) Serve(ctx context.Context) error {
+	err := Serve(g.server, g.listener)
+	g.mu.Lock()
+	draining := g.draining
+	g.mu.Unlock()
 	if draining && errors.Is(err, net.ErrClosed) {
 		<-ctx.Done()
 		return nil
@@ -70,52 +70,52 @@
 }
 
 // Close stops the server at once and closes all connections.
-func (f *GracefulServer) Close() { _ = f.server.Close() }
+func (g *GracefulServer) Close() { _ = g.server.Close() }
 
 // Drain accepts no more connections, closes idle ones, and waits until every request
 // has been answered or ctx ends. It returns the number of requests still in progress.
-func (f *GracefulServer) Drain(ctx context.Context) int {
-	f.mu.Lock()
-	f.draining = true
-	f.lastBusyAt = f.clock.Now()
-	f.mu.Unlock()
-	_ = f.listener.Close()
-	f.server.SetKeepAlivesEnabled(false)
+func (g *GracefulServer) Drain(ctx context.Context) int {
+	g.mu.Lock()
+	g.draining = true
+	g.lastBusyAt = g.clock.Now()
+	g.mu.Unlock()
+	_ = g.listener.Close()
+	g.server.SetKeepAlivesEnabled(false)
 	for {
-		left, quiet := f.checkDrained()
+		active, quiet := g.checkDrained()
 		if quiet || ctx.Err() != nil {
-			return left
+			return active
 		}
-		f.clock.Sleep(drainPollInterval)
+		g.clock.Sleep(drainPollInterval)
 	}
 }
 
 // checkDrained returns the number of requests in progress, and whether none has been in
 // progress or expected for quietPeriod.
-func (f *GracefulServer) checkDrained() (int, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.clock.Now()
-	busy := len(f.activeConns) > 0
-	for _, opened := range f.newConns {
+func (g *GracefulServer) checkDrained() (int, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock.Now()
+	busy := len(g.activeConns) > 0
+	for _, opened := range g.newConns {
 		busy = busy || now.Sub(opened) < newConnTimeout
 	}
 	if busy {
-		f.lastBusyAt = now
+		g.lastBusyAt = now
 	}
-	return len(f.activeConns), now.Sub(f.lastBusyAt) >= quietPeriod
+	return len(g.activeConns), now.Sub(g.lastBusyAt) >= quietPeriod
 }
 
 // trackConnState records the state of each connection. It is the ConnState hook.
-func (f *GracefulServer) trackConnState(c net.Conn, state http.ConnState) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.newConns, c)
-	delete(f.activeConns, c)
+func (g *GracefulServer) trackConnState(c net.Conn, state http.ConnState) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.newConns, c)
+	delete(g.activeConns, c)
 	switch state {
 	case http.StateNew:
-		f.newConns[c] = f.clock.Now()
+		g.newConns[c] = g.clock.Now()
 	case http.StateActive:
-		f.activeConns[c] = true
+		g.activeConns[c] = true
 	}
 }
--- a/announcer/graceful_test.go
+++ b/announcer/graceful_test.go
@@ -14,26 +14,26 @@
 	"github.com/pomeloferry/pomeloferry/announcer"
 )
 
-// startFront serves a handler on loopback until the test ends. It returns the server, its
+// startServer serves a handler on loopback until the test ends. It returns the server, its
 // address and a channel with the result of Serve.
-func startFront(t *testing.T, h http.HandlerFunc) (*announcer.GracefulServer, string, chan error) {
+func startServer(t *testing.T, h http.HandlerFunc) (*announcer.GracefulServer, string, chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := announcer.NewGracefulServer(clockwork.NewRealClock(), &http.Server{Handler: h, ReadHeaderTimeout: time.Second}, l)
+	g := announcer.NewGracefulServer(clockwork.NewRealClock(), &http.Server{Handler: h, ReadHeaderTimeout: time.Second}, l)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(ctx) }()
+	go func() { served <- g.Serve(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		f.Close()
+		g.Close()
 	})
-	return f, l.Addr().String(), served
+	return g, l.Addr().String(), served
 }
 
-// ask sends a request on an open connection and returns the status of the response, or
+// sendRequest sends a request on an open connection and returns the status of the response, or
 // the error if the connection ends without a response.
-func ask(c net.Conn) (int, error) {
+func sendRequest(c net.Conn) (int, error) {
 	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		return 0, err
 	}
@@ -48,18 +48,18 @@
 }
 
 func TestRequestOnAnOpenConnectionIsAnsweredAfterTheStopHasBegun(t *testing.T) {
-	f, addr, _ := startFront(t, func(http.ResponseWriter, *http.Request) {})
-	used, err := net.Dial("tcp", addr)
+	g, addr, _ := startServer(t, func(http.ResponseWriter, *http.Request) {})
+	usedConn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer used.Close()
-	status, err := ask(used)
+	defer usedConn.Close()
+	status, err := sendRequest(usedConn)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
-	fresh, err := net.Dial("tcp", addr)
+	newConn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer fresh.Close()
+	defer newConn.Close()
 	drained := make(chan int, 1)
-	go func() { drained <- f.Drain(context.Background()) }()
+	go func() { drained <- g.Drain(context.Background()) }()
 	require.Eventually(t, func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
@@ -67,37 +67,37 @@
 		}
 		return err != nil
 	}, time.Second, time.Millisecond, "the server still accepts connections")
-	status, err = ask(fresh)
+	status, err = sendRequest(newConn)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
-	_, err = ask(used)
+	_, err = sendRequest(usedConn)
 	require.Error(t, err, "an idle connection is closed, so that it carries no late request")
 	require.Zero(t, <-drained)
 }
 
 func TestDrainWaitsForRequestsInProgressAndNotForUnusedConnections(t *testing.T) {
 	began, proceed := make(chan bool), make(chan bool)
-	f, addr, served := startFront(t, func(http.ResponseWriter, *http.Request) {
+	g, addr, served := startServer(t, func(http.ResponseWriter, *http.Request) {
 		began <- true
 		<-proceed
 	})
-	unused, err := net.Dial("tcp", addr)
+	unusedConn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer unused.Close()
+	defer unusedConn.Close()
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
 	answered := make(chan error, 1)
 	go func() {
-		_, err := ask(c)
+		_, err := sendRequest(c)
 		answered <- err
 	}()
 	<-began
-	short, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	require.Equal(t, 1, f.Drain(short), "the end of the context ends the wait")
+	require.Equal(t, 1, g.Drain(shortCtx), "the end of the context ends the wait")
 	require.Empty(t, served, "Serve returns before the end of its context")
 	close(proceed)
 	require.NoError(t, <-answered)
-	require.Zero(t, f.Drain(context.Background()))
+	require.Zero(t, g.Drain(context.Background()))
 }
--- a/announcer/listen.go
+++ b/announcer/listen.go
@@ -38,19 +38,19 @@
 
 // Listen opens listeners on all addresses, or on none if one fails. Its error names the
 // setting.
-func Listen(list ...Address) ([]net.Listener, error) {
-	var out []net.Listener
-	for _, a := range list {
+func Listen(addresses ...Address) ([]net.Listener, error) {
+	var listeners []net.Listener
+	for _, a := range addresses {
 		l, err := net.Listen("tcp", a.Addr)
 		if err != nil {
-			for _, open := range out {
+			for _, open := range listeners {
 				_ = open.Close()
 			}
 			return nil, &Error{Op: a.Setting, Kind: Unusable, Err: err}
 		}
-		out = append(out, l)
+		listeners = append(listeners, l)
 	}
-	return out, nil
+	return listeners, nil
 }
 
 // Serve serves s at l until the server is closed, which is no error.
@@ -62,7 +62,7 @@
 }
 
 // Tick calls do at an interval until ctx ends.
-func Tick(ctx context.Context, clock clockwork.Clock, interval time.Duration, do func()) error {
+func Tick(ctx context.Context, clock clockwork.Clock, interval time.Duration, f func()) error {
 	t := clock.NewTicker(interval)
 	defer t.Stop()
 	for {
@@ -70,7 +70,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.Chan():
-			do()
+			f()
 		}
 	}
 }
--- a/provider/clock.go
+++ b/provider/clock.go
@@ -29,7 +29,7 @@
 type BootClock struct {
 	clockwork.Clock
 	startTime time.Time
-	read      clockReader
+	reader    clockReader
 
 	mu sync.Mutex
 	// wall, monotonic and boot are the readings taken when the time since boot was
@@ -62,8 +62,8 @@
 	})
 }
 
-func newBootClock(start time.Time, read clockReader) *BootClock {
-	c := &BootClock{Clock: clockwork.NewRealClock(), startTime: start.Round(0), read: read}
+func newBootClock(start time.Time, readClocks clockReader) *BootClock {
+	c := &BootClock{Clock: clockwork.NewRealClock(), startTime: start.Round(0), reader: readClocks}
 	c.refresh()
 	c.startBoot = c.boot
 	return c
@@ -73,14 +73,14 @@
 func (c *BootClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wall, steady := c.read.wallAndMonotonic()
-	passed := steady - c.monotonic
-	drift := (wall - c.wall) - passed
-	if passed >= maxBootAge || drift.Abs() >= clockTolerance {
+	wall, monotonic := c.reader.wallAndMonotonic()
+	elapsed := monotonic - c.monotonic
+	drift := (wall - c.wall) - elapsed
+	if elapsed >= maxBootAge || drift.Abs() >= clockTolerance {
 		c.refresh()
-		passed = 0
+		elapsed = 0
 	}
-	if now := c.startTime.Add(c.boot + passed - c.startBoot); now.After(c.lastTime) {
+	if now := c.startTime.Add(c.boot + elapsed - c.startBoot); now.After(c.lastTime) {
 		c.lastTime = now
 	}
 	return c.lastTime
@@ -91,9 +91,9 @@
 func (c *BootClock) refresh() {
 	const tries = 3
 	for range tries {
-		_, before := c.read.wallAndMonotonic()
-		c.boot = c.read.boot()
-		c.wall, c.monotonic = c.read.wallAndMonotonic()
+		_, before := c.reader.wallAndMonotonic()
+		c.boot = c.reader.boot()
+		c.wall, c.monotonic = c.reader.wallAndMonotonic()
 		if c.monotonic-before < clockTolerance {
 			return
 		}
--- a/provider/writer_test.go
+++ b/provider/writer_test.go
@@ -14,18 +14,18 @@
 // blockedWriter blocks every write until it is released.
 type blockedWriter struct {
 	release chan struct{}
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
 func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
-	return w.got.Write(p)
+	return w.written.Write(p)
 }
 
 func TestLogNeverBlocksAndTellsOfWhatItDropped(t *testing.T) {
-	w := &blockedWriter{release: make(chan struct{})}
-	ring := provider.NewNonBlockingWriter(w)
-	deps := provider.NewDeps(ring)
+	blocked := &blockedWriter{release: make(chan struct{})}
+	nonBlocking := provider.NewNonBlockingWriter(blocked)
+	deps := provider.NewDeps(nonBlocking)
 	const lines = 20_000
 	done := make(chan struct{})
 	go func() {
@@ -39,9 +39,9 @@
 	case <-time.After(30 * time.Second):
 		t.Fatal("logging blocks on a writer that is blocked")
 	}
-	require.Positive(t, ring.Dropped())
-	close(w.release)
-	ring.Close()
-	require.Contains(t, w.got.String(), "log lines dropped")
-	require.Less(t, strings.Count(w.got.String(), "decision"), lines)
+	require.Positive(t, nonBlocking.Dropped())
+	close(blocked.release)
+	nonBlocking.Close()
+	require.Contains(t, blocked.written.String(), "log lines dropped")
+	require.Less(t, strings.Count(blocked.written.String(), "decision"), lines)
 }
