--- a/announcer/announcer.go
+++ b/announcer/announcer.go
@@ -90,7 +90,7 @@
 }
 
 // LogDependency logs when a dependency of the process fails, fails with another error
-// or works again. err is the present error, nil if there is none. It returns the text
+// or works again. err is its current error, nil if there is none. It returns the text
 // to pass as last to the next call.
 func LogDependency(deps provider.Deps, name, last string, err error) string {
 	now := ""
--- a/announcer/conn_test.go
+++ b/announcer/conn_test.go
@@ -13,9 +13,9 @@
 
 func TestPeerClosedReportsACallerThatHasDisconnected(t *testing.T) {
 	tests := []struct {
-		name  string
-		leave func(t *testing.T, c *net.TCPConn)
-		gone  bool
+		name       string
+		disconnect func(t *testing.T, c *net.TCPConn)
+		closed     bool
 	}{
 		{"waits", func(*testing.T, *net.TCPConn) {}, false},
 		{"closed", func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, true},
@@ -46,10 +46,10 @@
 			_, err = c.Write([]byte("POST / HTTP/1.1\r\nHost: front\r\nContent-Length: 0\r\n\r\n"))
 			require.NoError(t, err)
 			<-arrived
-			tt.leave(t, c.(*net.TCPConn))
+			tt.disconnect(t, c.(*net.TCPConn))
 			time.Sleep(20 * time.Millisecond) // Time for the packet to cross loopback.
 			close(proceed)
-			require.Equal(t, tt.gone, <-closed)
+			require.Equal(t, tt.closed, <-closed)
 		})
 	}
 }
--- a/announcer/graceful_test.go
+++ b/announcer/graceful_test.go
@@ -14,8 +14,8 @@
 	"github.com/pomeloferry/pomeloferry/announcer"
 )
 
-// startServer serves a handler on loopback until the test ends. It returns the server, its
-// address and a channel with the result of Serve.
+// startServer serves a handler on loopback until the test ends. It returns the server,
+// its address and a channel with the result of Serve.
 func startServer(t *testing.T, h http.HandlerFunc) (*announcer.GracefulServer, string, chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,8 +31,8 @@
 	return g, l.Addr().String(), served
 }
 
-// sendRequest sends a request on an open connection and returns the status of the response, or
-// the error if the connection ends without a response.
+// sendRequest sends a request on an open connection and returns the status of the
+// response, or the error if the connection ends without a response.
 func sendRequest(c net.Conn) (int, error) {
 	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		return 0, err
@@ -76,9 +76,9 @@
 }
 
 func TestDrainWaitsForRequestsInProgressAndNotForUnusedConnections(t *testing.T) {
-	began, proceed := make(chan bool), make(chan bool)
+	started, proceed := make(chan bool), make(chan bool)
 	g, addr, served := startServer(t, func(http.ResponseWriter, *http.Request) {
-		began <- true
+		started <- true
 		<-proceed
 	})
 	unusedConn, err := net.Dial("tcp", addr)
@@ -92,7 +92,7 @@
 		_, err := sendRequest(c)
 		answered <- err
 	}()
-	<-began
+	<-started
 	shortCtx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	require.Equal(t, 1, g.Drain(shortCtx), "the end of the context ends the wait")
--- a/announcer/listen.go
+++ b/announcer/listen.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Tick calls do at an interval until ctx ends.
+// Tick calls f at an interval until ctx ends.
 func Tick(ctx context.Context, clock clockwork.Clock, interval time.Duration, f func()) error {
 	t := clock.NewTicker(interval)
 	defer t.Stop()
--- a/provider/clock.go
+++ b/provider/clock.go
@@ -43,27 +43,27 @@
 
 // clockReader reads the machine's clocks.
 type clockReader struct {
-	// wallAndMonotonic returns the wall clock and the monotonic clock, each since an
+	// readWallAndMonotonic returns the wall clock and the monotonic clock, each since an
 	// origin of its own.
-	wallAndMonotonic func() (wall, monotonic time.Duration)
-	// boot returns the time since boot.
-	boot func() time.Duration
+	readWallAndMonotonic func() (wall, monotonic time.Duration)
+	// readBoot returns the time since boot.
+	readBoot func() time.Duration
 }
 
 // NewBootClock returns a clock that starts at the current time of the wall clock.
 func NewBootClock() *BootClock {
 	start := time.Now()
 	return newBootClock(start, clockReader{
-		wallAndMonotonic: func() (time.Duration, time.Duration) {
+		readWallAndMonotonic: func() (time.Duration, time.Duration) {
 			now := time.Now()
 			return time.Duration(now.UnixNano()), now.Sub(start)
 		},
-		boot: sinceBoot,
+		readBoot: sinceBoot,
 	})
 }
 
-func newBootClock(start time.Time, readClocks clockReader) *BootClock {
-	c := &BootClock{Clock: clockwork.NewRealClock(), startTime: start.Round(0), reader: readClocks}
+func newBootClock(start time.Time, reader clockReader) *BootClock {
+	c := &BootClock{Clock: clockwork.NewRealClock(), startTime: start.Round(0), reader: reader}
 	c.refresh()
 	c.startBoot = c.boot
 	return c
@@ -73,7 +73,7 @@
 func (c *BootClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wall, monotonic := c.reader.wallAndMonotonic()
+	wall, monotonic := c.reader.readWallAndMonotonic()
 	elapsed := monotonic - c.monotonic
 	drift := (wall - c.wall) - elapsed
 	if elapsed >= maxBootAge || drift.Abs() >= clockTolerance {
@@ -89,11 +89,11 @@
 // refresh reads all clocks. It reads them again, up to three times in all, if the
 // process was delayed between the readings.
 func (c *BootClock) refresh() {
-	const tries = 3
-	for range tries {
-		_, before := c.reader.wallAndMonotonic()
-		c.boot = c.reader.boot()
-		c.wall, c.monotonic = c.reader.wallAndMonotonic()
+	const maxTries = 3
+	for range maxTries {
+		_, before := c.reader.readWallAndMonotonic()
+		c.boot = c.reader.readBoot()
+		c.wall, c.monotonic = c.reader.readWallAndMonotonic()
 		if c.monotonic-before < clockTolerance {
 			return
 		}
--- a/provider/clock_test.go
+++ b/provider/clock_test.go
@@ -16,8 +16,8 @@
 
 func (m *fakeMachine) reader() clockReader {
 	return clockReader{
-		wallAndMonotonic: func() (time.Duration, time.Duration) { return m.wall, m.monotonic },
-		boot: func() time.Duration {
+		readWallAndMonotonic: func() (time.Duration, time.Duration) { return m.wall, m.monotonic },
+		readBoot: func() time.Duration {
 			m.reads++
 			return m.boot
 		},
