--- a/announcer/conn_test.go
+++ b/announcer/conn_test.go
@@ -13,9 +13,9 @@
 
 func TestPeerClosedReportsACallerThatHasDisconnected(t *testing.T) {
 	tests := []struct {
-		name  string
-		leave func(t *testing.T, c *net.TCPConn)
-		gone  bool
+		name       string
+		disconnect func(t *testing.T, c *net.TCPConn)
+		closed     bool
 	}{
 		{"waits", func(*testing.T, *net.TCPConn) {}, false},
 		{"closed", func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, true},
@@ -26,7 +26,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			arrived, proceed, gone := make(chan bool), make(chan bool), make(chan bool, 1)
+			arrived, proceed, closed := make(chan bool), make(chan bool), make(chan bool, 1)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			s := &http.Server{
@@ -35,7 +35,7 @@
 				Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 					arrived <- true
 					<-proceed
-					gone <- announcer.PeerClosed(r.Context())
+					closed <- announcer.PeerClosed(r.Context())
 				}),
 			}
 			go func() { _ = s.Serve(l) }()
@@ -46,10 +46,10 @@
 			_, err = c.Write([]byte("POST / HTTP/1.1\r\nHost: front\r\nContent-Length: 0\r\n\r\n"))
 			require.NoError(t, err)
 			<-arrived
-			tt.leave(t, c.(*net.TCPConn))
-			time.Sleep(20 * time.Millisecond) // The way of the packet over loopback.
+			tt.disconnect(t, c.(*net.TCPConn))
+			time.Sleep(20 * time.Millisecond) // Time for the packet to cross loopback.
 			close(proceed)
-			require.Equal(t, tt.gone, <-gone)
+			require.Equal(t, tt.closed, <-closed)
 		})
 	}
 }
--- a/announcer/graceful.go
+++ b/announcer/graceful.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	// newConnTimeout is how long a connection without a request counts as one
-	// whose request is on its way.
+	// newConnTimeout is how long a request is still expected on a connection that has
+	// not carried one.
 	newConnTimeout = 500 * time.Millisecond
-	// quietPeriod is how long no request must have been in progress for a front
-	// to be drained.
+	// quietPeriod is the time without a request in progress or expected after which
+	// the server counts as drained.
 	quietPeriod = 50 * time.Millisecond
-	// drainPollInterval is the time between two looks at the connections.
+	// drainPollInterval is the time between two checks of the connections.
 	drainPollInterval = 5 * time.Millisecond
 )
 
 // GracefulServer is an HTTP server that can be stopped without cutting off a request.
-// The library's Shutdown closes a connection unanswered when the head of its
-// request is read just after the call, so Front does not use it.
+// It does not use http.Server.Shutdown, which closes a connection without a response
+// if the header of its request is read just after the call.
 type GracefulServer struct {
 	clock    clockwork.Clock
 	server   *http.Server
 	listener net.Listener
 
 	mu sync.Mutex
-	// draining is whether a planned stop has begun.
+	// draining is whether Drain has been called.
 	draining bool
-	// newConns holds the connections that have not carried a request yet, and when
-	// they were opened; active those with a request in progress.
+	// newConns holds the connections that have not carried a request yet, with the
+	// times when they were opened; activeConns those with a request in progress.
 	newConns    map[net.Conn]time.Time
 	activeConns map[net.Conn]bool
-	// lastBusyAt is when a connection was last found busy.
+	// lastBusyAt is when a request was last in progress or expected.
 	lastBusyAt time.Time
 }
 
-// NewGracefulServer returns a front that serves s at l. It takes over the ConnState hook
-// of s.
+// NewGracefulServer returns a server that serves s at l. It sets the ConnState hook of
+// s.
 func NewGracefulServer(clock clockwork.Clock, s *http.Server, l net.Listener) *GracefulServer {
-	f := &GracefulServer{
+	g := &GracefulServer{
 		clock:       clock,
 		server:      s,
 		listener:    l,
 		newConns:    make(map[net.Conn]time.Time),
 		activeConns: make(map[net.Conn]bool),
 	}
-	s.ConnState = f.trackConnState
-	return f
+	s.ConnState = g.trackConnState
+	return g
 }
 
-// Serve serves until the front is closed, which is no error. A drained front
-// goes on until then, so that it does not end a run group before its time.
-func (f *GracefulServer) Serve(ctx context.Context) error {
-	err := Serve(f.server, f.listener)
-	f.mu.Lock()
-	draining := f.draining
-	f.mu.Unlock()
+// Serve serves until the server is closed, which is no error. If the server is drained
+// before, Serve returns when ctx ends, so that it does not end a run group early.
+func (g *GracefulServer) Serve(ctx context.Context) error {
+	err := Serve(g.server, g.listener)
+	g.mu.Lock()
+	draining := g.draining
+	g.mu.Unlock()
 	if draining && errors.Is(err, net.ErrClosed) {
 		<-ctx.Done()
 		return nil
@@ -69,54 +69,53 @@
 	return err
 }
 
-// Close ends the front at once.
-func (f *GracefulServer) Close() { _ = f.server.Close() }
+// Close stops the server at once and closes all connections.
+func (g *GracefulServer) Close() { _ = g.server.Close() }
 
-// Drain takes no more connections, closes those that are idle, and waits until
-// every request has been answered, or ctx ends. It returns the number of
-// requests still in progress.
-func (f *GracefulServer) Drain(ctx context.Context) int {
-	f.mu.Lock()
-	f.draining = true
-	f.lastBusyAt = f.clock.Now()
-	f.mu.Unlock()
-	_ = f.listener.Close()
-	f.server.SetKeepAlivesEnabled(false)
+// Drain accepts no more connections, closes idle ones, and waits until every request
+// has been answered or ctx ends. It returns the number of requests still in progress.
+func (g *GracefulServer) Drain(ctx context.Context) int {
+	g.mu.Lock()
+	g.draining = true
+	g.lastBusyAt = g.clock.Now()
+	g.mu.Unlock()
+	_ = g.listener.Close()
+	g.server.SetKeepAlivesEnabled(false)
 	for {
-		left, quiet := f.checkDrained()
+		active, quiet := g.checkDrained()
 		if quiet || ctx.Err() != nil {
-			return left
+			return active
 		}
-		f.clock.Sleep(drainPollInterval)
+		g.clock.Sleep(drainPollInterval)
 	}
 }
 
-// checkDrained counts the requests in progress, and reports whether there have been
-// none for the quiet time.
-func (f *GracefulServer) checkDrained() (int, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.clock.Now()
-	busy := len(f.activeConns) > 0
-	for _, opened := range f.newConns {
+// checkDrained returns the number of requests in progress, and whether none has been in
+// progress or expected for quietPeriod.
+func (g *GracefulServer) checkDrained() (int, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock.Now()
+	busy := len(g.activeConns) > 0
+	for _, opened := range g.newConns {
 		busy = busy || now.Sub(opened) < newConnTimeout
 	}
 	if busy {
-		f.lastBusyAt = now
+		g.lastBusyAt = now
 	}
-	return len(f.activeConns), now.Sub(f.lastBusyAt) >= quietPeriod
+	return len(g.activeConns), now.Sub(g.lastBusyAt) >= quietPeriod
 }
 
-// trackConnState follows the state of each connection.
-func (f *GracefulServer) trackConnState(c net.Conn, state http.ConnState) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.newConns, c)
-	delete(f.activeConns, c)
+// trackConnState records the state of each connection. It is the ConnState hook.
+func (g *GracefulServer) trackConnState(c net.Conn, state http.ConnState) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.newConns, c)
+	delete(g.activeConns, c)
 	switch state {
 	case http.StateNew:
-		f.newConns[c] = f.clock.Now()
+		g.newConns[c] = g.clock.Now()
 	case http.StateActive:
-		f.activeConns[c] = true
+		g.activeConns[c] = true
 	}
 }
--- a/provider/writer_test.go
+++ b/provider/writer_test.go
@@ -11,21 +11,21 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// blockedWriter is a reader's end that does not read until it is released.
+// blockedWriter blocks every write until it is released.
 type blockedWriter struct {
 	release chan struct{}
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
 func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
-	return w.got.Write(p)
+	return w.written.Write(p)
 }
 
 func TestLogNeverBlocksAndTellsOfWhatItDropped(t *testing.T) {
-	w := &blockedWriter{release: make(chan struct{})}
-	ring := provider.NewNonBlockingWriter(w)
-	deps := provider.NewDeps(ring)
+	blocked := &blockedWriter{release: make(chan struct{})}
+	nonBlocking := provider.NewNonBlockingWriter(blocked)
+	deps := provider.NewDeps(nonBlocking)
 	const lines = 20_000
 	done := make(chan struct{})
 	go func() {
@@ -37,11 +37,11 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("logging blocks on a reader that has stopped")
+		t.Fatal("logging blocks on a writer that is blocked")
 	}
-	require.Positive(t, ring.Dropped())
-	close(w.release)
-	ring.Close()
-	require.Contains(t, w.got.String(), "log lines dropped")
-	require.Less(t, strings.Count(w.got.String(), "decision"), lines)
+	require.Positive(t, nonBlocking.Dropped())
+	close(blocked.release)
+	nonBlocking.Close()
+	require.Contains(t, blocked.written.String(), "log lines dropped")
+	require.Less(t, strings.Count(blocked.written.String(), "decision"), lines)
 }
