--- a/messenger/link.go
+++ b/messenger/link.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a link. A machine without power leaves
-	// it unanswered; the farthest one answers within 50 ms.
+	// dialTimeout bounds the time to open a link. A machine without power never
+	// answers; the farthest machine answers within 50 ms.
 	dialTimeout = 120 * time.Millisecond
-	// maxMessageBytes bounds one message, in bytes.
+	// maxMessageBytes is the maximum size of one message, in bytes.
 	maxMessageBytes = 1 << 20
 )
 
-// messageTypes are the message types; the index of a type is its number on the wire.
+// messageTypes lists the message types; the index of a type is its number on the wire.
 var messageTypes = []reflect.Type{
 	reflect.TypeFor[Hello](),
 	reflect.TypeFor[Heartbeat](),
@@ -33,30 +33,30 @@
 	reflect.TypeFor[Reserve](),
 }
 
-// Handler receives what arrives on a link. Its methods are called from one
-// goroutine of the link, in order.
+// Handler receives the messages of a link. Its methods are called from one goroutine of
+// the link, in order.
 type Handler interface {
-	// Receive takes one message, a pointer to a type of this package.
+	// Receive handles one message, a pointer to a message type of this package.
 	Receive(l *Link, msg any)
 	// Closed is called once, after the last Receive.
 	Closed(l *Link)
 }
 
-// Link is one connection between an entry and an agent. It carries messages in
-// CBOR, each after its type and length; all that is queued goes out in one
-// write. It delivers in order and at most once. When it breaks, or stays silent
-// for longer than IdleTimeout, it closes for good, and what was not delivered
-// is dropped.
+// Link is one connection between an entry and an agent. Messages are encoded in CBOR,
+// each preceded by its type and length; all queued messages go out in one write.
+// Delivery is in order and at most once. A link that breaks, or on which nothing
+// arrives for longer than IdleTimeout, closes for good, and undelivered messages are
+// dropped.
 type Link struct {
 	*courier.Sender
 	conn    courier.TimeoutConn
 	handler Handler
 }
 
-// NewLink starts a link over socket. The link closes socket in the end.
+// NewLink starts a link over socket. The link closes socket when it ends.
 func NewLink(socket net.Conn, h Handler) *Link {
 	if tcp, ok := socket.(*net.TCPConn); ok {
-		// What is on its way when a link is given up must not arrive later.
+		// Data still in flight when a link is closed must not arrive later.
 		_ = tcp.SetLinger(0)
 	}
 	l := &Link{
@@ -113,7 +113,7 @@
 	}
 }
 
-// appendMessage appends msg as it goes over the wire.
+// appendMessage appends the wire encoding of msg to out.
 func appendMessage(out []byte, msg any) ([]byte, error) {
 	number := -1
 	for i, t := range messageTypes {
@@ -122,7 +122,7 @@
 		}
 	}
 	if number < 0 {
-		return out, errors.Errorf("%T is no message", msg)
+		return out, errors.Errorf("%T is not a message type", msg)
 	}
 	body, err := cbor.Marshal(msg)
 	if err != nil {
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	if int(number) >= len(messageTypes) || size > maxMessageBytes {
-		return nil, errors.Errorf("message of type %d and %d bytes", number, size)
+		return nil, errors.Errorf("invalid message header: type %d, %d bytes", number, size)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(in, body); err != nil {
--- a/messenger/link_test.go
+++ b/messenger/link_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// inbox collects what arrives on a link.
+// inbox collects what arrives on a link and records when it closes.
 type inbox struct {
 	got    chan any
 	closed chan struct{}
@@ -22,7 +22,7 @@
 func (h *inbox) Receive(_ *messenger.Link, msg any) { h.got <- msg }
 func (h *inbox) Closed(*messenger.Link)             { close(h.closed) }
 
-// pair returns the two ends of a link.
+// pair returns the two ends of a link and their handlers.
 func pair(t *testing.T) (a, b *messenger.Link, ha, hb *inbox) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,7 +90,7 @@
 	select {
 	case <-ha.closed:
 	case <-time.After(20 * messenger.IdleTimeout):
-		t.Fatal("a silent link stays open")
+		t.Fatal("the link is still open without incoming traffic")
 	}
 }
 
--- a/scheduler/availability.go
+++ b/scheduler/availability.go
@@ -7,21 +7,21 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// availability is how soon an agent is expected to have room for a task.
+// availability is how soon an agent is expected to have free capacity for a task.
 type availability struct {
 	near bool
 	// horizon is the index of the first of the ForecastHorizons within which there will be
-	// room. Agents that do not tell come after these, and before those that will
-	// not have it within any.
+	// enough capacity. Agents that report no forecast come after these, and before
+	// those that will not have it within any.
 	horizon int
-	// freeShare is the room that is free now over the room wanted.
+	// freeShare is the capacity that is free now over the capacity needed.
 	freeShare float64
-	// order is the agent's place in the job's own order of agents, so that entries
-	// ask different ones of those that are alike.
+	// order is the agent's position in the job's own order of agents, so that entries
+	// ask different agents among equal ones.
 	order uint64
 }
 
-// Values of outlook.span beside the indexes of ForecastHorizons.
+// Values of outlook.span apart from the indexes of ForecastHorizons.
 const (
 	horizonUnknown = len(messenger.ForecastHorizons)
 	horizonBeyond  = horizonUnknown + 1
@@ -39,8 +39,8 @@
 	return o.order < p.order
 }
 
-// soonestAgent returns the agent at which room for a task is expected first; nil
-// when none can be asked.
+// soonestAgent returns the agent at which capacity for a task is expected first; nil
+// when no agent can be asked.
 func (s *Scheduler) soonestAgent(t *task, now time.Time) *agent {
 	var best *agent
 	var bestOutlook availability
@@ -57,11 +57,11 @@
 	return best
 }
 
-// mayReserveAt reports whether an agent may be asked to keep room for a task.
+// mayReserveAt reports whether an agent may be asked to reserve capacity for a task.
 func (s *Scheduler) mayReserveAt(a *agent, t *task, now time.Time) bool {
 	step := t.job.Steps[t.step]
 	return a.reservation == nil &&
-		a.report.Backfill.Window == 0 && // It keeps room for another entry otherwise.
+		a.report.Backfill.Window == 0 && // Otherwise it is reserving for another entry.
 		!now.Before(a.nextReserveAt) &&
 		!now.Before(t.avoidUntil[a.name]) &&
 		t.demand().FitsIn(a.upstream.Capacity) &&
@@ -70,7 +70,7 @@
 		(step.MaxPerWorker == 0 || a.countPlaced(t.job, t.step) < step.MaxPerWorker)
 }
 
-// availability returns how soon the agent is expected to have room for a task.
+// availability returns how soon the agent is expected to have free capacity for a task.
 func (a *agent) availability(t *task) availability {
 	d := t.demand()
 	room := a.free().NonNegative()
@@ -85,8 +85,8 @@
 	return o
 }
 
-// coverage returns the share of a demand that room covers, in the respect in which
-// it covers least.
+// coverage returns the share of a demand that room covers, for the resource that it
+// covers least.
 func coverage(room, d messenger.Resources) float64 {
 	least := 1.0
 	for _, p := range [...][2]int{{room.CPU, d.CPU}, {room.Memory, d.Memory}, {room.GPU, d.GPU}} {
--- a/scheduler/forecast.go
+++ b/scheduler/forecast.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// waitForecast is what is expected of a job's wait for its first placement.
+// waitForecast is the expected wait of a job for its first placement.
 type waitForecast struct {
 	wait time.Duration
-	// jobsBefore counts the jobs of its queue that wait before it.
+	// jobsBefore is the number of jobs of its queue that wait before it.
 	jobsBefore int
-	// startRate is the rate of first placements of its queue, in jobs a second; zero
-	// when it is not known.
+	// startRate is the rate of first placements of its queue, in jobs a second; zero when it
+	// is not known.
 	startRate float64
 }
 
@@ -20,17 +20,16 @@
 	return fmt.Sprintf("expected wait %s, %d jobs of the queue before it, %.1f started a second", f.wait.Round(time.Millisecond), f.jobsBefore, f.startRate)
 }
 
-// refusal returns what the log and the metrics get to know of a refusal.
+// refusal returns the details of a refusal for the log and the metrics.
 func (f waitForecast) refusal(at RefusalPoint) Refusal {
 	return Refusal{Point: at, Wait: f.wait, JobsBefore: f.jobsBefore, StartRate: f.startRate}
 }
 
-// forecastWait returns what is expected of a new or waiting job. A job that nothing waits
-// before is not expected to wait. Where jobs of other queues overtake those of its
-// own, the wait is, by Little's law, the number of jobs up to and including itself over
-// the rate at which jobs of its queue are started, which shows the effect of those
-// that overtake. Elsewhere, or while that rate is not known, it is the time that the
-// work before the job takes.
+// forecastWait returns the expected wait of a new or waiting job. A job that nothing waits
+// before is not expected to wait. Where jobs of other queues overtake those of its own,
+// the wait is, by Little's law, the number of jobs up to and including itself over the
+// start rate of its queue, which reflects the effect of the overtaking jobs. Elsewhere,
+// or while that rate is not known, it is the time that the work before the job takes.
 func (s *Scheduler) forecastWait(j *job, now time.Time) waitForecast {
 	work := s.backlogTimeBefore(j)
 	if work == 0 {
@@ -48,8 +47,8 @@
 	return f
 }
 
-// overtakenByOtherQueues reports whether jobs of other queues wait that come before those of a
-// job's queue or take turns with them.
+// overtakenByOtherQueues reports whether jobs of other queues are waiting that come before those of
+// a job's queue or take turns with them.
 func (s *Scheduler) overtakenByOtherQueues(j *job) bool {
 	return slices.ContainsFunc(s.queue, func(q *job) bool {
 		return q.unstarted() && q.Queue.Name != j.Queue.Name && q.rank <= j.rank
@@ -68,9 +67,9 @@
 	return n
 }
 
-// backlogTimeBefore estimates how long the work queued here takes that comes before a
-// job; nil stands for a job that comes last. Other entries are taken to have as
-// much queued.
+// backlogTimeBefore estimates how long the work takes that is queued here and comes before a
+// job; nil stands for a job that comes last. Other entries are assumed to have as much
+// work queued.
 func (s *Scheduler) backlogTimeBefore(j *job) time.Duration {
 	if len(s.queue) == 0 {
 		return 0
@@ -94,7 +93,8 @@
 	return seconds(work / 1000 / rate)
 }
 
-// workRate is how much work the entry can have done, in core-seconds a second.
+// workRate returns the rate at which the entry can have work done, in core-seconds a
+// second.
 func (s *Scheduler) workRate(now time.Time) float64 {
 	return max(s.coreShare(), s.throughput.perSecond(now))
 }
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -7,18 +7,20 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// passBacklog counts the tasks that a pass has left waiting so far. Jobs are looked at
-// in the order in which they get room, so that all of these come before the next one.
+// passBacklog counts the tasks that the current scheduling pass has left waiting so far.
+// Jobs are visited in the order in which they get capacity, so all counted tasks come
+// before the next job's.
 type passBacklog struct {
-	// byRack counts the tasks that wait and whose data is on a rack, by the rack, and
-	// anywhere counts those that may run on any worker.
+	// byRack counts the waiting tasks whose data is on a rack, by rack, and anywhere
+	// those that may run on any worker.
 	byRack  map[string]int
 	anyRack int
-	// noCapacity counts the tasks that would go to any worker with room and found none.
+	// noCapacity counts the tasks that any worker with free capacity could have taken and
+	// that found none.
 	noCapacity int
 }
 
-// add counts tasks of a step that a pass has left waiting.
+// add counts the tasks of a step that the pass has left waiting.
 func (l *passBacklog) add(st Step, left []*task) {
 	if len(left) == 0 {
 		return
@@ -38,8 +40,8 @@
 	}
 }
 
-// farFactor returns how many times as long a step takes on an agent's worker as it
-// does where its data is.
+// farFactor returns the ratio of a step's duration on an agent's worker to its duration
+// where the step's data is.
 func (c Configuration) farFactor(a *agent, st Step) float64 {
 	if c.FarFactor <= 1 || a.near(st) {
 		return 1
@@ -47,25 +49,25 @@
 	return c.FarFactor
 }
 
-// estimate returns about how long the task takes where it was last placed.
+// estimate returns the approximate duration of the task where it was last placed.
 func (t *task) estimate() time.Duration {
 	return scaled(t.job.Steps[t.step].Estimate, t.farFactor)
 }
 
-// scaled returns d times a factor of 1 or more.
+// scaled returns d scaled by factor; a factor below 1 counts as 1.
 func scaled(d time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(d) * max(factor, 1))
 }
 
-// chooseNearOrFar decides between near and far for tasks of which an agent can take the
-// first n. It returns how many of them the agent gets.
+// chooseNearOrFar decides between near and far workers for tasks of which an agent can
+// take the first n. It returns how many of them the agent gets.
 func (s *Scheduler) chooseNearOrFar(a *agent, n int, j *job, step int, todo []*task, now time.Time) int {
 	st := j.Steps[step]
 	if st.Rack == "" || s.config.FarFactor <= 1 {
 		return n
 	}
 	if a.near(st) {
-		s.noteLocality(j, a, "near now", fmt.Sprintf("room for %d of %d tasks", n, len(todo)), now)
+		s.noteLocality(j, a, "near now", fmt.Sprintf("free capacity for %d of %d tasks", n, len(todo)), now)
 		return n
 	}
 	w := s.forecastNear(j, step, todo, now)
@@ -78,8 +80,8 @@
 	return n
 }
 
-// deferForNear marks the last of the tasks as held for a near worker, and the others as
-// not held.
+// deferForNear marks the last of the tasks as deferred for a near worker, and the others
+// as not deferred.
 func (s *Scheduler) deferForNear(j *job, todo []*task, held int, w nearForecast, now time.Time) {
 	newlyHeld := 0
 	for i, t := range todo {
@@ -94,15 +96,16 @@
 	}
 }
 
-// clearDeferred marks tasks as not held: no agent has room, so that they go to any.
+// clearDeferred marks tasks as not deferred: no agent has free capacity, so they go to
+// any agent that gets some.
 func clearDeferred(todo []*task) {
 	for _, t := range todo {
 		t.deferred = false
 	}
 }
 
-// noteLocality emits the note on a decision between near and far. The agent is nil
-// when tasks are held for a near worker.
+// noteLocality emits the note on a decision between near and far. The agent is nil when
+// tasks are deferred for a near worker.
 func (s *Scheduler) noteLocality(j *job, a *agent, what, why string, now time.Time) {
 	n := Note{Job: j.ID, Queue: j.Queue.Name, What: what, Why: why, Age: now.Sub(j.arrived)}
 	if a != nil {
@@ -111,33 +114,33 @@
 	s.emit(n)
 }
 
-// nearForecast is what decides whether tasks wait for a near worker or go to a far one
-// now.
+// nearForecast holds the figures that decide whether tasks wait for a near worker or go
+// to a far one now.
 type nearForecast struct {
-	// maxWait is how long a task may wait for a near worker; not above 0 means that it
-	// goes far at once.
+	// maxWait is the maximum time that a task may wait for a near worker; with zero or
+	// less it goes to a far worker at once.
 	maxWait time.Duration
-	// nearCapacity is how many tasks near workers are expected to take within wait, and
-	// before how many come first.
+	// nearCapacity is the number of tasks that near workers are expected to take within wait,
+	// and before the number of tasks that get this capacity first.
 	nearCapacity int
 	tasksBefore  int
-	// farInTime is whether a far worker would bring the job in time now, and scarce
-	// whether others find no room.
+	// farInTime is whether the job would meet its objective on a far worker now, and
+	// scarce whether other tasks find no free capacity.
 	farInTime bool
 	scarce    bool
 }
 
-// tasksToDefer returns how many tasks are to be held for near workers.
+// tasksToDefer returns how many tasks are to be deferred for near workers.
 func (w nearForecast) tasksToDefer() int { return max(w.nearCapacity-w.tasksBefore, 0) }
 
 // String implements fmt.Stringer.
 func (w nearForecast) String() string {
-	return fmt.Sprintf("room near for %d within %v, %d come first, far in time: %t, room scarce: %t",
+	return fmt.Sprintf("near capacity for %d tasks within %v, %d tasks before these, far in time: %t, capacity scarce: %t",
 		w.nearCapacity, max(w.maxWait, 0), w.tasksBefore, w.farInTime, w.scarce)
 }
 
 // forecastNear returns how long tasks may wait for near workers, and for how many of
-// them these are expected to have room.
+// them these workers are expected to have free capacity.
 func (s *Scheduler) forecastNear(j *job, step int, todo []*task, now time.Time) nearForecast {
 	far := scaled(j.Steps[step].Estimate, s.config.FarFactor)
 	w := nearForecast{
@@ -152,8 +155,8 @@
 	w.tasksBefore = s.nearTasksBefore(j.Steps[step].Rack, len(near))
 	var room float64
 	for _, a := range near {
-		// Other entries count on the same room. A job that would be late far has less
-		// to lose, and counts on all of it.
+		// Other entries count on the same capacity. A job that would miss its objective
+		// on a far worker has less to lose, and counts on all of it.
 		sharers := 1
 		if w.farInTime {
 			sharers = max(a.report.ConnectedEntries, 1)
@@ -165,10 +168,11 @@
 	return w
 }
 
-// maxNearWait returns how long a task may still wait for a near worker. It waits
-// for as long as it ends no later than far; while others find no room, also for as
-// long as it is in time, since far work keeps room from them for longer. A job
-// whose patience is over goes far: pass places before it refuses.
+// maxNearWait returns how much longer a task may wait for a near worker. It waits only as
+// long as it ends no later than on a far worker. While other tasks find no free
+// capacity, it also waits as long as its job meets the objective, because work on a far
+// worker occupies capacity for longer. A job whose wait limit has passed goes to a far
+// worker: a scheduling pass places before it refuses.
 func (s *Scheduler) maxNearWait(j *job, t *task, now time.Time) time.Duration {
 	estimate := j.Steps[t.step].Estimate
 	wait := scaled(estimate, s.config.FarFactor) - estimate
@@ -177,20 +181,20 @@
 		wait = max(wait, latest.Sub(now))
 	}
 	if len(j.Steps[t.step].After) > 0 {
-		// Patience is for the first task of the job; the others wait for a share of the
-		// slack that was left when they became ready.
+		// The wait limit applies to the first task of the job; later tasks wait for a
+		// share of the slack that was left when they became ready.
 		patience := time.Duration(waitSlackShare * float64(latest.Sub(t.readyAt)))
 		return min(wait, patience-now.Sub(t.readyAt))
 	}
 	return min(wait, s.waitLimit(j)-now.Sub(j.arrived))
 }
 
-// stepDueAt returns when a step must be done for the job to be in time.
+// stepDueAt returns when a step must be done for the job to meet its objective.
 func (j *job) stepDueAt(step int) time.Time {
 	return j.arrived.Add(j.objective() - (j.criticalPaths[step] - j.Steps[step].Estimate))
 }
 
-// nearAgents returns the agents at which a task may start where its data is.
+// nearAgents returns the agents at which a task may start near its data.
 func (s *Scheduler) nearAgents(j *job, step int, t *task, now time.Time) []*agent {
 	st := j.Steps[step]
 	var out []*agent
@@ -203,16 +207,17 @@
 	return out
 }
 
-// nearTasksBefore returns how many of the tasks that wait get room near before the next
-// one: those for the rack, and as many of those that run anywhere as fall to near
-// workers by their number.
+// nearTasksBefore returns how many of the waiting tasks get capacity at near workers before
+// the next one: those for the rack, and of those that may run anywhere a part equal to
+// the near workers' share of all agents.
 func (s *Scheduler) nearTasksBefore(rack string, near int) int {
 	return s.passBacklog.byRack[rack] + s.passBacklog.anyRack*near/max(len(s.agentsByName), 1)
 }
 
-// forecastTasks returns how many tasks of a step, up to most, the agent is expected to
-// have room for after a while. Between two spans of its forecast the number rises
-// evenly, so that it may be a fraction. The spans count from its report.
+// forecastTasks returns how many tasks of a step, up to most, the agent is expected to have
+// free capacity for after a time. Between two forecast horizons the number is
+// interpolated linearly, so it may be a fraction. The horizons count from the agent's
+// report.
 func (a *agent) forecastTasks(j *job, step, most int, after time.Duration, now time.Time) float64 {
 	st := j.Steps[step]
 	if st.MaxPerWorker > 0 {
@@ -233,13 +238,13 @@
 	return n
 }
 
-// capacityForecast returns the agent's forecast of room, at most one item for each of
+// capacityForecast returns the agent's forecast of capacity, at most one item for each of
 // messenger.ForecastHorizons.
 func (a *agent) capacityForecast() []messenger.Resources {
 	return a.report.Forecast[:min(len(a.report.Forecast), len(messenger.ForecastHorizons))]
 }
 
-// countFitting counts the step's tasks, up to most, that room is enough for.
+// countFitting counts the step's tasks, up to most, that fit in room.
 func (st Step) countFitting(room messenger.Resources, most int) int {
 	n := 0
 	for n < most && st.Demand.FitsIn(room) {
--- a/scheduler/locality_test.go
+++ b/scheduler/locality_test.go
@@ -12,18 +12,18 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// rackBench is a bench with an agent "near" on the rack and an agent "far" beside
-// it. Rooms are counted in tasks.
+// rackBench is a bench with an agent "near" on the rack and an agent "far" off it.
+// Capacities are counted in tasks.
 type rackBench struct {
 	*fixture
-	// places are the placements of the last effects, by agent, and notes the
-	// decisions in them.
+	// places holds the placements among the last effects, by agent, and notes the notes
+	// among them.
 	places map[string][]messenger.Place
 	notes  []scheduler.Note
-	// entries is how many entries the agents report.
+	// entries is the number of connected entries that the agents report.
 	entries int
 	// seen is the number of the last Place to an agent, and listed whether the agent
-	// has sent its complete list.
+	// has sent its complete run list.
 	seen   map[string]uint64
 	listed map[string]bool
 }
@@ -39,19 +39,19 @@
 	return b
 }
 
-// reportCapacity has an agent report its room, and the room ahead after each span.
+// reportCapacity has an agent report its free capacity and its forecast for each horizon.
 func (b *rackBench) reportCapacity(name string, free int, ahead []int) {
 	b.s.HandleReport(b.report(name, free, ahead))
 }
 
-// reportWith has an agent without room report something else besides.
+// reportWith has an agent without free capacity send a report with a further change.
 func (b *rackBench) reportWith(name string, ahead []int, with func(*messenger.Report)) {
 	r := b.report(name, 0, ahead)
 	with(&r)
 	b.s.HandleReport(r)
 }
 
-// report returns a report of an agent's room, and of the room ahead.
+// report returns a report of an agent's free capacity and forecast.
 func (b *rackBench) report(name string, free int, ahead []int) messenger.Report {
 	r := newReport(name, b.seen[name])
 	r.RunsComplete = !b.listed[name]
@@ -89,7 +89,7 @@
 	}
 }
 
-// lastPlaceAt counts the tasks that the last effects place at an agent.
+// placedAt counts the tasks that the last effects place at an agent.
 func (b *rackBench) placedAt(name string) int {
 	n := 0
 	for _, p := range b.places[name] {
@@ -98,7 +98,7 @@
 	return n
 }
 
-// noted counts the decisions of a name in the last effects.
+// noted counts the notes with the given text among the last effects.
 func (b *rackBench) noted(what string) int {
 	n := 0
 	for _, m := range b.notes {
@@ -109,7 +109,7 @@
 	return n
 }
 
-// hasRackData returns a job of tasks whose data is on the rack.
+// hasRackData returns a job with the given number of tasks whose data is on the rack.
 func (b *rackBench) onRack(number, tasks int, estimate time.Duration) scheduler.Job {
 	j := b.job(fmt.Sprintf("%016x", number), tasks)
 	j.Steps[0].Rack = rackLabel
@@ -117,15 +117,15 @@
 	return j
 }
 
-// submit hands a job in.
+// submit submits a job.
 func (b *rackBench) submit(j scheduler.Job) {
 	b.s.Submit(uint64(len(b.replies)+100), j)
 	b.drain()
 }
 
-// TestChoiceBetweenNearAndFar guards against far work that costs the caller its
-// objective or others their room when a near worker is about to have room, and
-// against waiting near when that makes a job late.
+// TestChoiceBetweenNearAndFar guards against far work that makes a job miss its objective,
+// or takes capacity from other jobs, when a near worker is about to have free capacity,
+// and against waiting for a near worker when that makes a job late.
 func TestChoiceBetweenNearAndFar(t *testing.T) {
 	const short = 60 * time.Millisecond
 	tests := []struct {
@@ -136,9 +136,9 @@
 		entries  int
 		near     int
 		ahead    []int
-		// barred has a job wait that finds no room anywhere.
+		// barred first submits a job that finds no free capacity anywhere and waits.
 		barred bool
-		// atNear and atFar are the tasks placed; the others wait.
+		// atNear and atFar are the numbers of tasks placed; the others wait.
 		atNear, atFar int
 	}{
 		{"room near", 2, 4, short, 1, 5, nil, false, 4, 0},
@@ -176,15 +176,15 @@
 				require.Zero(t, b.noted("near now")+b.noted("near soon")+b.noted("far"))
 				return
 			}
-			require.Len(t, b.places["near"], b.noted("near now"), "one line a placement")
-			require.Len(t, b.places["far"], b.noted("far"), "one line a placement")
+			require.Len(t, b.places["near"], b.noted("near now"), "one note per placement")
+			require.Len(t, b.places["far"], b.noted("far"), "one note per placement")
 			require.Equal(t, min(tt.tasks-tt.atNear-tt.atFar, 1), b.noted("near soon"))
 		})
 	}
 }
 
-// TestFarTaskIsExpectedToTakeLonger guards against far workers that are taken for
-// slow, and against forecasts that count on their room too soon.
+// TestFarTaskIsExpectedToTakeLonger guards against far workers that are taken for slow,
+// and against forecasts that count on their capacity too soon.
 func TestFarTaskIsExpectedToTakeLonger(t *testing.T) {
 	tests := []struct {
 		factor    float64
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestJobsDoNotPileUpForASaturatedRack guards against jobs that are all held for
-// the same room, of which most would be late.
+// TestJobsDoNotPileUpForASaturatedRack guards against jobs that are all deferred for
+// the same near capacity, most of which would be late.
 func TestJobsDoNotPileUpForASaturatedRack(t *testing.T) {
 	b := newRackBench(t, 2)
 	b.reportCapacity("near", 0, []int{6, 6, 6, 6, 6})
@@ -219,26 +219,26 @@
 		b.submit(b.onRack(i+1, 3, 60*time.Millisecond))
 		far += b.placedAt("far")
 	}
-	require.Equal(t, 6, far, "6 of 12 tasks are held, as many as the rack will have room for")
+	require.Equal(t, 6, far, "6 of 12 tasks are deferred, as many as the rack will have capacity for")
 }
 
-// TestDeferredJobFallsBackToFarWorker guards against a job that is refused although a far
-// worker has room, since the room that it waits for near does not fall free.
+// TestDeferredJobFallsBackToFarWorker guards against a job that is refused although a far worker
+// has free capacity, because the near capacity that it waits for does not become free.
 func TestDeferredJobFallsBackToFarWorker(t *testing.T) {
 	const tick = 10 * time.Millisecond
-	// patience is 0.6 times the slack of 96 ms.
+	// patience is the wait limit: 0.6 times the slack of 96 ms.
 	const patience = 58 * time.Millisecond
 	tests := []struct {
 		name string
-		// each plays what the near agent says at each tick.
+		// each is called at each tick and acts for the near agent.
 		each func(b *rackBench)
-		// most is how long the job may wait.
+		// most is the maximum time that the job may wait.
 		most time.Duration
 	}{
-		{"forecast is never kept", func(b *rackBench) { b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9}) }, patience + tick},
-		{"near agent says nothing more", func(*rackBench) {}, patience + tick},
-		{"near agent is gone", func(b *rackBench) { b.s.LinkClosed("near") }, tick},
-		{"near agent leaves", func(b *rackBench) {
+		{"forecast never comes true", func(b *rackBench) { b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9}) }, patience + tick},
+		{"near agent sends nothing more", func(*rackBench) {}, patience + tick},
+		{"link of the near agent closes", func(b *rackBench) { b.s.LinkClosed("near") }, tick},
+		{"near agent is leaving", func(b *rackBench) {
 			b.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Leaving = true })
 		}, tick},
 		{"near worker drains", func(b *rackBench) {
@@ -248,7 +248,7 @@
 			b.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.DataCentre = "b"; r.Upstream.DataCentre = "b" })
 			b.s.Configure(configuration().WithFarFactor(3).WithEvacuated(map[string]bool{"b": true}, 1))
 		}, tick},
-		{"forecast is taken back", func(b *rackBench) { b.reportCapacity("near", 0, nil) }, tick},
+		{"forecast is withdrawn", func(b *rackBench) { b.reportCapacity("near", 0, nil) }, tick},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -274,8 +274,8 @@
 	}
 }
 
-// TestStaleForecastDefersNothing guards against jobs that wait for an agent
-// which nothing has been heard of for longer than placements allow.
+// TestStaleForecastDefersNothing guards against jobs that wait for an agent whose
+// last report is too old for placements.
 func TestStaleForecastDefersNothing(t *testing.T) {
 	b := newRackBench(t, 2)
 	b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
@@ -286,14 +286,15 @@
 	require.Equal(t, 4, b.placedAt("far"))
 }
 
-// TestLaterStepWaitsOnlyWithinItsSlack guards against later steps that never wait near,
-// since the patience of their job is for its first task, and against ones that wait
-// until no slack is left for a room that does not fall free.
+// TestLaterStepWaitsOnlyWithinItsSlack guards against later steps that never wait for a near
+// worker because the wait limit of their job applies to its first task, and against
+// ones that wait until no slack is left for capacity that does not become free.
 func TestLaterStepWaitsOnlyWithinItsSlack(t *testing.T) {
 	const (
 		work = 60 * time.Millisecond
 		tick = 10 * time.Millisecond
-		// slack is what a job of two such steps has at first: 0.6 of its work, and 60 ms.
+		// slack is the initial slack of a job of two such steps: 0.6 of its work, and
+		// 60 ms.
 		slack = 132 * time.Millisecond
 	)
 	tests := []struct {
@@ -339,8 +340,8 @@
 	}
 }
 
-// TestForecastIsAskedForOnlyWhereItIsUsed guards against reports that grow in
-// deployments whose jobs have no rack, or to which it makes no difference.
+// TestForecastIsAskedForOnlyWhereItIsUsed guards against longer reports in deployments
+// whose jobs have no rack, or in which the forecast makes no difference.
 func TestForecastIsAskedForOnlyWhereItIsUsed(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -365,9 +366,9 @@
 	}
 }
 
-// TestNoMoreTasksAreDeferredThanTheRackWillHaveCapacityFor checks, for random rooms and
-// jobs, that the room ahead is counted on once, and that no job is refused or left
-// waiting past its patience while a far worker has room.
+// TestNoMoreTasksAreDeferredThanTheRackWillHaveCapacityFor checks, for random capacities and
+// jobs, that forecast capacity is counted on only once, and that no job is refused or
+// waits past its limit while a far worker has free capacity.
 func TestNoMoreTasksAreDeferredThanTheRackWillHaveCapacityFor(t *testing.T) {
 	const most = 10
 	for seed := range uint64(200) {
@@ -405,8 +406,9 @@
 	}
 }
 
-// TestDeferredTasksCauseNoRefusals guards against jobs that are refused for the wait behind
-// tasks that are held for a near worker, while other workers have room.
+// TestDeferredTasksCauseNoRefusals guards against jobs that are refused because of the
+// expected wait behind tasks that are deferred for a near worker, while other workers
+// have free capacity.
 func TestDeferredTasksCauseNoRefusals(t *testing.T) {
 	b := newRackBench(t, 3)
 	b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
@@ -421,8 +423,8 @@
 	require.Empty(t, b.replies)
 }
 
-// TestDeferredTasksCountAsBacklogOnceFarWorkersAreFull guards against jobs that are taken
-// on behind tasks which are held no more, since the far workers have filled up.
+// TestDeferredTasksCountAsBacklogOnceFarWorkersAreFull guards against jobs that are admitted
+// behind tasks which are no longer deferred because the far workers have filled up.
 func TestDeferredTasksCountAsBacklogOnceFarWorkersAreFull(t *testing.T) {
 	b := newRackBench(t, 3)
 	b.clock.Advance(200 * time.Millisecond)
--- a/scheduler/longtask_test.go
+++ b/scheduler/longtask_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestNoLongTaskRunsTwiceAtOnce has tasks that take longer than an entry waits
-// for an agent that it has lost.
+// TestNoLongTaskRunsTwiceAtOnce submits tasks that take longer than an entry waits for
+// a lost agent.
 func TestNoLongTaskRunsTwiceAtOnce(t *testing.T) {
 	tests := []struct {
 		name string
 		harm func(w *simulation, a *simAgent)
 	}{
-		{"link cut, stops late", func(w *simulation, a *simAgent) {
+		{"link cut, stops delayed", func(w *simulation, a *simAgent) {
 			a.worker.lateStopsUntil = w.clock.Now().Add(2 * time.Second)
 			l := a.links[w.entries[0].name]
 			if l == nil {
@@ -21,7 +21,7 @@
 			l.cut = true
 			w.schedule(2*time.Second, func() { l.cut = false })
 		}},
-		{"agent restarts, looks carried out without an answer", func(w *simulation, a *simAgent) {
+		{"agent restarts, polls processed but not answered", func(w *simulation, a *simAgent) {
 			a.worker.lostAnswersUntil = w.clock.Now().Add(time.Second)
 			if !a.down {
 				a.kill(50 * time.Millisecond)
@@ -38,7 +38,7 @@
 				w.schedule(at, func() { tt.harm(w, w.anyAgent()) })
 			}
 			w.run(16 * time.Second)
-			t.Logf("%d twice, %+v", len(w.duplicates), w.summary())
+			t.Logf("%d tasks ran twice at once, %+v", len(w.duplicates), w.summary())
 			w.check()
 		})
 	}
--- a/scheduler/rackload_test.go
+++ b/scheduler/rackload_test.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	// rackWorkers of the fleetWorkers stand on the rack that is wanted.
+	// rackWorkers is the number of workers, out of fleetWorkers, on the rack with the
+	// data.
 	rackWorkers  = 8
 	fleetWorkers = 24
 	// rackShare is the share of the short wide jobs whose data is on the rack.
 	rackShare = 0.6
 	rackLabel = "rack-1"
-	// maxLoss is the share of jobs by which the choice may be worse than far at once.
+	// maxLoss is the maximum share of jobs by which the choice may be worse than
+	// placing far at once.
 	maxLoss = 0.01
 )
 
-// newRackWorld returns a world of which the first workers stand on the rack.
+// newRackWorld returns a simulation in which the first workers are on the rack.
 func newRackWorld(t testing.TB, seed uint64, entries int, far float64, aware bool) *simulation {
 	w := newSimulation(t, seed, entries, fleetWorkers, cores)
 	w.farFactor = far
@@ -37,8 +39,8 @@
 	return w
 }
 
-// rackLoad submits jobs that take a share of the whole fleet's room for a span.
-// The data of most of the short wide ones is on the rack.
+// rackLoad submits jobs that take a share of the capacity of all workers, for the given
+// time. The data of most of the short wide jobs is on the rack.
 func (w *simulation) rackLoad(span time.Duration, room float64) {
 	perSecond := []float64{34.4, 6.25, 100}
 	var work float64
@@ -58,9 +60,9 @@
 	}
 }
 
-// TestJobsForOneRackAreServedBetterThanFarAtOnce plays a load in which most short
-// wide jobs want one rack. It guards against far work that is late and takes the
-// room of the others, and against jobs that pile up for the rack.
+// TestJobsForOneRackAreServedBetterThanFarAtOnce simulates a load in which most short
+// wide jobs have their data on one rack. It guards against far work that is late and
+// takes capacity from the other jobs, and against jobs that pile up for the rack.
 func TestJobsForOneRackAreServedBetterThanFarAtOnce(t *testing.T) {
 	const entries = 3
 	seeds := uint64(3)
@@ -68,11 +70,12 @@
 		seeds = 1
 	}
 	tests := []struct {
-		// room is the share of the fleet's room that the jobs would take near.
+		// room is the share of all workers' capacity that the jobs would take on near
+		// workers.
 		room float64
 		far  float64
-		// saved is the least share of the jobs for the rack which are late with far at
-		// once that are in time with the choice.
+		// saved is the minimum share, of the jobs for the rack that are late with far
+		// at once, that must be in time with the choice.
 		saved float64
 	}{
 		{0.6, 2, 0.5},
@@ -81,7 +84,7 @@
 		{1, 3, 0.5},
 	}
 	for _, tt := range tests {
-		t.Run(fmt.Sprintf("%v of the room, far factor %v", tt.room, tt.far), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v of the capacity, far factor %v", tt.room, tt.far), func(t *testing.T) {
 			t.Parallel()
 			play := func(aware bool) rackShares {
 				var sum rackShares
@@ -105,12 +108,12 @@
 	}
 }
 
-// TestRackLostWhileJobsWaitForIt guards against jobs that wait for a rack whose
-// agents are gone: they are served about as well as if all went far at once.
+// TestRackLostWhileJobsWaitForIt guards against jobs that wait for a rack whose agents
+// are gone: they have to be served about as well as if all were placed far at once.
 func TestRackLostWhileJobsWaitForIt(t *testing.T) {
 	const (
 		lostAt = 2 * time.Second
-		// settled is when the runs lost with the rack are over.
+		// settled is when the runs lost with the rack have ended.
 		settled = lostAt + scheduler.AgentLossTimeout + time.Second
 		seeds   = 4
 	)
@@ -150,8 +153,8 @@
 	require.GreaterOrEqual(t, float64(now), float64(before)-maxLoss*float64(all))
 }
 
-// TestFarWorkDoesNotMakeAWorkerCountAsSlow guards against sound workers that are
-// set aside, since far work takes longer than its estimate near.
+// TestFarWorkDoesNotMakeAWorkerCountAsSlow guards against healthy workers that are
+// ejected because far work takes longer than its estimate for near workers.
 func TestFarWorkDoesNotMakeAWorkerCountAsSlow(t *testing.T) {
 	w := newRackWorld(t, 800, 3, 3, true)
 	for _, a := range w.agents[:rackWorkers] {
@@ -173,10 +176,10 @@
 	w.check()
 }
 
-// rackShares are the shares of jobs in time.
+// rackShares holds the shares of jobs in time.
 type rackShares struct {
 	kinds [3]float64
-	// rack is of the jobs whose data is on the rack.
+	// rack is the share of the jobs whose data is on the rack.
 	rack float64
 }
 
@@ -199,7 +202,7 @@
 	return r
 }
 
-// servedNear returns the share of the jobs with data on the rack in time.
+// servedNear returns the share of the jobs with data on the rack that are in time.
 func (w *simulation) servedNear() float64 {
 	var all, good float64
 	for _, r := range w.results {
--- a/scheduler/reservation.go
+++ b/scheduler/reservation.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// reserveAfter is how long a large task waits before room is reserved for it. Where
-	// a small one has waited as long, room is short altogether, and kept room makes more
-	// small tasks late than it serves large ones.
+	// reserveAfter is how long a large task waits before capacity is reserved for it.
+	// Where a small task has waited as long, capacity is short altogether, and a
+	// reservation would make more small tasks late than it serves large ones.
 	reserveAfter = 30 * time.Millisecond
-	// maxReserveTTL and minReserveTTL bound how long room is asked for. Room that
-	// is kept for less than the way to the agent and back cannot be used.
+	// maxReserveTTL and minReserveTTL bound the lifetime of a reservation. One that is
+	// shorter than the round trip to the agent cannot be used.
 	maxReserveTTL = time.Second
 	minReserveTTL = 10 * time.Millisecond
-	// maxReservations bounds the reservations of an entry.
+	// maxReservations is the maximum number of concurrent reservations of an entry.
 	maxReservations = 4
-	// reserveConfirmGrace is the time after the request in which reports may have been
-	// sent before it arrived.
+	// reserveConfirmGrace is the time after the request during which a report may have been
+	// sent before the request arrived.
 	reserveConfirmGrace = 20 * time.Millisecond
-	// maxMissedReports is the number of reports without the reservation that end it.
+	// maxMissedReports is the number of consecutive reports without the reservation after
+	// which it is cancelled.
 	maxMissedReports = 2
-	// reserveBackoff is how long an agent is not asked again after a reservation
-	// there has ended unused.
+	// reserveBackoff is how long an agent is not asked again after a reservation there has
+	// ended unused.
 	reserveBackoff = 200 * time.Millisecond
-	// placedElsewhereGrace is how long a reservation goes on after its task has been placed
-	// elsewhere, where another entry may have taken the room.
+	// placedElsewhereGrace is how long a reservation is kept after its task has been placed
+	// elsewhere, where another entry may have taken the capacity.
 	placedElsewhereGrace = 3 * placementWaitLimit
-	// backfillMargin covers the way of a task to the worker.
+	// backfillMargin allows for the time that a task takes to reach the worker.
 	backfillMargin = 10 * time.Millisecond
 )
 
-// reservation is room that an agent has been asked to keep for a large task.
+// reservation is capacity that an agent has been asked to reserve for a large task.
 type reservation struct {
 	agent       *agent
 	job         *job
@@ -43,14 +44,14 @@
 	demand      messenger.Resources
 	requestedAt time.Time
 	expiresAt   time.Time
-	// confirmed is whether the agent has reported it, and missed how many reports in a
-	// row did not.
+	// confirmed is whether the agent has reported the reservation, and missed the number of
+	// consecutive reports without it.
 	confirmed     bool
 	missedReports int
 }
 
-// requestReservations asks agents to keep room for the large tasks that have waited and fit
-// nowhere, in the order of the queue.
+// requestReservations requests reservations for the large tasks that have waited long enough and
+// fit nowhere, in queue order.
 func (s *Scheduler) requestReservations(now time.Time) {
 	if len(s.reservations) >= maxReservations || !s.largeForAnyService(s.maxBacklogDemand) {
 		return
@@ -81,8 +82,8 @@
 	}
 }
 
-// saturatedServices returns the services of which jobs with only small tasks to place have
-// waited for reserveAfter.
+// saturatedServices returns the saturated services: those of which a job with only small
+// tasks to place has waited for reserveAfter.
 func (s *Scheduler) saturatedServices(now time.Time) map[string]bool {
 	short := make(map[string]bool)
 	for _, j := range s.queue {
@@ -93,12 +94,12 @@
 	return short
 }
 
-// hasReservation reports whether room is reserved for a task of a job.
+// hasReservation reports whether there is a reservation for a task of a job.
 func (s *Scheduler) hasReservation(j *job) bool {
 	return slices.ContainsFunc(s.reservations, func(v *reservation) bool { return v.job == j })
 }
 
-// reservationTTL returns for how long room is of use to a job.
+// reservationTTL returns how long reserved capacity is of use to a job.
 func (s *Scheduler) reservationTTL(j *job, now time.Time) time.Duration {
 	until := j.arrived.Add(s.waitLimit(j))
 	if j.mayHaveStarted || j.hasTask(placed) {
@@ -107,7 +108,7 @@
 	return min(until.Sub(now), maxReserveTTL)
 }
 
-// requestReservation asks an agent to keep room for a task.
+// requestReservation asks an agent to reserve capacity for a task.
 func (s *Scheduler) requestReservation(a *agent, t *task, now time.Time, span time.Duration) {
 	a.reserveNumber++
 	v := &reservation{
@@ -120,12 +121,12 @@
 	s.noteReservation(v, "reservation requested", fmt.Sprintf("%d thousandths of a core for %s", v.demand.CPU, span))
 }
 
-// noteReservation emits the note on what became of a reservation.
+// noteReservation emits the note on a reservation's change of state.
 func (s *Scheduler) noteReservation(v *reservation, what, why string) {
 	s.emit(Note{Job: v.job.ID, Queue: v.job.Queue.Name, Agent: v.agent.name, What: what, Why: why, Age: s.clock.Since(v.job.arrived)})
 }
 
-// confirmReservation notes whether an agent's last report names the reservation there.
+// confirmReservation records whether an agent's last report lists the entry's reservation there.
 func (s *Scheduler) confirmReservation(a *agent) {
 	v := a.reservation
 	switch {
@@ -138,12 +139,12 @@
 		v.missedReports = 0
 	case s.clock.Since(v.requestedAt) >= reserveConfirmGrace:
 		if v.missedReports++; v.missedReports >= maxMissedReports {
-			s.cancelReservation(v, "not kept by the agent")
+			s.cancelReservation(v, "not confirmed by the agent")
 		}
 	}
 }
 
-// cancelObsoleteReservations gives back what is of no use any more.
+// cancelObsoleteReservations cancels the reservations that are no longer of use.
 func (s *Scheduler) cancelObsoleteReservations() {
 	if len(s.reservations) == 0 {
 		return
@@ -156,26 +157,26 @@
 	}
 }
 
-// obsoleteReason tells why a reservation is of no use any more, or returns nothing.
+// obsoleteReason returns the reason why a reservation is no longer of use, or "" if it is.
 func (s *Scheduler) obsoleteReason(v *reservation, now time.Time) string {
 	waits := func(t *task) bool {
 		return t.step == v.step && (t.state == ready || (t.state == placed && now.Sub(t.placedAt) < placedElsewhereGrace))
 	}
 	switch {
 	case s.jobs[v.job.ID] != v.job:
-		return "job is over"
+		return "job has ended"
 	case !slices.ContainsFunc(v.job.tasks, waits):
 		return "placed elsewhere"
 	case !now.Before(v.expiresAt):
-		return "time passed"
+		return "reservation expired"
 	case !v.agent.acceptsQueue(v.job.Queue, s.config, now, s.resumedAt) || !v.agent.healthy(now):
-		return "agent is of no use now"
+		return "agent no longer serves the queue or its worker is unhealthy"
 	}
 	return ""
 }
 
-// useReservation notes that a task is placed for which room was kept. The agent
-// ends the reservation with the placement.
+// useReservation removes the reservation of a task that has just been placed at the
+// agent. The agent ends the reservation with the placement.
 func (s *Scheduler) useReservation(a *agent, j *job, step int) {
 	v := a.reservation
 	if v == nil || v.job != j || v.step != step {
@@ -195,24 +196,24 @@
 	s.noteReservation(v, "reservation given up", why)
 }
 
-// reservationLinkEnded forgets the reservation at an agent whose link has ended. The
-// agent has dropped it.
+// reservationLinkEnded removes the reservation at an agent whose link has ended. The agent
+// has dropped it already.
 func (s *Scheduler) reservationLinkEnded(a *agent) {
 	if v := a.reservation; v != nil {
 		s.removeReservation(v)
-		s.noteReservation(v, "reservation given up", "link ended")
+		s.noteReservation(v, "reservation given up", "link closed")
 	}
 }
 
-// removeReservation forgets a reservation. It tells the agent nothing.
+// removeReservation removes a reservation without telling the agent.
 func (s *Scheduler) removeReservation(v *reservation) {
 	v.agent.reservation = nil
 	s.reservations = slices.DeleteFunc(s.reservations, func(o *reservation) bool { return o == v })
 }
 
-// capacityFor returns the room that tasks of a step may use at the agent: without what
-// is kept for another job of the entry, and with what is kept for a task of
-// another entry if they end before that can start.
+// capacityFor returns the capacity that tasks of a step may use at the agent: without what
+// is reserved for another job of the entry, and including what is being collected for a
+// task of another entry if these tasks end before that one can start.
 func (a *agent) capacityFor(j *job, step int, now time.Time) messenger.Resources {
 	room := a.free()
 	if v := a.reservation; v != nil && (v.job != j || v.step != step) && v.demand.FitsIn(room) {
@@ -224,7 +225,7 @@
 	return room
 }
 
-// capacityWithBackfill returns the room that any task may use at the agent.
+// capacityWithBackfill returns the free capacity of the agent plus what tasks that end soon may use.
 func (a *agent) capacityWithBackfill() messenger.Resources {
 	return a.free().Plus(a.report.Backfill.Resources)
 }
--- a/scheduler/reservation_bench_test.go
+++ b/scheduler/reservation_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// BenchmarkReserve measures the decision where to ask for room, by the numbers of
-// agents and of jobs that wait, all of them large. All agents tell what falls free.
+// BenchmarkReserve measures the choice of agents for reservations, by the numbers of
+// agents and of waiting jobs, all of which are large. All agents report a forecast.
 func BenchmarkReserve(b *testing.B) {
 	for _, agents := range []int{10, 60, 200} {
 		for _, jobs := range []int{1, 100, 1000} {
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkReserveNowhere measures it when no agent can be asked.
+// BenchmarkReserveNowhere measures the same when no agent can be asked.
 func BenchmarkReserveNowhere(b *testing.B) {
 	s := newFullScheduler(200, 1000)
 	now := s.clock.Now()
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkReserveSmall measures what the same costs when all tasks are small.
+// BenchmarkReserveSmall measures the same when all tasks are small.
 func BenchmarkReserveSmall(b *testing.B) {
 	s := newFullScheduler(60, 1000)
 	for _, j := range s.queue {
@@ -57,7 +57,7 @@
 	}
 }
 
-// newFullScheduler returns one with full agents and large jobs that wait.
+// newFullScheduler returns a scheduler with full agents and large jobs that wait.
 func newFullScheduler(agents, jobs int) *Scheduler {
 	clock := clockwork.NewFakeClock()
 	s := NewScheduler(clock, "dc-0")
--- a/scheduler/reservation_test.go
+++ b/scheduler/reservation_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// largeJob is a job of one task that takes half of a worker of the bench.
+// largeJob returns a job of one task that takes half of a worker of the bench.
 func (b *fixture) largeJob(id string) scheduler.Job {
 	j := b.job(id, 1)
 	j.Queue.Slack = time.Second
@@ -19,8 +19,8 @@
 	return j
 }
 
-// reportFull reports agents without room that echo the entry's heartbeats, and changes
-// each report first.
+// reportFull has agents report that they are full and echo the entry's heartbeats. It applies
+// change to each report first.
 func (b *fixture) reportFull(change func(r *messenger.Report), agents ...string) {
 	for _, a := range agents {
 		b.s.HeldJobs()
@@ -34,14 +34,14 @@
 	}
 }
 
-// advanceFull lets time go on, with reports of full agents.
+// advanceFull advances the clock and has the agents report that they are full.
 func (b *fixture) advanceFull(d time.Duration, change func(r *messenger.Report), agents ...string) {
 	b.clock.Advance(d)
 	b.reportFull(change, agents...)
 	b.s.Tick()
 }
 
-// reserveMessages returns the requests to keep room among the last messages, by agent.
+// reserveMessages returns the Reserve messages among the last effects, by agent.
 func (b *fixture) reserveMessages() map[string]messenger.Reserve {
 	out := make(map[string]messenger.Reserve)
 	b.sent = nil
@@ -67,7 +67,8 @@
 	return b
 }
 
-// requestReservation has a large job wait until an agent is asked to keep room for it.
+// requestReservation submits a large job and lets it wait until an agent is asked for a reservation,
+// which it returns.
 func (b *fixture) requestReservation(agents ...string) messenger.Reserve {
 	b.s.Submit(1, b.largeJob(jobID))
 	b.advanceFull(30*time.Millisecond, nil, agents...)
@@ -80,18 +81,18 @@
 	return messenger.Reserve{}
 }
 
-// confirming makes a report name a reservation.
+// confirming returns a change that makes a report confirm a reservation.
 func confirming(number uint64) func(r *messenger.Report) {
 	return func(r *messenger.Report) { r.ReservationNumber = number }
 }
 
-// TestRoomIsReservedForALargeTaskThatHasWaited guards against requests for tasks
-// that find room by themselves, and against several for one job.
+// TestRoomIsReservedForALargeTaskThatHasWaited guards against reservations for tasks
+// that find capacity without one, and against several reservations for one job.
 func TestRoomIsReservedForALargeTaskThatHasWaited(t *testing.T) {
 	b := newFullFixture(t, "a", "b")
 	b.s.Submit(1, b.largeJob(jobID))
 	b.advanceFull(29*time.Millisecond, nil, "a", "b")
-	require.Empty(t, b.reserveMessages(), "has not waited for long enough")
+	require.Empty(t, b.reserveMessages(), "has not waited long enough")
 	b.advanceFull(time.Millisecond, nil, "a", "b")
 	list := b.reserveMessages()
 	require.Len(t, list, 1)
@@ -103,7 +104,8 @@
 	require.Empty(t, b.reserveMessages())
 }
 
-// TestSmallTasksReserveNothing guards deployments whose tasks are all small.
+// TestSmallTasksReserveNothing guards against reservations in deployments whose tasks
+// are all small.
 func TestSmallTasksReserveNothing(t *testing.T) {
 	b := newFullFixture(t, "a")
 	j := b.job(jobID, 4)
@@ -116,7 +118,7 @@
 	}
 }
 
-// TestReservationsAreBounded guards against an entry that has room kept at every
+// TestReservationsAreBounded guards against an entry that reserves capacity at every
 // agent.
 func TestReservationsAreBounded(t *testing.T) {
 	agents := []string{"a", "b", "c", "d", "e", "f"}
@@ -128,8 +130,8 @@
 	require.Len(t, b.reserveMessages(), 4)
 }
 
-// TestLargeTaskWaitsWhileSmallOnesBeforeItDo guards against small jobs that lose
-// their place to large ones when room is short for all.
+// TestLargeTaskWaitsWhileSmallOnesBeforeItDo guards against small jobs that lose their
+// place in the queue to large ones when capacity is short for all.
 func TestLargeTaskWaitsWhileSmallOnesBeforeItDo(t *testing.T) {
 	b := newFullFixture(t, "a")
 	early := b.job(jobID, 1)
@@ -142,8 +144,9 @@
 	require.Len(t, b.reserveMessages(), 1)
 }
 
-// TestNoRoomIsReservedWhileSmallTasksWaitLong guards against small jobs that are late since
-// room is kept for large ones, where both wait because room is short altogether.
+// TestNoRoomIsReservedWhileSmallTasksWaitLong guards against small jobs that are late
+// because capacity is reserved for large ones, where both wait because capacity is
+// short altogether.
 func TestNoRoomIsReservedWhileSmallTasksWaitLong(t *testing.T) {
 	for wait, want := range map[time.Duration]int{25 * time.Millisecond: 1, 32 * time.Millisecond: 0} {
 		t.Run(wait.String(), func(t *testing.T) {
@@ -164,8 +167,8 @@
 	}
 }
 
-// TestRoomIsAskedForWhereItIsExpectedFirst guards against an agent that keeps room
-// for long while another one would have had it soon.
+// TestRoomIsAskedForWhereItIsExpectedFirst guards against a long reservation at one
+// agent while another one would have had the capacity soon.
 func TestRoomIsAskedForWhereItIsExpectedFirst(t *testing.T) {
 	ahead := func(cpu ...int) []messenger.Resources {
 		out := make([]messenger.Resources, len(cpu))
@@ -174,34 +177,34 @@
 		}
 		return out
 	}
-	// The agents have 3 of the 16 cores, if nothing else is said.
+	// By default the agents have 3 of the 16 cores free.
 	tests := map[string]map[string]func(r *messenger.Report){
 		"soonest": {
 			"a": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 13_000, 13_000) },
 			"b": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 13_000, 13_000, 13_000) },
 			"c": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 13_000) },
 		},
-		"known before not known": {
+		"within a horizon before no forecast": {
 			"a": func(r *messenger.Report) { r.Free.CPU = 9000 },
 			"b": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 13_000) },
 		},
-		"not known before late": {
+		"no forecast before beyond all horizons": {
 			"a": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 12_000) },
 			"b": func(*messenger.Report) {},
 		},
-		"most room when not known": {
+		"most free capacity without a forecast": {
 			"a": func(r *messenger.Report) { r.Free.CPU = 4000 },
 			"b": func(r *messenger.Report) { r.Free.CPU = 5000 },
 			"c": func(*messenger.Report) {},
 		},
-		"no room kept for another entry": {
+		"not reserving for another entry": {
 			"a": func(r *messenger.Report) {
 				r.Forecast = ahead(13_000)
 				r.Backfill = messenger.Backfill{Resources: messenger.Resources{CPU: 1}, Window: time.Second}
 			},
 			"b": func(*messenger.Report) {},
 		},
-		"large enough": {
+		"worker large enough for the task": {
 			"a": func(r *messenger.Report) {
 				r.Forecast = ahead(13_000)
 				r.Upstream.Capacity.CPU = 15_999
@@ -229,8 +232,8 @@
 	}
 }
 
-// TestKeptRoomGoesToItsJob guards against a small job of the same entry that takes
-// the room which was kept for the large one.
+// TestKeptRoomGoesToItsJob guards against a small job of the same entry that takes the
+// capacity reserved for the large one.
 func TestKeptRoomGoesToItsJob(t *testing.T) {
 	b := newFullFixture(t, "a")
 	r := b.requestReservation("a")
@@ -245,18 +248,18 @@
 	require.Len(t, b.sent, 1)
 	require.Equal(t, jobID, b.sent[0].(messenger.Place).Job)
 	b.advanceFull(40*time.Millisecond, nil, "a")
-	require.Empty(t, b.reserveMessages(), "it is over")
+	require.Empty(t, b.reserveMessages(), "the reservation has ended")
 }
 
-// TestSmallTaskBackfillsOnlyIfItEndsInTime guards against room that stands idle while
-// it is collected for another entry's task.
+// TestSmallTaskBackfillsOnlyIfItEndsInTime guards against capacity that is idle while it is
+// being collected for another entry's task.
 func TestSmallTaskBackfillsOnlyIfItEndsInTime(t *testing.T) {
 	for _, tt := range []struct {
 		span   time.Duration
 		placed int
 	}{{70 * time.Millisecond, 1}, {69 * time.Millisecond, 0}} {
 		b := newFullFixture(t, "a")
-		b.s.Submit(1, b.job(jobID, 1)) // It takes 60 ms, and 10 ms are for its way.
+		b.s.Submit(1, b.job(jobID, 1)) // It takes 60 ms, and 10 ms to reach the worker.
 		b.reserveMessages()
 		b.reportFull(func(m *messenger.Report) {
 			m.Backfill = messenger.Backfill{Resources: messenger.Resources{CPU: 4000}, Window: tt.span}
@@ -266,20 +269,21 @@
 	}
 }
 
-// TestReservationIsGivenUp guards, for each reason, against room that stays kept
-// without use, and against an entry that counts on room which nobody keeps.
+// TestReservationIsGivenUp guards, for each reason, against capacity that stays
+// reserved without use, and against an entry that counts on capacity which no agent
+// reserves for it.
 func TestReservationIsGivenUp(t *testing.T) {
 	tests := map[string]struct {
 		change func(b *fixture, number uint64)
-		// told is whether the agent hears of it.
+		// told is whether the agent is sent the cancellation.
 		told bool
 	}{
-		"not kept in two reports": {told: true, change: func(b *fixture, _ uint64) {
+		"missing from two reports": {told: true, change: func(b *fixture, _ uint64) {
 			b.advanceFull(20*time.Millisecond, nil, "a")
 			require.Empty(b.t, b.reserveMessages())
 			b.advanceFull(20*time.Millisecond, nil, "a")
 		}},
-		"kept no longer": {told: true, change: func(b *fixture, n uint64) {
+		"confirmed, then missing": {told: true, change: func(b *fixture, n uint64) {
 			b.advanceFull(20*time.Millisecond, confirming(n), "a")
 			b.advanceFull(20*time.Millisecond, nil, "a")
 			require.Empty(b.t, b.reserveMessages())
@@ -291,10 +295,10 @@
 		"placed elsewhere": {told: true, change: func(b *fixture, n uint64) {
 			b.connect("b")
 			b.advanceFull(10*time.Millisecond, confirming(n), "a")
-			require.Empty(b.t, b.reserveMessages(), "it may be refused there")
+			require.Empty(b.t, b.reserveMessages(), "the placement may still be refused")
 			b.advanceFull(24*time.Millisecond, confirming(n), "a")
 		}},
-		"time passed": {told: true, change: func(b *fixture, n uint64) {
+		"expired": {told: true, change: func(b *fixture, n uint64) {
 			for range 20 {
 				b.advanceFull(20*time.Millisecond, confirming(n), "a")
 				if len(b.reserveMessages()) > 0 {
@@ -328,7 +332,8 @@
 			r := b.requestReservation("a")
 			tt.change(b, r.Number)
 			b.requireCancelled(r.Number, tt.told)
-			// Nothing depends on it any more: the job, if it goes on, gets another.
+			// Nothing depends on the reservation any more: the job, if it is still
+			// waiting, gets a new one.
 			b.connect("a")
 			b.reportFull(nil, "a")
 			b.s.Tick()
@@ -339,7 +344,7 @@
 	}
 }
 
-// requireCancelled asserts whether the agent has been told that a reservation is given up.
+// requireCancelled asserts whether the agent has been told that a reservation is cancelled.
 func (b *fixture) requireCancelled(number uint64, told bool) {
 	b.t.Helper()
 	ends := 0
@@ -356,8 +361,8 @@
 	require.Equal(b.t, told, ends > 0)
 }
 
-// TestRefusedPlacementDoesNotRestartTheWait guards against a large task that
-// loses races for room again and again and never gets a reservation.
+// TestRefusedPlacementDoesNotRestartTheWait guards against a large task that loses
+// race after race for capacity and never gets a reservation.
 func TestRefusedPlacementDoesNotRestartTheWait(t *testing.T) {
 	b := newFullFixture(t, "a", "b")
 	b.s.Submit(1, b.largeJob(jobID))
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -26,7 +26,7 @@
 func TestEntryThatGetsMostOfTheLoadUsesMostOfTheRoom(t *testing.T) {
 	w := newSimulation(t, 5, 9, 11, cores)
 	for range 6 {
-		// One entry gets what nine would share: nine tenths of all room.
+		// One entry gets what nine would share: nine tenths of the full capacity.
 		w.loadAt(w.entries[:1], 6*time.Second, 0.25)
 	}
 	w.run(10 * time.Second)
@@ -37,7 +37,7 @@
 }
 
 func TestOverloadIsRefusedAtOnceAndStarvesNoKind(t *testing.T) {
-	// The demand is a quarter above what all workers can do.
+	// The load is a quarter above the full capacity of all workers.
 	const factor = 2.0
 	w := newSimulation(t, 2, 3, 11, cores)
 	w.load(6*time.Second, factor)
@@ -47,7 +47,7 @@
 	require.Zero(t, s.unanswered)
 	require.Zero(t, s.failed)
 	require.Less(t, s.slowestRefusal, 400*time.Millisecond)
-	// Half of each kind is the least that its callers accept on a bad day.
+	// Half of each kind is the minimum that its callers accept on a bad day.
 	for k, share := range w.served() {
 		require.GreaterOrEqual(t, share, 0.5, "kind %d", k)
 	}
@@ -55,9 +55,9 @@
 	require.LessOrEqual(t, float64(s.late), 0.05*float64(s.all))
 }
 
-// TestScarceRoomIsSharedByWhatWaits plays a burst on many entries, one of which
-// gets a quarter of the callers, and compares it with one entry that sees all
-// the room at once and has nobody to race with.
+// TestScarceRoomIsSharedByWhatWaits simulates a burst on many entries, one of which
+// gets a quarter of the callers, and compares it with a single entry, which sees all
+// free capacity at once and races with no other entry.
 func TestScarceRoomIsSharedByWhatWaits(t *testing.T) {
 	const (
 		entries = 9
@@ -92,9 +92,9 @@
 		spoil func(v *simWorker)
 	}{
 		{"fails all", func(v *simWorker) { v.failsAll = true }},
-		{"stands still", func(v *simWorker) { v.hangs = true }},
+		{"hangs", func(v *simWorker) { v.hangs = true }},
 		{"slow", func(v *simWorker) { v.slowdown = 6.5 }},
-		{"mute for five seconds", func(v *simWorker) { v.unresponsiveUntil = v.w.clock.Now().Add(5 * time.Second) }},
+		{"no answers for five seconds", func(v *simWorker) { v.unresponsiveUntil = v.w.clock.Now().Add(5 * time.Second) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -111,14 +111,15 @@
 	}
 }
 
-// TestSlowWorkerIsProbedSeldom guards against a probe that is moved away because it
-// is slow and counts for nothing, so that the next task follows at once.
+// TestSlowWorkerIsProbedSeldom guards against a probe that is moved away because it is
+// slow and then counts as no result, so that the next probe follows at once.
 func TestSlowWorkerIsProbedSeldom(t *testing.T) {
 	const (
 		entries = 3
-		// probes is how many an entry sends in 6 s: after 0.4, 0.8, 1.6 and 3 s.
+		// probes is the number of probes that an entry sends in 6 s: after 0.4, 0.8,
+		// 1.6 and 3 s.
 		probes = 4
-		// scarce is a load at which every worker with room is used.
+		// scarce is a load factor at which every worker with free capacity is used.
 		scarce = 1.7
 	)
 	w := newSimulation(t, 3, entries, 11, cores)
@@ -154,7 +155,7 @@
 	}
 }
 
-// fault returns a fault drawn at random that lasts for span.
+// fault returns a random fault that lasts for span.
 func fault(w *simulation, span time.Duration) func() {
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	a := w.agents[w.rng.IntN(len(w.agents))]
@@ -198,7 +199,8 @@
 }
 
 // TestEntriesSeldomPlaceTasksWithoutRoom guards against entries that all choose the
-// same worker by reports that are a little old, while others have room.
+// same worker because their reports are slightly out of date, while others have free
+// capacity.
 func TestEntriesSeldomPlaceTasksWithoutRoom(t *testing.T) {
 	w := newSimulation(t, 7, 9, 22, cores)
 	w.load(4*time.Second, 1.6)
@@ -207,6 +209,6 @@
 	s := w.summary()
 	t.Logf("%+v, %d runs refused of %d", s, w.refusedNoRoom, w.placedRuns)
 	require.Equal(t, s.all, s.inTime)
-	// A refused run costs its job the time of several messages.
+	// A refused run delays its job by several messages.
 	require.LessOrEqual(t, float64(w.refusedNoRoom), 0.1*float64(w.placedRuns))
 }
--- a/scheduler/size.go
+++ b/scheduler/size.go
@@ -2,29 +2,30 @@
 
 import "github.com/pomeloferry/pomeloferry/messenger"
 
-// largeDivisor is the inverse of the share of a worker's resource from which on a task
-// counts as large.
+// largeDivisor is the inverse of the smallest share of a worker's resource that makes a
+// task large: 4 means a quarter.
 const largeDivisor = 4
 
-// Size is how large a task is against the workers.
+// Size is the size of a task relative to the workers.
 type Size string
 
-// The sizes.
+// The values of Size.
 const (
 	Small Size = "small"
-	// Large tasks take a quarter of a worker or more, in any resource.
+	// Large tasks take a quarter or more of a worker, in any resource.
 	Large Size = "large"
 )
 
-// isLarge reports whether a task is large on a worker.
+// isLarge reports whether a task with demand d is large on a worker.
 func isLarge(d, worker messenger.Resources) bool {
 	return isLargePart(d.CPU, worker.CPU) || isLargePart(d.Memory, worker.Memory) || isLargePart(d.GPU, worker.GPU)
 }
 
-// isLargePart reports whether part is a large share of whole.
+// isLargePart reports whether part is at least 1/largeDivisor of whole. It is false if
+// either is zero.
 func isLargePart(part, whole int) bool { return part > 0 && whole > 0 && largeDivisor*part >= whole }
 
-// updateMaxCapacity notes the most of each resource that a worker of a service has.
+// updateMaxCapacity sets the maximum of each resource over the workers of a service.
 func (s *Scheduler) updateMaxCapacity(service string) {
 	var most messenger.Resources
 	for _, a := range s.agentsByName {
@@ -39,7 +40,7 @@
 	s.maxCapacity[service] = most
 }
 
-// largeForAnyService reports whether a task is large on the workers of some service.
+// largeForAnyService reports whether a demand is large on the workers of some service.
 func (s *Scheduler) largeForAnyService(d messenger.Resources) bool {
 	for _, worker := range s.maxCapacity {
 		if isLarge(d, worker) {
@@ -57,8 +58,8 @@
 	return Small
 }
 
-// waitingLargeTask returns the first task of a job that is large and waits; nil when
-// there is none.
+// waitingLargeTask returns the first task of a job that is large and ready; nil when there is
+// none.
 func (s *Scheduler) waitingLargeTask(j *job) *task {
 	for step := range j.Steps {
 		if s.sizeOf(j, step) != Large {
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -18,20 +18,21 @@
 	largeCPU  = 16_000
 	smallWork = 100 * time.Millisecond
 	largeWork = 300 * time.Millisecond
-	// jobsPerLarge is how many jobs there are for one large one.
+	// jobsPerLarge is the number of jobs among which one is large.
 	jobsPerLarge = 20
-	// mixedLoadDuration is how long the mixed load lasts.
+	// mixedLoadDuration is the duration of the mixed load.
 	mixedLoadDuration = 6 * time.Second
 )
 
-// mixedSizesScenario plays small jobs of one task with one large one in twenty at a share
-// of all room. Estimates are off by up to off, either way.
+// mixedSizesScenario is a simulated load of small and large jobs of one task each, one in
+// jobsPerLarge large, that takes a share of the full capacity. Estimates are wrong by up
+// to off, either way.
 type mixedSizesScenario struct {
 	entries, agents      int
 	share, estimateError float64
 	seed                 uint64
 	withoutReservations  bool
-	// fault changes the world before the load begins.
+	// fault is applied to the simulation before the load begins.
 	fault func(w *simulation)
 }
 
@@ -58,7 +59,7 @@
 	return w
 }
 
-// runAll plays the load once with each seed.
+// runAll simulates the load once with each seed.
 func (m mixedSizesScenario) runAll(t testing.TB, seeds []uint64) []*simulation {
 	t.Helper()
 	var worlds []*simulation
@@ -69,7 +70,7 @@
 	return worlds
 }
 
-// submitOne hands a job of one task in, whose caller can wait for a second.
+// submitOne submits a job of one task whose caller allows a wait of a second.
 func (w *simulation) submitOne(e *simEntry, cpu int, mean time.Duration, off float64) {
 	w.jobs++
 	id := fmt.Sprintf("%016x", w.jobs)
@@ -86,14 +87,14 @@
 	w.send(e, j)
 }
 
-// sizeStats are what callers of jobs of one size got.
+// sizeStats holds the statistics of the jobs of one size, as their callers saw them.
 type sizeStats struct {
 	jobs, refused, unanswered int
-	// late counts those refused, and those whose wait alone made them miss the
+	// late counts the refused jobs and those whose wait alone made them miss the
 	// latency objective.
 	late              int
 	p50, p99, longest time.Duration
-	// waits are in rising order.
+	// waits is in ascending order.
 	waits []time.Duration
 }
 
@@ -104,25 +105,24 @@
 func (f sizeStats) refusedShare() float64 { return float64(f.refused) / float64(f.jobs) }
 func (f sizeStats) lateShare() float64    { return float64(f.late) / float64(f.jobs) }
 
-// shareWaitingOver returns the share of the jobs that have waited longer than d.
+// shareWaitingOver returns the share of the jobs that waited longer than d.
 func (f sizeStats) shareWaitingOver(d time.Duration) float64 {
 	n, _ := slices.BinarySearch(f.waits, d+1)
 	return float64(len(f.waits)-n) / float64(len(f.waits))
 }
 
-// onePercentBound returns a share of a hundredth and three times its standard error in
-// a sample of n.
+// onePercentBound returns 1% plus three times its standard error in a sample of n.
 func onePercentBound(n int) float64 {
 	const share = 0.01
 	return share + 3*math.Sqrt(share*(1-share)/float64(n))
 }
 
-// maxWaitInTime is how long a job of one task can wait within its latency objective, which
-// is 1.6 times its work plus 60 ms.
+// maxWaitInTime is how long a job of one task can wait and still meet its latency objective,
+// which is 1.6 times its work plus 60 ms.
 func maxWaitInTime(work time.Duration) time.Duration { return work*6/10 + 60*time.Millisecond }
 
-// statsFor returns the figures of the jobs of a demand in all worlds. The wait of a job
-// lasts until its task begins, or until it is refused.
+// statsFor returns the statistics of the jobs with a CPU demand in all simulations. The
+// wait of a job lasts until its task begins, or until it is refused.
 func statsFor(cpu int, worlds ...*simulation) sizeStats {
 	var f sizeStats
 	var waits []time.Duration
@@ -142,7 +142,7 @@
 	return f
 }
 
-// addTo counts a job and returns its wait.
+// addTo adds a job to the statistics and returns its wait.
 func (w *simulation) addTo(f *sizeStats, id string, r *result) time.Duration {
 	task := id + ".0.0.0"
 	f.jobs++
@@ -163,19 +163,20 @@
 }
 
 // TestLargeTasksWaitLessForReservedRoom guards against large tasks that wait long
-// since small ones take each gap, and against small jobs that pay too much for it.
-// The figures are those of several seeds together: with one, the p99 of the large
-// tasks is the wait of the second longest or so.
+// because small ones fill each gap, and against small jobs that are delayed too much by
+// reservations. The statistics combine several seeds: with one seed, the p99 of the
+// large tasks is about the second longest wait.
 func TestLargeTasksWaitLessForReservedRoom(t *testing.T) {
 	const (
-		// largeFewer is the share of late large jobs that is left at nine tenths of
-		// the room: a gain of less than a tenth is not worth a worker's gap.
+		// largeFewer is the maximum ratio of late large jobs with reservations to those
+		// without at nine tenths of the capacity: a gain of less than a tenth is not
+		// worth the idle capacity on a worker.
 		largeFewer = 0.9
-		// smallSpared is the largest share of small jobs that may be late there.
+		// smallSpared is the maximum share of small jobs that may be late at that load.
 		smallSpared = 0.01
-		// smallRefused is the largest share of small jobs that are refused in overload.
+		// smallRefused is the maximum share of small jobs that are refused in overload.
 		smallRefused = 0.02
-		// smallLate is the largest share of them that are late then, as in
+		// smallLate is the maximum share of them that are late in overload, as in
 		// TestOverloadIsRefusedAtOnceAndStarvesNoKind.
 		smallLate = 0.05
 	)
@@ -194,7 +195,7 @@
 		{entries: 5, share: 1.1, estimateError: 0.4},
 	} {
 		m.agents = 11
-		t.Run(fmt.Sprintf("%d entries, %.0f%% of the room, estimates off by %.0f%%", m.entries, 100*m.share, 100*m.estimateError), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d entries, %.0f%% of the capacity, estimates wrong by up to %.0f%%", m.entries, 100*m.share, 100*m.estimateError), func(t *testing.T) {
 			t.Parallel()
 			seeds := []uint64{31, 32, 33, 34, 35, 36}
 			with := m.runAll(t, seeds)
@@ -222,8 +223,8 @@
 	}
 }
 
-// reservingAgent returns an agent that keeps room, and the entry that it is kept for; nil
-// when there is none.
+// reservingAgent returns an agent with a reservation, and the entry that the reservation is
+// for; nil when there is none.
 func (w *simulation) reservingAgent() (*simAgent, *simEntry) {
 	for _, a := range w.agents {
 		holder := a.core.Dump().Holder
@@ -236,13 +237,14 @@
 	return nil, nil
 }
 
-// TestReservationsEndWhateverFails guards, for each failure while room is kept,
-// against room that stays kept, jobs without an answer and tasks that run twice.
+// TestReservationsEndWhateverFails guards, for each failure during a reservation,
+// against capacity that stays reserved, jobs without an answer and tasks that run twice
+// at once.
 func TestReservationsEndWhateverFails(t *testing.T) {
 	const (
 		begin = 2 * time.Second
-		// patience covers the longest time for which an agent waits for a silent
-		// entry.
+		// patience covers the longest time for which an agent waits for an entry that
+		// sends nothing.
 		patience = messenger.IdleTimeout + 100*time.Millisecond
 	)
 	tests := map[string]func(w *simulation, a *simAgent, e *simEntry){
--- a/scheduler/speed.go
+++ b/scheduler/speed.go
@@ -10,41 +10,40 @@
 )
 
 const (
-	// minSpeedJobs is the weight, in jobs, that a worker's speed must have behind it.
+	// minSpeedJobs is the minimum weight, in jobs, for a worker's speed to be used.
 	minSpeedJobs = 4
-	// minSpeedWorkers is the number of workers of a service whose speeds must be
-	// known.
+	// minSpeedWorkers is the minimum number of workers of a service with a known speed.
 	minSpeedWorkers = 4
-	// speedStepRatio is the share by which workers must differ for their speeds to take
-	// effect.
+	// speedStepRatio is the ratio by which workers must differ for their speeds to take
+	// effect, and the step in which relative speeds are compared: 0.2 means 20%.
 	speedStepRatio = 0.2
-	// speedLogStdDev is the standard deviation of the logarithm of one job's speed at
-	// a worker that has a speed of 1: estimates are off by up to 40% either way.
+	// speedLogStdDev is the standard deviation of the logarithm of one job's speed at a
+	// worker with a speed of 1: estimates are wrong by up to 40% either way.
 	speedLogStdDev = 0.25
-	// speedCompareInterval is the time between two comparisons of the workers.
+	// speedCompareInterval is the time between two comparisons of the workers' speeds.
 	speedCompareInterval = 100 * time.Millisecond
-	// minRelativeSpeed and maxRelativeSpeed bound what is taken for a worker's speed. One that
-	// seems to be slower has a fault, which is for health to see.
+	// minRelativeSpeed and maxRelativeSpeed bound the relative speed of a worker. One that seems to
+	// be slower is faulty, which is left to the health checks.
 	minRelativeSpeed = slowPace
 	maxRelativeSpeed = 4
 )
 
-// speed is how fast a worker is, as its agent tells.
+// speed is the speed of a worker, as reported by its agent.
 type speed struct {
 	value float64
-	// sampleJobs is the weight behind value in jobs.
+	// sampleJobs is the weight of value, in jobs.
 	sampleJobs int
-	// relative is value against the usual one of the service's workers; 1 while it
-	// is not known or workers do not differ.
+	// relative is value over the median speed of the service's workers; 1 while value
+	// is not known or the workers do not differ.
 	relative float64
-	// step is relative in steps of speedStepRatio; 0 is the usual one.
+	// step is the relative speed in steps of speedStep; 0 stands for the median.
 	step int
 }
 
-// defaultSpeed is that of a worker of which nothing is known.
+// defaultSpeed is the speed of a worker without a known speed.
 var defaultSpeed = speed{value: 1, relative: 1}
 
-// update takes in a report. One without a speed leaves it as it is.
+// update applies a report. A report without a speed changes nothing.
 func (v *speed) update(r messenger.Report) {
 	if r.Speed > 0 {
 		v.value = r.Speed
@@ -52,7 +51,7 @@
 	}
 }
 
-// known reports whether enough jobs are behind the speed.
+// known reports whether the speed is based on enough jobs.
 func (v *speed) known() bool { return v.sampleJobs >= minSpeedJobs }
 
 // setRelative sets the relative speed and its step.
@@ -61,24 +60,24 @@
 	v.step = quantizeSpeed(relative)
 }
 
-// quantizeSpeed returns a relative speed in steps of speedStepRatio.
+// quantizeSpeed converts a relative speed to steps of speedStep.
 func quantizeSpeed(relative float64) int {
 	return int(math.Round(math.Log(relative) / math.Log1p(speedStepRatio)))
 }
 
-// speedProfile is what the workers of one service have in common.
+// speedProfile describes the spread of the speeds of the workers of one service.
 type speedProfile struct {
-	// heterogeneous means that they differ enough for their speeds to take effect.
+	// heterogeneous means that the workers differ enough for their speeds to take effect.
 	heterogeneous bool
-	// lowerQuartile is the relative speed that a quarter of them does not exceed, and fast
-	// the highest one.
+	// lowerQuartile is the lower quartile of the relative speeds, and fast the highest one.
 	lowerQuartile, fastest float64
 }
 
-// speedProfileOf returns the workers that serve a queue.
+// speedProfileOf returns the speed profile of the workers that serve a queue.
 func (s *Scheduler) speedProfileOf(q Queue) speedProfile { return s.speedProfiles[q.Service] }
 
-// compareSpeeds compares the workers of each service from time to time.
+// compareSpeeds compares the speeds of each service's workers, at most once every
+// speedCompareInterval.
 func (s *Scheduler) compareSpeeds(now time.Time) {
 	if now.Sub(s.speedsComparedAt) < speedCompareInterval {
 		return
@@ -96,14 +95,15 @@
 		f := setRelativeSpeeds(agents, last[service].heterogeneous)
 		s.speedProfiles[service] = f
 		if f.heterogeneous != last[service].heterogeneous {
-			why := fmt.Sprintf("service %s, workers differ: %t, relative speeds from %.2f to %.2f",
+			why := fmt.Sprintf("service %s, workers differ: %t, relative speeds: lower quartile %.2f, highest %.2f",
 				service, f.heterogeneous, f.lowerQuartile, f.fastest)
 			s.emit(Note{What: "use of speeds changed", Why: why})
 		}
 	}
 }
 
-// setRelativeSpeeds sets the relative speeds of agents.
+// setRelativeSpeeds sets the relative speeds of the agents of one service and returns their
+// profile.
 func setRelativeSpeeds(agents []*agent, wasUneven bool) speedProfile {
 	usual, uneven := speedSpread(agents, wasUneven)
 	relative := make([]float64, len(agents))
@@ -118,10 +118,11 @@
 	return speedProfile{heterogeneous: uneven, lowerQuartile: relative[len(relative)/4], fastest: relative[len(relative)-1]}
 }
 
-// speedSpread returns the median of the known speeds and whether they differ. The
-// variance of their logarithms, less what the error of the estimates explains and
-// its usual variation, must be that of two halves that differ by speedStepRatio. Once it
-// was, a third of it is enough, so that the answer does not change to and fro.
+// speedSpread returns the median of the known speeds and whether the workers differ.
+// The variance of the logarithms of the speeds, less the part that is explained by the
+// error of the estimates and its usual variation, must be at least that of two halves
+// that differ by speedStep. Once the workers differ, a third of it is enough, so that
+// the answer does not flap.
 func speedSpread(agents []*agent, wasUneven bool) (usual float64, uneven bool) {
 	var logs []float64
 	var noise float64
@@ -152,23 +153,23 @@
 	return math.Exp(logs[len(logs)/2]), variance >= enough
 }
 
-// speedCriteria is what the speed of a worker is held against for tasks that wait. Its zero
-// value is for workers that do not differ.
+// speedCriteria holds the limits by which the speed of a worker is judged for waiting tasks.
+// Its zero value is used for workers that do not differ.
 type speedCriteria struct {
 	heterogeneous bool
-	// timeLeft is the time until the job has to end.
+	// timeLeft is the time until the job's objective.
 	timeLeft time.Duration
-	// worstCase is how long the rest of the job takes at the usual speed if its
+	// worstCase is how long the rest of the job takes at the median speed if its
 	// estimates are too low.
 	worstCase time.Duration
-	// contended means that other tasks wait as well.
+	// contended means that other tasks are waiting as well.
 	contended bool
-	// fastOnly means that the job waits only for a worker on which it is in time,
-	// with room for all of its tasks.
+	// fastOnly means that the job waits only for a worker on which it meets its
+	// objective and which has free capacity for all of its tasks.
 	fastOnly bool
 }
 
-// speedCriteriaOf returns the timing of tasks of one step.
+// speedCriteriaOf returns the limits for the tasks of one step.
 func (s *Scheduler) speedCriteriaOf(j *job, step int, todo []*task, now time.Time) speedCriteria {
 	if !s.speedProfileOf(j.Queue).heterogeneous {
 		return speedCriteria{}
@@ -182,8 +183,9 @@
 	}
 }
 
-// applyTo sets how the speed of a worker suits the tasks. The faster worker is
-// preferred, unless other tasks wait and the job is in time on a slower one too.
+// applyTo sets how well the speed of a worker suits the tasks. A faster worker is
+// preferred, unless other tasks are waiting and the job meets its objective on a slower
+// one too.
 func (t speedCriteria) applyTo(f *fit, a *agent) {
 	if !t.heterogeneous {
 		return
@@ -195,27 +197,28 @@
 	}
 }
 
-// durationAt returns how long work takes at a relative speed that is estimated to
-// take a time at the usual one.
+// durationAt returns the duration, at a relative speed, of work that is estimated to
+// take the given time at the median speed.
 func durationAt(estimate time.Duration, speed float64) time.Duration {
 	return time.Duration(float64(estimate) / speed)
 }
 
-// worstCaseFrom returns the time that a job takes from a step on if its estimates are
-// too low.
+// worstCaseFrom returns the time that a job takes from a step on if its estimates are too
+// low.
 func (j *job) worstCaseFrom(step int) time.Duration {
 	return time.Duration((1 + estimateError) * float64(j.criticalPaths[step]))
 }
 
-// inTimeAt reports whether a job ends within its objective if a step of it starts
-// now on workers of a relative speed, also if its estimates are too low.
+// inTimeAt reports whether a job meets its objective if a step of it starts now on
+// workers of a relative speed, even if its estimates are too low.
 func (j *job) inTimeAt(step int, speed float64, now time.Time) bool {
 	return !now.Add(durationAt(j.worstCaseFrom(step), speed)).After(j.objectiveAt)
 }
 
-// queueOrderAt returns the queue in the order in which jobs get room at an agent:
-// those begun and those that are in time there and would be late on a slow worker
-// come first. So others leave fast workers to them, and no room is kept free.
+// queueOrderAt returns the queue in the order in which jobs get capacity at an agent. Jobs
+// that may have started, and those that meet their objective there but would miss it on
+// a slow worker, come first. This leaves fast workers to the jobs that need them
+// without keeping any capacity idle.
 func (s *Scheduler) queueOrderAt(a *agent, now time.Time) []*job {
 	f := s.speedProfiles[a.upstream.Service]
 	if !f.heterogeneous || a.speed.step <= quantizeSpeed(f.lowerQuartile) {
@@ -233,9 +236,10 @@
 	return append(first, rest...)
 }
 
-// needsFastWorker reports whether all waiting tasks of a job have room at an agent and are in
-// time there, and would be late on workers of a slow speed. A job of which a part
-// must wait on would be late after all.
+// needsFastWorker reports whether an agent has free capacity for all ready tasks of a job,
+// the job meets its objective there, and it would miss the objective on workers of the
+// slow speed. All ready tasks are required because a job that had to leave some of them
+// waiting would miss its objective anyway.
 func (j *job) needsFastWorker(a *agent, slow float64, now time.Time) bool {
 	first := slices.IndexFunc(j.tasks, func(t *task) bool { return t.state == ready })
 	if first < 0 {
@@ -254,8 +258,8 @@
 	return sum.FitsIn(a.free())
 }
 
-// expectedSpeed returns the speed by which a run is judged that is placed now. A worker
-// that is set aside is to show that it is as fast as usual.
+// expectedSpeed returns the speed by which a run placed now is judged. An ejected worker has
+// to prove that it reaches the median speed.
 func (a *agent) expectedSpeed() float64 {
 	if a.health.ejected {
 		return 1
@@ -263,8 +267,8 @@
 	return min(a.speed.relative, 1)
 }
 
-// deferToFastWorker reports whether a job that has waited for too long goes on waiting, for
-// a worker that is so fast that it may be in time there.
+// deferToFastWorker reports whether a job that has waited too long keeps waiting for a worker
+// so fast that the job may still meet its objective there.
 func (s *Scheduler) deferToFastWorker(j *job, now time.Time) bool {
 	f := s.speedProfileOf(j.Queue)
 	if !f.heterogeneous {
--- a/scheduler/speed_test.go
+++ b/scheduler/speed_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// fastWorkFactor and normalWorkFactor stretch the work on a quarter of the workers and on
-	// the others.
+	// fastWorkFactor and normalWorkFactor are the factors of the work's duration on a quarter of the
+	// workers and on the others.
 	fastWorkFactor   = 1 / 1.8
 	normalWorkFactor = 1 / 0.83
-	// unevenFullLoad is the factor of load that takes all room of an uneven fleet of
-	// twelve workers.
+	// unevenFullLoad is the load factor that uses the full capacity of twelve workers of
+	// different speeds.
 	unevenFullLoad = 1.79
 )
 
-// newUnevenWorld returns a world with a fleet of which a quarter is fast.
+// newUnevenWorld returns a simulation in which a quarter of the workers are fast.
 func newUnevenWorld(t testing.TB, seed uint64) *simulation {
 	w := newSimulation(t, seed, 3, 12, cores)
 	for i, a := range w.agents {
@@ -36,19 +36,19 @@
 	return w
 }
 
-// speedScenario is a load on a fleet whose workers differ in speed.
+// speedScenario is a simulated load on workers of different speeds.
 type speedScenario struct {
 	name  string
 	world func(t testing.TB, seed uint64) *simulation
-	// load is the factor of load for 8 s.
+	// load is the load factor for 8 s.
 	load float64
-	// change happens after 3 s; nil for none.
+	// change is called after 3 s; nil for none.
 	change func(w *simulation)
-	// seeds are firstSeed and the ones after it.
+	// seeds is the number of seeds, which count up from firstSeed.
 	firstSeed, seeds uint64
 }
 
-// run plays one seed.
+// run simulates one seed.
 func (p speedScenario) run(t testing.TB, seed uint64, withoutSpeeds bool) summary {
 	w := p.world(t, seed)
 	w.withoutSpeeds = withoutSpeeds
@@ -64,7 +64,7 @@
 	return s
 }
 
-// sum plays all seeds and returns the sum.
+// sum simulates all seeds and adds up their results.
 func (p speedScenario) sum(t *testing.T, withoutSpeeds bool) summary {
 	all := make([]summary, p.seeds)
 	t.Run(fmt.Sprintf("without speeds %t", withoutSpeeds), func(t *testing.T) {
@@ -83,16 +83,17 @@
 	return sum
 }
 
-// slowFrom makes one worker slower.
+// slowFrom sets the factor of the work's duration on one worker.
 func slowFrom(agent int, slow float64) func(w *simulation) {
 	return func(w *simulation) { w.agents[agent].worker.slowdown = slow }
 }
 
-// newEvenWorld returns a world with a fleet of equal workers.
+// newEvenWorld returns a simulation with workers of equal speed.
 func newEvenWorld(t testing.TB, seed uint64) *simulation { return newSimulation(t, seed, 3, 11, cores) }
 
-// TestFastWorkersHaveRoomForAllJobs guards against jobs that are late on slow workers, or
-// on workers whose agents have restarted, while there is room for all of them.
+// TestFastWorkersHaveRoomForAllJobs guards against jobs that are late on slow workers,
+// or on workers whose agents have restarted, while fast workers have free capacity for
+// all of them.
 func TestFastWorkersHaveRoomForAllJobs(t *testing.T) {
 	const fewest = 0.995
 	tests := []speedScenario{
@@ -111,19 +112,20 @@
 	}
 }
 
-// TestSpeedsBringMoreJobsInTime guards against speeds that are known and do not help:
-// jobs were late that another worker does in time. The same seeds are played with the
-// speeds left out of the reports.
+// TestSpeedsBringMoreJobsInTime guards against known speeds that do not help: jobs were
+// late that another worker would have done in time. The same seeds are also simulated
+// with the speeds left out of the reports.
 func TestSpeedsBringMoreJobsInTime(t *testing.T) {
 	tests := []struct {
 		speedScenario
-		// gain is the least share of the jobs not in time without speeds that must be
-		// in time with them.
+		// gain is the minimum share of the jobs late without speeds that must be in
+		// time with them.
 		gain float64
 	}{
-		// Fast workers are full as well, and what they can take is bounded by their room.
+		// Fast workers are full as well, which bounds what they can take.
 		{speedScenario{"a quarter is fast, and all room is taken", newUnevenWorld, unevenFullLoad, nil, 600, 6}, 0.1},
-		// The other workers have room for what the slow one does late.
+		// The other workers have free capacity for the jobs that are late on the slow
+		// one.
 		{speedScenario{"a worker turns slow", newEvenWorld, 0.9 * 1.53, slowFrom(4, 2.2), 700, 4}, 0.2},
 	}
 	for _, tt := range tests {
@@ -135,10 +137,10 @@
 	}
 }
 
-// TestOutdatedSpeedDoesNoHarm guards against jobs that are sent to a worker as a
-// fast one after it has become the slowest. The same seeds are played with the speeds left
-// out of the reports. The number of jobs not in time varies between plays by its square
-// root at least, which is allowed for.
+// TestOutdatedSpeedDoesNoHarm guards against jobs that are sent to a worker
+// as a fast one after it has become the slowest. The same seeds are also simulated with
+// the speeds left out of the reports. The number of late jobs varies between runs by at
+// least its square root, which is allowed for.
 func TestOutdatedSpeedDoesNoHarm(t *testing.T) {
 	p := speedScenario{"a fast worker turns slow", newUnevenWorld, 0.9 * unevenFullLoad, slowFrom(4, 1.8), 700, 4}
 	with, without := p.sum(t, false), p.sum(t, true)
@@ -147,9 +149,9 @@
 	require.LessOrEqual(t, float64(with.missed()), missed+math.Sqrt(missed))
 }
 
-// TestLostAnswersToStartsDelayJobsLittle plays a load of half of the room
-// while 4% of the starts are not answered, which held up every fourth of the short
-// wide jobs by half of what it has to spare.
+// TestLostAnswersToStartsDelayJobsLittle simulates a load of half of the capacity while
+// 4% of the starts are not answered, which used to delay every fourth of the short wide
+// jobs by half of its slack.
 func TestLostAnswersToStartsDelayJobsLittle(t *testing.T) {
 	w := newSimulation(t, 800, 3, 11, cores)
 	for _, a := range w.agents {
@@ -167,12 +169,12 @@
 	}
 	slices.Sort(beyond)
 	tenth := beyond[len(beyond)*9/10]
-	t.Logf("%+v, a tenth of the short wide jobs takes %v beyond its work", w.summary(), tenth)
+	t.Logf("%+v, p90 of the short wide jobs' time beyond their work: %v", w.summary(), tenth)
 	require.LessOrEqual(t, tenth, 25*time.Millisecond)
 }
 
-// TestNoTaskRunsTwiceAtOnceWhenStartsAreLateOrNotAnswered guards against a start that is
-// taken for one that did nothing after a short time, and takes effect later.
+// TestNoTaskRunsTwiceAtOnceWhenStartsAreLateOrNotAnswered guards against a start that
+// is assumed after a short time to have had no effect, and takes effect later.
 func TestNoTaskRunsTwiceAtOnceWhenStartsAreLateOrNotAnswered(t *testing.T) {
 	seeds := uint64(12)
 	if testing.Short() {
@@ -197,7 +199,7 @@
 	}
 }
 
-// speedReport returns a report of an agent in a fleet of four, with a speed.
+// speedReport returns a report with a speed, of an agent among four.
 func speedReport(b *fixture, agent string, speed float64) messenger.Report {
 	r := newReport(agent, 0)
 	r.Upstream = nil
@@ -206,8 +208,7 @@
 	return r
 }
 
-// newSpeedHarness returns a scheduler whose agents have told of their speeds: d is
-// fast.
+// newSpeedHarness returns a scheduler whose agents have reported their speeds: d is fast.
 func newSpeedBench(t *testing.T) *fixture {
 	b := newFixture(t)
 	for _, a := range []string{"a", "b", "c", "d"} {
@@ -217,7 +218,8 @@
 	return b
 }
 
-// reportSpeeds has agents a, b and so on tell of their speeds, which are then compared.
+// reportSpeeds has agents a, b and so on report their speeds, and has the scheduler compare
+// them.
 func (b *fixture) reportSpeeds(speeds ...float64) {
 	for i, v := range speeds {
 		b.s.HandleReport(speedReport(b, string(rune('a'+i)), v))
@@ -232,7 +234,7 @@
 	b.drain()
 }
 
-// reportFree takes the room of agents but for some of it.
+// reportFree has agents report that they have only the given CPU left free.
 func (b *fixture) reportFree(left int, agents ...string) {
 	for _, a := range agents {
 		r := speedReport(b, a, 0)
@@ -242,7 +244,7 @@
 	b.drain()
 }
 
-// relativeSpeeds returns the speeds of the agents as they are used.
+// relativeSpeeds returns the relative speeds that are in effect for the agents.
 func (b *fixture) relativeSpeeds() []float64 {
 	var out []float64
 	for _, a := range b.s.Dump().Agents {
@@ -251,7 +253,7 @@
 	return out
 }
 
-// placedAgents returns where the last messages place tasks.
+// placedAgents returns the agents of the last Place messages.
 func (b *fixture) placedAgents() []string {
 	var out []string
 	for _, e := range b.s.TakeEffects() {
@@ -264,16 +266,16 @@
 	return out
 }
 
-// TestFasterWorkerIsTakenWhenNothingWaits guards against fast workers that stand idle
-// beside slow ones that work.
+// TestFasterWorkerIsTakenWhenNothingWaits guards against fast workers that are idle
+// while slow ones are busy.
 func TestFasterWorkerIsTakenWhenNothingWaits(t *testing.T) {
 	b := newSpeedBench(t)
 	b.s.Submit(1, b.job(jobID, 2))
 	require.Equal(t, []string{"d"}, b.placedAgents())
 }
 
-// TestJobWithSlackLeavesFastWorkersToOthersThatWait guards against fast workers that are
-// full of jobs which any worker would have done in time.
+// TestJobWithSlackLeavesFastWorkersToOthersThatWait guards against fast workers that
+// are full of jobs which any worker would have done in time.
 func TestJobWithSlackLeavesFastWorkersToOthersThatWait(t *testing.T) {
 	b := newSpeedBench(t)
 	b.reportFree(1000, "a", "b", "c", "d")
@@ -285,8 +287,8 @@
 	require.Equal(t, []string{"a"}, b.placedAgents())
 }
 
-// TestJobThatNeedsAFastWorkerIsPlacedThereFirst guards against a fast worker that takes
-// a job which slow ones would do in time, while another one becomes late.
+// TestJobThatNeedsAFastWorkerIsPlacedThereFirst guards against a fast worker that gets
+// a job which a slow one would do in time, while another job becomes late.
 func TestJobThatNeedsAFastWorkerIsPlacedThereFirst(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -316,7 +318,7 @@
 }
 
 // TestJobTooLateForSlowWorkersMayStillGoToAFastOne guards against refusing a job that a
-// fast worker does in time, and against doing it late on a slow one.
+// fast worker would do in time, and against doing it late on a slow one.
 func TestJobTooLateForSlowWorkersMayStillGoToAFastOne(t *testing.T) {
 	for _, agent := range []string{"a", "d"} {
 		t.Run(agent, func(t *testing.T) {
@@ -325,7 +327,7 @@
 			j := b.job(jobID, 2)
 			j.Steps[0].Estimate = 300 * time.Millisecond
 			b.s.Submit(1, j)
-			// Its patience is 144 ms.
+			// Its wait limit is 144 ms.
 			b.clock.Advance(150 * time.Millisecond)
 			b.reportFree(1000, "a", "b", "c", "d")
 			b.s.Tick()
@@ -339,13 +341,13 @@
 			b.clock.Advance(200 * time.Millisecond)
 			b.s.Tick()
 			b.drain()
-			require.Equal(t, agent == "a", len(b.replies) > 0, "refused in the end, unless it runs")
+			require.Equal(t, agent == "a", len(b.replies) > 0, "refused unless it runs")
 		})
 	}
 }
 
 // TestRunIsNotMovedForTheKnownSpeedOfItsWorker guards against a run that is taken for a
-// straggler since it was placed on a slow worker.
+// straggler because it was placed on a slow worker.
 func TestRunIsNotMovedForTheKnownSpeedOfItsWorker(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -388,8 +390,8 @@
 	}
 }
 
-// TestEqualWorkersAreNotChosenBySpeed guards against choosing by the error of
-// the estimates, which are off by 40% either way, where all workers are as fast.
+// TestEqualWorkersAreNotChosenBySpeed guards against choosing workers of equal
+// speed by the error of the estimates, which are wrong by up to 40% either way.
 func TestEqualWorkersAreNotChosenBySpeed(t *testing.T) {
 	for _, n := range []int{4, 11, 26} {
 		for _, jobs := range []int{4, 8, 16} {
@@ -402,14 +404,14 @@
 					took++
 				}
 			}
-			t.Logf("%d workers, %d jobs behind each: in effect in %d of %d fleets", n, jobs, took, fleets)
+			t.Logf("%d workers, speeds from %d jobs each: in effect in %d of %d samples", n, jobs, took, fleets)
 			require.LessOrEqual(t, took, fleets/20)
 		}
 	}
 }
 
-// TestWorkersThatDifferAreFound guards against noise that hides that every third worker
-// takes 1.3 times as long, or that a quarter is faster.
+// TestWorkersThatDifferAreFound guards against estimation errors that hide that every
+// third worker takes 1.3 times as long, or that a quarter of the workers are faster.
 func TestWorkersThatDifferAreFound(t *testing.T) {
 	fleets := map[string]func(i int) float64{
 		"every third slow": func(i int) float64 { return []float64{1, 1, 1 / 1.3}[i%3] },
@@ -441,8 +443,8 @@
 	return b
 }
 
-// reportSampledSpeeds has agents tell of speeds that are the mean of as many jobs, whose
-// estimates are off by up to 40%.
+// reportSampledSpeeds has each agent report a speed that is the geometric mean over the given
+// number of jobs, whose estimates are wrong by up to 40%.
 func (b *fixture) reportSampledSpeeds(seed uint64, jobs int, speed func(i int) float64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	for i := range len(b.linkOpenedAt) {
@@ -459,8 +461,8 @@
 	b.drain()
 }
 
-// TestSpeedWithFewJobsBehindItDoesNotCount guards against a worker that is chosen for
-// one wrong estimate.
+// TestSpeedWithFewJobsBehindItDoesNotCount guards against a worker that is chosen
+// because of one wrong estimate.
 func TestSpeedWithFewJobsBehindItDoesNotCount(t *testing.T) {
 	b := newSpeedBench(t)
 	require.InDelta(t, 1.8/0.83, b.relativeSpeeds()[3], 0.01)
@@ -472,8 +474,8 @@
 	require.InDelta(t, 1, b.relativeSpeeds()[3], 0)
 }
 
-// TestSpeedOfAnAgentThatRestartsIsForgotten guards against a speed that nobody measures
-// any more. The agent of the worker tells of none on its next link.
+// TestSpeedOfAnAgentThatRestartsIsForgotten guards against a speed that is no longer
+// measured. The restarted agent of the worker reports no speed on its next link.
 func TestSpeedOfAnAgentThatRestartsIsForgotten(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -499,15 +501,16 @@
 	}
 }
 
-// TestJobDeferredToFastWorkerIsNotSplit guards against a job that is left to fast workers and
-// refused, since one that can take all of its tasks has no room to spare beside them.
+// TestJobDeferredToFastWorkerIsNotSplit guards against a job that waits for a fast worker
+// and is refused because the worker that can take all of its tasks has no headroom
+// beside them.
 func TestJobDeferredToFastWorkerIsNotSplit(t *testing.T) {
 	b := newSpeedBench(t)
 	b.reportFree(1000, "a", "b", "c", "d")
 	j := b.job(jobID, 4)
 	j.Steps[0].Estimate = 300 * time.Millisecond
 	b.s.Submit(1, j)
-	// Its patience is 144 ms.
+	// Its wait limit is 144 ms.
 	b.clock.Advance(150 * time.Millisecond)
 	b.reportFree(1000, "a", "b", "c", "d")
 	b.s.Tick()
@@ -515,7 +518,7 @@
 	require.Empty(t, b.replies)
 	b.clock.Advance(40 * time.Millisecond)
 	r := speedReport(b, "d", 0)
-	// Room for five tasks leaves less than what counts as spare.
+	// Capacity for five tasks leaves less than the required headroom.
 	r.Free = messenger.Resources{CPU: 5 * j.Steps[0].Demand.CPU, Memory: 64_000}
 	b.s.HandleReport(r)
 	places := b.drain()
