--- a/messenger/link.go
+++ b/messenger/link.go
@@ -54,14 +54,14 @@
 }
 
 // NewLink starts a link over socket. The link closes socket when it ends.
-func NewLink(socket net.Conn, h Handler) *Link {
-	if tcp, ok := socket.(*net.TCPConn); ok {
+func NewLink(conn net.Conn, h Handler) *Link {
+	if tcp, ok := conn.(*net.TCPConn); ok {
 		// Data still in flight when a link is closed must not arrive later.
 		_ = tcp.SetLinger(0)
 	}
 	l := &Link{
-		Sender:  courier.NewSender(func() { _ = socket.Close() }),
-		conn:    courier.TimeoutConn{Conn: socket, Timeout: IdleTimeout},
+		Sender:  courier.NewSender(func() { _ = conn.Close() }),
+		conn:    courier.TimeoutConn{Conn: conn, Timeout: IdleTimeout},
 		handler: h,
 	}
 	go l.write()
@@ -72,23 +72,23 @@
 // Dial opens a link to addr.
 func Dial(ctx context.Context, addr string, h Handler) (*Link, error) {
 	d := net.Dialer{Timeout: dialTimeout}
-	socket, err := d.DialContext(ctx, "tcp", addr)
+	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial %s", addr)
 	}
-	return NewLink(socket, h), nil
+	return NewLink(conn, h), nil
 }
 
 func (l *Link) write() {
 	defer l.Close()
 	var batch []byte
 	for {
-		list, ok := l.NextBatch()
+		messages, ok := l.NextBatch()
 		if !ok {
 			return
 		}
 		batch = batch[:0]
-		for _, msg := range list {
+		for _, msg := range messages {
 			var err error
 			if batch, err = appendMessage(batch, msg); err != nil {
 				return
@@ -114,7 +114,7 @@
 }
 
 // appendMessage appends the wire encoding of msg to out.
-func appendMessage(out []byte, msg any) ([]byte, error) {
+func appendMessage(buf []byte, msg any) ([]byte, error) {
 	number := -1
 	for i, t := range messageTypes {
 		if t == reflect.TypeOf(msg) {
@@ -122,24 +122,24 @@
 		}
 	}
 	if number < 0 {
-		return out, errors.Errorf("%T is not a message type", msg)
+		return buf, errors.Errorf("%T is not a message type", msg)
 	}
 	body, err := cbor.Marshal(msg)
 	if err != nil {
-		return out, errors.Wrapf(err, "encode %T", msg)
+		return buf, errors.Wrapf(err, "encode %T", msg)
 	}
-	out = append(out, byte(number))
-	out = binary.AppendUvarint(out, uint64(len(body)))
-	return append(out, body...), nil
+	buf = append(buf, byte(number))
+	buf = binary.AppendUvarint(buf, uint64(len(body)))
+	return append(buf, body...), nil
 }
 
 // readMessage reads one message and returns a pointer to it.
-func readMessage(in *bufio.Reader) (any, error) {
-	number, err := in.ReadByte()
+func readMessage(r *bufio.Reader) (any, error) {
+	number, err := r.ReadByte()
 	if err != nil {
 		return nil, err
 	}
-	size, err := binary.ReadUvarint(in)
+	size, err := binary.ReadUvarint(r)
 	if err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 		return nil, errors.Errorf("invalid message header: type %d, %d bytes", number, size)
 	}
 	body := make([]byte, size)
-	if _, err := io.ReadFull(in, body); err != nil {
+	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
 	msg := reflect.New(messageTypes[number]).Interface()
--- a/scheduler/availability.go
+++ b/scheduler/availability.go
@@ -10,8 +10,8 @@
 // availability is how soon an agent is expected to have free capacity for a task.
 type availability struct {
 	near bool
-	// horizon is the index of the first of the ForecastHorizons within which there will be
-	// enough capacity. Agents that report no forecast come after these, and before
+	// horizon is the index of the first of the ForecastHorizons within which there will
+	// be enough capacity. Agents that report no forecast come after these, and before
 	// those that will not have it within any.
 	horizon int
 	// freeShare is the capacity that is free now over the capacity needed.
@@ -21,7 +21,7 @@
 	order uint64
 }
 
-// Values of outlook.span apart from the indexes of ForecastHorizons.
+// Values of availability.horizon apart from the indexes of ForecastHorizons.
 const (
 	horizonUnknown = len(messenger.ForecastHorizons)
 	horizonBeyond  = horizonUnknown + 1
@@ -43,15 +43,15 @@
 // when no agent can be asked.
 func (s *Scheduler) soonestAgent(t *task, now time.Time) *agent {
 	var best *agent
-	var bestOutlook availability
+	var bestAvailability availability
 	for _, a := range s.agentsByName {
 		if !s.mayReserveAt(a, t, now) {
 			continue
 		}
 		o := a.availability(t)
-		if best == nil || o.better(bestOutlook) {
+		if best == nil || o.better(bestAvailability) {
 			best = a
-			bestOutlook = o
+			bestAvailability = o
 		}
 	}
 	return best
@@ -73,26 +73,26 @@
 // availability returns how soon the agent is expected to have free capacity for a task.
 func (a *agent) availability(t *task) availability {
 	d := t.demand()
-	room := a.free().NonNegative()
-	o := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(room, d), order: t.job.agentOrder(a)}
+	capacity := a.free().NonNegative()
+	o := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(capacity, d), order: t.job.agentOrder(a)}
 	if len(a.report.Forecast) == 0 {
 		return o
 	}
-	o.horizon = slices.IndexFunc(a.capacityForecast(), func(more messenger.Resources) bool { return d.FitsIn(room.Plus(more)) })
+	o.horizon = slices.IndexFunc(a.capacityForecast(), func(freed messenger.Resources) bool { return d.FitsIn(capacity.Plus(freed)) })
 	if o.horizon < 0 {
 		o.horizon = horizonBeyond
 	}
 	return o
 }
 
-// coverage returns the share of a demand that room covers, for the resource that it
+// coverage returns the share of a demand that capacity covers, for the resource that it
 // covers least.
-func coverage(room, d messenger.Resources) float64 {
-	least := 1.0
-	for _, p := range [...][2]int{{room.CPU, d.CPU}, {room.Memory, d.Memory}, {room.GPU, d.GPU}} {
-		if p[1] > 0 {
-			least = min(least, float64(p[0])/float64(p[1]))
+func coverage(capacity, d messenger.Resources) float64 {
+	minShare := 1.0
+	for _, pair := range [...][2]int{{capacity.CPU, d.CPU}, {capacity.Memory, d.Memory}, {capacity.GPU, d.GPU}} {
+		if pair[1] > 0 {
+			minShare = min(minShare, float64(pair[0])/float64(pair[1]))
 		}
 	}
-	return least
+	return minShare
 }
--- a/scheduler/forecast.go
+++ b/scheduler/forecast.go
@@ -11,8 +11,8 @@
 	wait time.Duration
 	// jobsBefore is the number of jobs of its queue that wait before it.
 	jobsBefore int
-	// startRate is the rate of first placements of its queue, in jobs a second; zero when it
-	// is not known.
+	// startRate is the rate of first placements of its queue, in jobs a second; zero
+	// when it is not known.
 	startRate float64
 }
 
@@ -25,11 +25,12 @@
 	return Refusal{Point: at, Wait: f.wait, JobsBefore: f.jobsBefore, StartRate: f.startRate}
 }
 
-// forecastWait returns the expected wait of a new or waiting job. A job that nothing waits
-// before is not expected to wait. Where jobs of other queues overtake those of its own,
-// the wait is, by Little's law, the number of jobs up to and including itself over the
-// start rate of its queue, which reflects the effect of the overtaking jobs. Elsewhere,
-// or while that rate is not known, it is the time that the work before the job takes.
+// forecastWait returns the expected wait of a new or waiting job. A job that nothing
+// waits before is not expected to wait. Where jobs of other queues overtake those of
+// its own, the wait is, by Little's law, the number of jobs up to and including itself
+// over the start rate of its queue, which reflects the effect of the overtaking jobs.
+// Elsewhere, or while that rate is not known, it is the time that the work before the
+// job takes.
 func (s *Scheduler) forecastWait(j *job, now time.Time) waitForecast {
 	work := s.backlogTimeBefore(j)
 	if work == 0 {
@@ -47,11 +48,11 @@
 	return f
 }
 
-// overtakenByOtherQueues reports whether jobs of other queues are waiting that come before those of
-// a job's queue or take turns with them.
+// overtakenByOtherQueues reports whether jobs of other queues are waiting that come
+// before those of a job's queue or take turns with them.
 func (s *Scheduler) overtakenByOtherQueues(j *job) bool {
-	return slices.ContainsFunc(s.queue, func(q *job) bool {
-		return q.unstarted() && q.Queue.Name != j.Queue.Name && q.rank <= j.rank
+	return slices.ContainsFunc(s.queue, func(other *job) bool {
+		return other.unstarted() && other.Queue.Name != j.Queue.Name && other.rank <= j.rank
 	})
 }
 
@@ -59,17 +60,17 @@
 // placement.
 func (s *Scheduler) countJobsBefore(j *job) int {
 	n := 0
-	for _, q := range s.queue {
-		if q.Queue.Name == j.Queue.Name && q.unstarted() && compareJobs(q, j) < 0 {
+	for _, other := range s.queue {
+		if other.Queue.Name == j.Queue.Name && other.unstarted() && compareJobs(other, j) < 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// backlogTimeBefore estimates how long the work takes that is queued here and comes before a
-// job; nil stands for a job that comes last. Other entries are assumed to have as much
-// work queued.
+// backlogTimeBefore estimates how long the work takes that is queued here and comes
+// before a job; nil stands for a job that comes last. Other entries are assumed to have
+// as much work queued.
 func (s *Scheduler) backlogTimeBefore(j *job) time.Duration {
 	if len(s.queue) == 0 {
 		return 0
@@ -78,9 +79,9 @@
 		j.rank = s.queueRank(j.Queue)
 	}
 	var work float64
-	for _, q := range s.queue {
-		if j == nil || compareJobs(q, j) < 0 {
-			work += q.queuedWork()
+	for _, other := range s.queue {
+		if j == nil || compareJobs(other, j) < 0 {
+			work += other.queuedWork()
 		}
 	}
 	if work == 0 {
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -11,12 +11,12 @@
 // Jobs are visited in the order in which they get capacity, so all counted tasks come
 // before the next job's.
 type passBacklog struct {
-	// byRack counts the waiting tasks whose data is on a rack, by rack, and anywhere
+	// byRack counts the waiting tasks whose data is on a rack, by rack, and anyRack
 	// those that may run on any worker.
 	byRack  map[string]int
 	anyRack int
-	// noCapacity counts the tasks that any worker with free capacity could have taken and
-	// that found none.
+	// noCapacity counts the tasks that any worker with free capacity could have taken
+	// and that found none.
 	noCapacity int
 }
 
@@ -71,9 +71,9 @@
 		return n
 	}
 	w := s.forecastNear(j, step, todo, now)
-	held := min(w.tasksToDefer(), len(todo))
-	n = min(n, len(todo)-held)
-	s.deferForNear(j, todo, held, w, now)
+	deferCount := min(w.tasksToDefer(), len(todo))
+	n = min(n, len(todo)-deferCount)
+	s.deferForNear(j, todo, deferCount, w, now)
 	if n > 0 {
 		s.noteLocality(j, a, "far", fmt.Sprintf("%d of %d tasks, %v", n, len(todo), w), now)
 	}
@@ -82,17 +82,17 @@
 
 // deferForNear marks the last of the tasks as deferred for a near worker, and the others
 // as not deferred.
-func (s *Scheduler) deferForNear(j *job, todo []*task, held int, w nearForecast, now time.Time) {
-	newlyHeld := 0
+func (s *Scheduler) deferForNear(j *job, todo []*task, deferCount int, w nearForecast, now time.Time) {
+	newlyDeferred := 0
 	for i, t := range todo {
-		was := t.deferred
-		t.deferred = i >= len(todo)-held
-		if t.deferred && !was {
-			newlyHeld++
+		wasDeferred := t.deferred
+		t.deferred = i >= len(todo)-deferCount
+		if t.deferred && !wasDeferred {
+			newlyDeferred++
 		}
 	}
-	if newlyHeld > 0 {
-		s.noteLocality(j, nil, "near soon", fmt.Sprintf("%d of %d tasks, %v", newlyHeld, len(todo), w), now)
+	if newlyDeferred > 0 {
+		s.noteLocality(j, nil, "near soon", fmt.Sprintf("%d of %d tasks, %v", newlyDeferred, len(todo), w), now)
 	}
 }
 
@@ -120,8 +120,8 @@
 	// maxWait is the maximum time that a task may wait for a near worker; with zero or
 	// less it goes to a far worker at once.
 	maxWait time.Duration
-	// nearCapacity is the number of tasks that near workers are expected to take within wait,
-	// and before the number of tasks that get this capacity first.
+	// nearCapacity is the number of tasks that near workers are expected to take within
+	// maxWait, and tasksBefore the number of tasks that get this capacity first.
 	nearCapacity int
 	tasksBefore  int
 	// farInTime is whether the job would meet its objective on a far worker now, and
@@ -142,10 +142,10 @@
 // forecastNear returns how long tasks may wait for near workers, and for how many of
 // them these workers are expected to have free capacity.
 func (s *Scheduler) forecastNear(j *job, step int, todo []*task, now time.Time) nearForecast {
-	far := scaled(j.Steps[step].Estimate, s.config.FarFactor)
+	farDuration := scaled(j.Steps[step].Estimate, s.config.FarFactor)
 	w := nearForecast{
 		maxWait:   s.maxNearWait(j, todo[0], now),
-		farInTime: !now.Add(far).After(j.stepDueAt(step)),
+		farInTime: !now.Add(farDuration).After(j.stepDueAt(step)),
 		scarce:    s.capacityScarce,
 	}
 	if w.maxWait <= 0 {
@@ -153,7 +153,7 @@
 	}
 	near := s.nearAgents(j, step, todo[0], now)
 	w.tasksBefore = s.nearTasksBefore(j.Steps[step].Rack, len(near))
-	var room float64
+	var nearTasks float64
 	for _, a := range near {
 		// Other entries count on the same capacity. A job that would miss its objective
 		// on a far worker has less to lose, and counts on all of it.
@@ -161,30 +161,30 @@
 		if w.farInTime {
 			sharers = max(a.report.ConnectedEntries, 1)
 		}
-		most := sharers * (w.tasksBefore + len(todo))
-		room += a.forecastTasks(j, step, most, w.maxWait, now) / float64(sharers)
+		limit := sharers * (w.tasksBefore + len(todo))
+		nearTasks += a.forecastTasks(j, step, limit, w.maxWait, now) / float64(sharers)
 	}
-	w.nearCapacity = int(room)
+	w.nearCapacity = int(nearTasks)
 	return w
 }
 
-// maxNearWait returns how much longer a task may wait for a near worker. It waits only as
-// long as it ends no later than on a far worker. While other tasks find no free
+// maxNearWait returns how much longer a task may wait for a near worker. It waits only
+// as long as it ends no later than on a far worker. While other tasks find no free
 // capacity, it also waits as long as its job meets the objective, because work on a far
 // worker occupies capacity for longer. A job whose wait limit has passed goes to a far
 // worker: a scheduling pass places before it refuses.
 func (s *Scheduler) maxNearWait(j *job, t *task, now time.Time) time.Duration {
 	estimate := j.Steps[t.step].Estimate
 	wait := scaled(estimate, s.config.FarFactor) - estimate
-	latest := j.stepDueAt(t.step).Add(-estimate)
+	latestStart := j.stepDueAt(t.step).Add(-estimate)
 	if s.capacityScarce {
-		wait = max(wait, latest.Sub(now))
+		wait = max(wait, latestStart.Sub(now))
 	}
 	if len(j.Steps[t.step].After) > 0 {
 		// The wait limit applies to the first task of the job; later tasks wait for a
 		// share of the slack that was left when they became ready.
-		patience := time.Duration(waitSlackShare * float64(latest.Sub(t.readyAt)))
-		return min(wait, patience-now.Sub(t.readyAt))
+		laterStepWaitLimit := time.Duration(waitSlackShare * float64(latestStart.Sub(t.readyAt)))
+		return min(wait, laterStepWaitLimit-now.Sub(t.readyAt))
 	}
 	return min(wait, s.waitLimit(j)-now.Sub(j.arrived))
 }
@@ -207,48 +207,48 @@
 	return out
 }
 
-// nearTasksBefore returns how many of the waiting tasks get capacity at near workers before
-// the next one: those for the rack, and of those that may run anywhere a part equal to
-// the near workers' share of all agents.
-func (s *Scheduler) nearTasksBefore(rack string, near int) int {
-	return s.passBacklog.byRack[rack] + s.passBacklog.anyRack*near/max(len(s.agentsByName), 1)
+// nearTasksBefore returns how many of the waiting tasks get capacity at near workers
+// before the next one: those for the rack, and of those that may run anywhere a part
+// equal to the near workers' share of all agents.
+func (s *Scheduler) nearTasksBefore(rack string, nearAgents int) int {
+	return s.passBacklog.byRack[rack] + s.passBacklog.anyRack*nearAgents/max(len(s.agentsByName), 1)
 }
 
-// forecastTasks returns how many tasks of a step, up to most, the agent is expected to have
-// free capacity for after a time. Between two forecast horizons the number is
+// forecastTasks returns how many tasks of a step, up to limit, the agent is expected to
+// have free capacity for after a wait. Between two forecast horizons the number is
 // interpolated linearly, so it may be a fraction. The horizons count from the agent's
 // report.
-func (a *agent) forecastTasks(j *job, step, most int, after time.Duration, now time.Time) float64 {
+func (a *agent) forecastTasks(j *job, step, limit int, wait time.Duration, now time.Time) float64 {
 	st := j.Steps[step]
 	if st.MaxPerWorker > 0 {
-		most = min(most, st.MaxPerWorker-a.countPlaced(j, step))
-	}
-	after += now.Sub(a.reportedAt)
-	at := time.Duration(0)
-	n := float64(st.countFitting(a.free(), most))
-	for i, d := range a.capacityForecast() {
-		next := messenger.ForecastHorizons[i]
-		then := float64(st.countFitting(a.free().Plus(d), most))
-		if after < next {
-			return n + (then-n)*float64(after-at)/float64(next-at)
+		limit = min(limit, st.MaxPerWorker-a.countPlaced(j, step))
+	}
+	wait += now.Sub(a.reportedAt)
+	horizon := time.Duration(0)
+	n := float64(st.countFitting(a.free(), limit))
+	for i, freed := range a.capacityForecast() {
+		nextHorizon := messenger.ForecastHorizons[i]
+		atNext := float64(st.countFitting(a.free().Plus(freed), limit))
+		if wait < nextHorizon {
+			return n + (atNext-n)*float64(wait-horizon)/float64(nextHorizon-horizon)
 		}
-		at = next
-		n = then
+		horizon = nextHorizon
+		n = atNext
 	}
 	return n
 }
 
-// capacityForecast returns the agent's forecast of capacity, at most one item for each of
-// messenger.ForecastHorizons.
+// capacityForecast returns the agent's forecast of capacity, at most one item for each
+// of messenger.ForecastHorizons.
 func (a *agent) capacityForecast() []messenger.Resources {
 	return a.report.Forecast[:min(len(a.report.Forecast), len(messenger.ForecastHorizons))]
 }
 
-// countFitting counts the step's tasks, up to most, that fit in room.
-func (st Step) countFitting(room messenger.Resources, most int) int {
+// countFitting counts the step's tasks, up to limit, that fit in capacity.
+func (st Step) countFitting(capacity messenger.Resources, limit int) int {
 	n := 0
-	for n < most && st.Demand.FitsIn(room) {
-		room = room.Minus(st.Demand)
+	for n < limit && st.Demand.FitsIn(capacity) {
+		capacity = capacity.Minus(st.Demand)
 		n++
 	}
 	return n
--- a/scheduler/reservation.go
+++ b/scheduler/reservation.go
@@ -19,17 +19,17 @@
 	minReserveTTL = 10 * time.Millisecond
 	// maxReservations is the maximum number of concurrent reservations of an entry.
 	maxReservations = 4
-	// reserveConfirmGrace is the time after the request during which a report may have been
-	// sent before the request arrived.
+	// reserveConfirmGrace is the time after the request during which a report may have
+	// been sent before the request arrived.
 	reserveConfirmGrace = 20 * time.Millisecond
-	// maxMissedReports is the number of consecutive reports without the reservation after
-	// which it is cancelled.
+	// maxMissedReports is the number of consecutive reports without the reservation
+	// after which it is cancelled.
 	maxMissedReports = 2
-	// reserveBackoff is how long an agent is not asked again after a reservation there has
-	// ended unused.
+	// reserveBackoff is how long an agent is not asked again after a reservation there
+	// has ended unused.
 	reserveBackoff = 200 * time.Millisecond
-	// placedElsewhereGrace is how long a reservation is kept after its task has been placed
-	// elsewhere, where another entry may have taken the capacity.
+	// placedElsewhereGrace is how long a reservation is kept after its task has been
+	// placed elsewhere, where another entry may have taken the capacity.
 	placedElsewhereGrace = 3 * placementWaitLimit
 	// backfillMargin allows for the time that a task takes to reach the worker.
 	backfillMargin = 10 * time.Millisecond
@@ -44,33 +44,33 @@
 	demand      messenger.Resources
 	requestedAt time.Time
 	expiresAt   time.Time
-	// confirmed is whether the agent has reported the reservation, and missed the number of
-	// consecutive reports without it.
+	// confirmed is whether the agent has reported the reservation, and missedReports
+	// the number of consecutive reports without it.
 	confirmed     bool
 	missedReports int
 }
 
-// requestReservations requests reservations for the large tasks that have waited long enough and
-// fit nowhere, in queue order.
+// requestReservations requests reservations for the large tasks that have waited long
+// enough and fit nowhere, in queue order.
 func (s *Scheduler) requestReservations(now time.Time) {
 	if len(s.reservations) >= maxReservations || !s.largeForAnyService(s.maxBacklogDemand) {
 		return
 	}
-	short := s.saturatedServices(now)
+	saturated := s.saturatedServices(now)
 	misses := 0
 	for _, j := range s.queue {
 		if len(s.reservations) >= maxReservations || misses >= maxReservations {
 			return
 		}
-		if short[j.Queue.Service] || now.Sub(j.queuedAt) < reserveAfter || !s.ownsExclusively(j, now) || s.hasReservation(j) {
+		if saturated[j.Queue.Service] || now.Sub(j.queuedAt) < reserveAfter || !s.ownsExclusively(j, now) || s.hasReservation(j) {
 			continue
 		}
 		t := s.waitingLargeTask(j)
 		if t == nil {
 			continue
 		}
-		span := s.reservationTTL(j, now)
-		if span < minReserveTTL {
+		ttl := s.reservationTTL(j, now)
+		if ttl < minReserveTTL {
 			continue
 		}
 		a := s.soonestAgent(t, now)
@@ -78,20 +78,20 @@
 			misses++
 			continue
 		}
-		s.requestReservation(a, t, now, span)
+		s.requestReservation(a, t, now, ttl)
 	}
 }
 
 // saturatedServices returns the saturated services: those of which a job with only small
 // tasks to place has waited for reserveAfter.
 func (s *Scheduler) saturatedServices(now time.Time) map[string]bool {
-	short := make(map[string]bool)
+	saturated := make(map[string]bool)
 	for _, j := range s.queue {
 		if now.Sub(j.queuedAt) >= reserveAfter && s.ownsExclusively(j, now) && s.waitingLargeTask(j) == nil {
-			short[j.Queue.Service] = true
+			saturated[j.Queue.Service] = true
 		}
 	}
-	return short
+	return saturated
 }
 
 // hasReservation reports whether there is a reservation for a task of a job.
@@ -101,24 +101,24 @@
 
 // reservationTTL returns how long reserved capacity is of use to a job.
 func (s *Scheduler) reservationTTL(j *job, now time.Time) time.Duration {
-	until := j.arrived.Add(s.waitLimit(j))
+	expiresAt := j.arrived.Add(s.waitLimit(j))
 	if j.mayHaveStarted || j.hasTask(placed) {
-		until = j.Deadline.Add(-j.minDuration())
+		expiresAt = j.Deadline.Add(-j.minDuration())
 	}
-	return min(until.Sub(now), maxReserveTTL)
+	return min(expiresAt.Sub(now), maxReserveTTL)
 }
 
 // requestReservation asks an agent to reserve capacity for a task.
-func (s *Scheduler) requestReservation(a *agent, t *task, now time.Time, span time.Duration) {
+func (s *Scheduler) requestReservation(a *agent, t *task, now time.Time, ttl time.Duration) {
 	a.reserveNumber++
 	v := &reservation{
 		agent: a, job: t.job, step: t.step, number: a.reserveNumber, demand: t.demand(),
-		requestedAt: now, expiresAt: now.Add(span),
+		requestedAt: now, expiresAt: now.Add(ttl),
 	}
 	a.reservation = v
 	s.reservations = append(s.reservations, v)
-	s.emit(Send{Agent: a.name, Message: messenger.Reserve{Number: v.number, Demand: v.demand, TTL: span}})
-	s.noteReservation(v, "reservation requested", fmt.Sprintf("%d thousandths of a core for %s", v.demand.CPU, span))
+	s.emit(Send{Agent: a.name, Message: messenger.Reserve{Number: v.number, Demand: v.demand, TTL: ttl}})
+	s.noteReservation(v, "reservation requested", fmt.Sprintf("%d thousandths of a core for %s", v.demand.CPU, ttl))
 }
 
 // noteReservation emits the note on a reservation's change of state.
@@ -126,7 +126,8 @@
 	s.emit(Note{Job: v.job.ID, Queue: v.job.Queue.Name, Agent: v.agent.name, What: what, Why: why, Age: s.clock.Since(v.job.arrived)})
 }
 
-// confirmReservation records whether an agent's last report lists the entry's reservation there.
+// confirmReservation records whether an agent's last report lists the entry's
+// reservation there.
 func (s *Scheduler) confirmReservation(a *agent) {
 	v := a.reservation
 	switch {
@@ -157,15 +158,16 @@
 	}
 }
 
-// obsoleteReason returns the reason why a reservation is no longer of use, or "" if it is.
+// obsoleteReason returns the reason why a reservation is no longer of use, or "" while
+// it still is.
 func (s *Scheduler) obsoleteReason(v *reservation, now time.Time) string {
-	waits := func(t *task) bool {
+	needsReservation := func(t *task) bool {
 		return t.step == v.step && (t.state == ready || (t.state == placed && now.Sub(t.placedAt) < placedElsewhereGrace))
 	}
 	switch {
 	case s.jobs[v.job.ID] != v.job:
 		return "job has ended"
-	case !slices.ContainsFunc(v.job.tasks, waits):
+	case !slices.ContainsFunc(v.job.tasks, needsReservation):
 		return "placed elsewhere"
 	case !now.Before(v.expiresAt):
 		return "reservation expired"
@@ -196,8 +198,8 @@
 	s.noteReservation(v, "reservation given up", why)
 }
 
-// reservationLinkEnded removes the reservation at an agent whose link has ended. The agent
-// has dropped it already.
+// reservationLinkEnded removes the reservation at an agent whose link has ended. The
+// agent has dropped it already.
 func (s *Scheduler) reservationLinkEnded(a *agent) {
 	if v := a.reservation; v != nil {
 		s.removeReservation(v)
@@ -208,24 +210,25 @@
 // removeReservation removes a reservation without telling the agent.
 func (s *Scheduler) removeReservation(v *reservation) {
 	v.agent.reservation = nil
-	s.reservations = slices.DeleteFunc(s.reservations, func(o *reservation) bool { return o == v })
+	s.reservations = slices.DeleteFunc(s.reservations, func(other *reservation) bool { return other == v })
 }
 
-// capacityFor returns the capacity that tasks of a step may use at the agent: without what
-// is reserved for another job of the entry, and including what is being collected for a
-// task of another entry if these tasks end before that one can start.
+// capacityFor returns the capacity that tasks of a step may use at the agent: without
+// what is reserved for another job of the entry, and including what is being collected
+// for a task of another entry if these tasks end before that one can start.
 func (a *agent) capacityFor(j *job, step int, now time.Time) messenger.Resources {
-	room := a.free()
-	if v := a.reservation; v != nil && (v.job != j || v.step != step) && v.demand.FitsIn(room) {
-		room = room.Minus(v.demand)
+	capacity := a.free()
+	if v := a.reservation; v != nil && (v.job != j || v.step != step) && v.demand.FitsIn(capacity) {
+		capacity = capacity.Minus(v.demand)
 	}
-	if fill := a.report.Backfill; fill.Window > 0 && now.Sub(a.reportedAt)+j.Steps[step].Estimate+backfillMargin <= fill.Window {
-		room = room.Plus(fill.Resources)
+	if backfill := a.report.Backfill; backfill.Window > 0 && now.Sub(a.reportedAt)+j.Steps[step].Estimate+backfillMargin <= backfill.Window {
+		capacity = capacity.Plus(backfill.Resources)
 	}
-	return room
+	return capacity
 }
 
-// capacityWithBackfill returns the free capacity of the agent plus what tasks that end soon may use.
+// capacityWithBackfill returns the free capacity of the agent plus the capacity that
+// tasks which end soon may use.
 func (a *agent) capacityWithBackfill() messenger.Resources {
 	return a.free().Plus(a.report.Backfill.Resources)
 }
--- a/scheduler/size.go
+++ b/scheduler/size.go
@@ -27,17 +27,17 @@
 
 // updateMaxCapacity sets the maximum of each resource over the workers of a service.
 func (s *Scheduler) updateMaxCapacity(service string) {
-	var most messenger.Resources
+	var largest messenger.Resources
 	for _, a := range s.agentsByName {
 		if a.upstream.Born != 0 && a.upstream.Service == service {
-			most = most.Max(a.upstream.Capacity)
+			largest = largest.Max(a.upstream.Capacity)
 		}
 	}
-	if most.IsZero() {
+	if largest.IsZero() {
 		delete(s.maxCapacity, service)
 		return
 	}
-	s.maxCapacity[service] = most
+	s.maxCapacity[service] = largest
 }
 
 // largeForAnyService reports whether a demand is large on the workers of some service.
@@ -58,8 +58,8 @@
 	return Small
 }
 
-// waitingLargeTask returns the first task of a job that is large and ready; nil when there is
-// none.
+// waitingLargeTask returns the first task of a job that is large and ready; nil when
+// there is none.
 func (s *Scheduler) waitingLargeTask(j *job) *task {
 	for step := range j.Steps {
 		if s.sizeOf(j, step) != Large {
--- a/scheduler/speed.go
+++ b/scheduler/speed.go
@@ -22,8 +22,8 @@
 	speedLogStdDev = 0.25
 	// speedCompareInterval is the time between two comparisons of the workers' speeds.
 	speedCompareInterval = 100 * time.Millisecond
-	// minRelativeSpeed and maxRelativeSpeed bound the relative speed of a worker. One that seems to
-	// be slower is faulty, which is left to the health checks.
+	// minRelativeSpeed and maxRelativeSpeed bound the relative speed of a worker. One
+	// that seems to be slower is faulty, which is left to the health checks.
 	minRelativeSpeed = slowPace
 	maxRelativeSpeed = 4
 )
@@ -36,7 +36,7 @@
 	// relative is value over the median speed of the service's workers; 1 while value
 	// is not known or the workers do not differ.
 	relative float64
-	// step is the relative speed in steps of speedStep; 0 stands for the median.
+	// step is the relative speed in steps of speedStepRatio; 0 stands for the median.
 	step int
 }
 
@@ -60,7 +60,7 @@
 	v.step = quantizeSpeed(relative)
 }
 
-// quantizeSpeed converts a relative speed to steps of speedStep.
+// quantizeSpeed converts a relative speed to steps of speedStepRatio.
 func quantizeSpeed(relative float64) int {
 	return int(math.Round(math.Log(relative) / math.Log1p(speedStepRatio)))
 }
@@ -69,7 +69,8 @@
 type speedProfile struct {
 	// heterogeneous means that the workers differ enough for their speeds to take effect.
 	heterogeneous bool
-	// lowerQuartile is the lower quartile of the relative speeds, and fast the highest one.
+	// lowerQuartile is the lower quartile of the relative speeds, and fastest the
+	// highest one.
 	lowerQuartile, fastest float64
 }
 
@@ -89,47 +90,47 @@
 			byService[a.upstream.Service] = append(byService[a.upstream.Service], a)
 		}
 	}
-	last := s.speedProfiles
+	previous := s.speedProfiles
 	s.speedProfiles = make(map[string]speedProfile, len(byService))
 	for service, agents := range byService {
-		f := setRelativeSpeeds(agents, last[service].heterogeneous)
-		s.speedProfiles[service] = f
-		if f.heterogeneous != last[service].heterogeneous {
+		profile := setRelativeSpeeds(agents, previous[service].heterogeneous)
+		s.speedProfiles[service] = profile
+		if profile.heterogeneous != previous[service].heterogeneous {
 			why := fmt.Sprintf("service %s, workers differ: %t, relative speeds: lower quartile %.2f, highest %.2f",
-				service, f.heterogeneous, f.lowerQuartile, f.fastest)
+				service, profile.heterogeneous, profile.lowerQuartile, profile.fastest)
 			s.emit(Note{What: "use of speeds changed", Why: why})
 		}
 	}
 }
 
-// setRelativeSpeeds sets the relative speeds of the agents of one service and returns their
-// profile.
-func setRelativeSpeeds(agents []*agent, wasUneven bool) speedProfile {
-	usual, uneven := speedSpread(agents, wasUneven)
+// setRelativeSpeeds sets the relative speeds of the agents of one service and returns
+// their profile.
+func setRelativeSpeeds(agents []*agent, wasHeterogeneous bool) speedProfile {
+	median, heterogeneous := speedSpread(agents, wasHeterogeneous)
 	relative := make([]float64, len(agents))
 	for i, a := range agents {
 		relative[i] = 1
-		if uneven && a.speed.known() {
-			relative[i] = min(max(a.speed.value/usual, minRelativeSpeed), maxRelativeSpeed)
+		if heterogeneous && a.speed.known() {
+			relative[i] = min(max(a.speed.value/median, minRelativeSpeed), maxRelativeSpeed)
 		}
 		a.speed.setRelative(relative[i])
 	}
 	slices.Sort(relative)
-	return speedProfile{heterogeneous: uneven, lowerQuartile: relative[len(relative)/4], fastest: relative[len(relative)-1]}
+	return speedProfile{heterogeneous: heterogeneous, lowerQuartile: relative[len(relative)/4], fastest: relative[len(relative)-1]}
 }
 
 // speedSpread returns the median of the known speeds and whether the workers differ.
 // The variance of the logarithms of the speeds, less the part that is explained by the
 // error of the estimates and its usual variation, must be at least that of two halves
-// that differ by speedStep. Once the workers differ, a third of it is enough, so that
-// the answer does not flap.
-func speedSpread(agents []*agent, wasUneven bool) (usual float64, uneven bool) {
+// that differ by speedStepRatio. Once the workers differ, a third of it is enough, so
+// that the answer does not flap.
+func speedSpread(agents []*agent, wasHeterogeneous bool) (median float64, heterogeneous bool) {
 	var logs []float64
-	var noise float64
+	var errorVariance float64
 	for _, a := range agents {
 		if a.speed.known() {
 			logs = append(logs, math.Log(a.speed.value))
-			noise += speedLogStdDev * speedLogStdDev / float64(a.speed.sampleJobs)
+			errorVariance += speedLogStdDev * speedLogStdDev / float64(a.speed.sampleJobs)
 		}
 	}
 	n := float64(len(logs))
@@ -142,19 +143,19 @@
 		sum += l
 		squares += l * l
 	}
-	noise /= n
-	variance := (squares-sum*sum/n)/n - noise
-	half := math.Log1p(speedStepRatio) / 2
-	enough := half * half
-	if wasUneven {
-		enough /= 3
+	errorVariance /= n
+	variance := (squares-sum*sum/n)/n - errorVariance
+	halfStep := math.Log1p(speedStepRatio) / 2
+	minVariance := halfStep * halfStep
+	if wasHeterogeneous {
+		minVariance /= 3
 	}
-	enough += noise * math.Sqrt(2/(n-1))
-	return math.Exp(logs[len(logs)/2]), variance >= enough
+	minVariance += errorVariance * math.Sqrt(2/(n-1))
+	return math.Exp(logs[len(logs)/2]), variance >= minVariance
 }
 
-// speedCriteria holds the limits by which the speed of a worker is judged for waiting tasks.
-// Its zero value is used for workers that do not differ.
+// speedCriteria holds the limits by which the speed of a worker is judged for waiting
+// tasks. Its zero value is used for workers that do not differ.
 type speedCriteria struct {
 	heterogeneous bool
 	// timeLeft is the time until the job's objective.
@@ -203,8 +204,8 @@
 	return time.Duration(float64(estimate) / speed)
 }
 
-// worstCaseFrom returns the time that a job takes from a step on if its estimates are too
-// low.
+// worstCaseFrom returns the time that a job takes from a step on if its estimates are
+// too low.
 func (j *job) worstCaseFrom(step int) time.Duration {
 	return time.Duration((1 + estimateError) * float64(j.criticalPaths[step]))
 }
@@ -215,19 +216,19 @@
 	return !now.Add(durationAt(j.worstCaseFrom(step), speed)).After(j.objectiveAt)
 }
 
-// queueOrderAt returns the queue in the order in which jobs get capacity at an agent. Jobs
-// that may have started, and those that meet their objective there but would miss it on
-// a slow worker, come first. This leaves fast workers to the jobs that need them
+// queueOrderAt returns the queue in the order in which jobs get capacity at an agent.
+// Jobs that may have started, and those that meet their objective there but would miss
+// it on a slow worker, come first. This leaves fast workers to the jobs that need them
 // without keeping any capacity idle.
 func (s *Scheduler) queueOrderAt(a *agent, now time.Time) []*job {
-	f := s.speedProfiles[a.upstream.Service]
-	if !f.heterogeneous || a.speed.step <= quantizeSpeed(f.lowerQuartile) {
+	profile := s.speedProfiles[a.upstream.Service]
+	if !profile.heterogeneous || a.speed.step <= quantizeSpeed(profile.lowerQuartile) {
 		return s.queue
 	}
 	first := make([]*job, 0, len(s.queue))
 	var rest []*job
 	for _, j := range s.queue {
-		if j.mayHaveStarted || j.needsFastWorker(a, f.lowerQuartile, now) {
+		if j.mayHaveStarted || j.needsFastWorker(a, profile.lowerQuartile, now) {
 			first = append(first, j)
 		} else {
 			rest = append(rest, j)
@@ -236,30 +237,30 @@
 	return append(first, rest...)
 }
 
-// needsFastWorker reports whether an agent has free capacity for all ready tasks of a job,
-// the job meets its objective there, and it would miss the objective on workers of the
-// slow speed. All ready tasks are required because a job that had to leave some of them
-// waiting would miss its objective anyway.
-func (j *job) needsFastWorker(a *agent, slow float64, now time.Time) bool {
-	first := slices.IndexFunc(j.tasks, func(t *task) bool { return t.state == ready })
-	if first < 0 {
+// needsFastWorker reports whether an agent has free capacity for all ready tasks of a
+// job, the job meets its objective there, and it would miss the objective on workers of
+// the slow speed. All ready tasks are required because a job that had to leave some of
+// them waiting would miss its objective anyway.
+func (j *job) needsFastWorker(a *agent, slowSpeed float64, now time.Time) bool {
+	firstReady := slices.IndexFunc(j.tasks, func(t *task) bool { return t.state == ready })
+	if firstReady < 0 {
 		return false
 	}
-	step := j.tasks[first].step
-	if j.inTimeAt(step, slow, now) || !j.inTimeAt(step, a.speed.relative, now) {
+	step := j.tasks[firstReady].step
+	if j.inTimeAt(step, slowSpeed, now) || !j.inTimeAt(step, a.speed.relative, now) {
 		return false
 	}
-	var sum messenger.Resources
-	for _, t := range j.tasks[first:] {
+	var totalDemand messenger.Resources
+	for _, t := range j.tasks[firstReady:] {
 		if t.state == ready {
-			sum = sum.Plus(t.demand())
+			totalDemand = totalDemand.Plus(t.demand())
 		}
 	}
-	return sum.FitsIn(a.free())
+	return totalDemand.FitsIn(a.free())
 }
 
-// expectedSpeed returns the speed by which a run placed now is judged. An ejected worker has
-// to prove that it reaches the median speed.
+// expectedSpeed returns the speed by which a run placed now is judged. An ejected
+// worker has to prove that it reaches the median speed.
 func (a *agent) expectedSpeed() float64 {
 	if a.health.ejected {
 		return 1
@@ -267,15 +268,15 @@
 	return min(a.speed.relative, 1)
 }
 
-// deferToFastWorker reports whether a job that has waited too long keeps waiting for a worker
-// so fast that the job may still meet its objective there.
+// deferToFastWorker sets and reports whether a job that has waited too long keeps
+// waiting for a worker so fast that the job may still meet its objective there.
 func (s *Scheduler) deferToFastWorker(j *job, now time.Time) bool {
-	f := s.speedProfileOf(j.Queue)
-	if !f.heterogeneous {
+	profile := s.speedProfileOf(j.Queue)
+	if !profile.heterogeneous {
 		return false
 	}
-	chain := j.objectiveAt.Sub(j.latestStart)
-	slack := j.objectiveAt.Sub(j.arrived) - durationAt(chain, f.fastest)
+	criticalPath := j.objectiveAt.Sub(j.latestStart)
+	slack := j.objectiveAt.Sub(j.arrived) - durationAt(criticalPath, profile.fastest)
 	j.fastOnly = now.Sub(j.arrived) <= min(time.Duration(waitSlackShare*float64(slack)), maxWait)
 	return j.fastOnly
 }
