--- a/scheduler/availability.go
+++ b/scheduler/availability.go
@@ -27,16 +27,16 @@
 	horizonBeyond  = horizonUnknown + 1
 )
 
-func (o availability) better(p availability) bool {
+func (a availability) better(other availability) bool {
 	switch {
-	case o.near != p.near:
-		return o.near
-	case o.horizon != p.horizon:
-		return o.horizon < p.horizon
-	case o.freeShare != p.freeShare:
-		return o.freeShare > p.freeShare
+	case a.near != other.near:
+		return a.near
+	case a.horizon != other.horizon:
+		return a.horizon < other.horizon
+	case a.freeShare != other.freeShare:
+		return a.freeShare > other.freeShare
 	}
-	return o.order < p.order
+	return a.order < other.order
 }
 
 // soonestAgent returns the agent at which capacity for a task is expected first; nil
@@ -48,10 +48,10 @@
 		if !s.mayReserveAt(a, t, now) {
 			continue
 		}
-		o := a.availability(t)
-		if best == nil || o.better(bestAvailability) {
+		candidate := a.availability(t)
+		if best == nil || candidate.better(bestAvailability) {
 			best = a
-			bestAvailability = o
+			bestAvailability = candidate
 		}
 	}
 	return best
@@ -74,15 +74,15 @@
 func (a *agent) availability(t *task) availability {
 	d := t.demand()
 	capacity := a.free().NonNegative()
-	o := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(capacity, d), order: t.job.agentOrder(a)}
+	result := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(capacity, d), order: t.job.agentOrder(a)}
 	if len(a.report.Forecast) == 0 {
-		return o
+		return result
 	}
-	o.horizon = slices.IndexFunc(a.capacityForecast(), func(freed messenger.Resources) bool { return d.FitsIn(capacity.Plus(freed)) })
-	if o.horizon < 0 {
-		o.horizon = horizonBeyond
+	result.horizon = slices.IndexFunc(a.capacityForecast(), func(freed messenger.Resources) bool { return d.FitsIn(capacity.Plus(freed)) })
+	if result.horizon < 0 {
+		result.horizon = horizonBeyond
 	}
-	return o
+	return result
 }
 
 // coverage returns the share of a demand that capacity covers, for the resource that it
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -21,21 +21,21 @@
 }
 
 // add counts the tasks of a step that the pass has left waiting.
-func (l *passBacklog) add(st Step, left []*task) {
+func (b *passBacklog) add(st Step, left []*task) {
 	if len(left) == 0 {
 		return
 	}
-	if l.byRack == nil {
-		l.byRack = make(map[string]int)
+	if b.byRack == nil {
+		b.byRack = make(map[string]int)
 	}
 	if st.Rack == "" {
-		l.anyRack += len(left)
+		b.anyRack += len(left)
 	} else {
-		l.byRack[st.Rack] += len(left)
+		b.byRack[st.Rack] += len(left)
 	}
 	for _, t := range left {
 		if !t.deferred {
-			l.noCapacity++
+			b.noCapacity++
 		}
 	}
 }
@@ -70,19 +70,19 @@
 		s.noteLocality(j, a, "near now", fmt.Sprintf("free capacity for %d of %d tasks", n, len(todo)), now)
 		return n
 	}
-	w := s.forecastNear(j, step, todo, now)
-	deferCount := min(w.tasksToDefer(), len(todo))
+	f := s.forecastNear(j, step, todo, now)
+	deferCount := min(f.tasksToDefer(), len(todo))
 	n = min(n, len(todo)-deferCount)
-	s.deferForNear(j, todo, deferCount, w, now)
+	s.deferForNear(j, todo, deferCount, f, now)
 	if n > 0 {
-		s.noteLocality(j, a, "far", fmt.Sprintf("%d of %d tasks, %v", n, len(todo), w), now)
+		s.noteLocality(j, a, "far", fmt.Sprintf("%d of %d tasks, %v", n, len(todo), f), now)
 	}
 	return n
 }
 
 // deferForNear marks the last of the tasks as deferred for a near worker, and the others
 // as not deferred.
-func (s *Scheduler) deferForNear(j *job, todo []*task, deferCount int, w nearForecast, now time.Time) {
+func (s *Scheduler) deferForNear(j *job, todo []*task, deferCount int, f nearForecast, now time.Time) {
 	newlyDeferred := 0
 	for i, t := range todo {
 		wasDeferred := t.deferred
@@ -92,7 +92,7 @@
 		}
 	}
 	if newlyDeferred > 0 {
-		s.noteLocality(j, nil, "near soon", fmt.Sprintf("%d of %d tasks, %v", newlyDeferred, len(todo), w), now)
+		s.noteLocality(j, nil, "near soon", fmt.Sprintf("%d of %d tasks, %v", newlyDeferred, len(todo), f), now)
 	}
 }
 
@@ -131,41 +131,41 @@
 }
 
 // tasksToDefer returns how many tasks are to be deferred for near workers.
-func (w nearForecast) tasksToDefer() int { return max(w.nearCapacity-w.tasksBefore, 0) }
+func (f nearForecast) tasksToDefer() int { return max(f.nearCapacity-f.tasksBefore, 0) }
 
 // String implements fmt.Stringer.
-func (w nearForecast) String() string {
+func (f nearForecast) String() string {
 	return fmt.Sprintf("near capacity for %d tasks within %v, %d tasks before these, far in time: %t, capacity scarce: %t",
-		w.nearCapacity, max(w.maxWait, 0), w.tasksBefore, w.farInTime, w.scarce)
+		f.nearCapacity, max(f.maxWait, 0), f.tasksBefore, f.farInTime, f.scarce)
 }
 
 // forecastNear returns how long tasks may wait for near workers, and for how many of
 // them these workers are expected to have free capacity.
 func (s *Scheduler) forecastNear(j *job, step int, todo []*task, now time.Time) nearForecast {
 	farDuration := scaled(j.Steps[step].Estimate, s.config.FarFactor)
-	w := nearForecast{
+	f := nearForecast{
 		maxWait:   s.maxNearWait(j, todo[0], now),
 		farInTime: !now.Add(farDuration).After(j.stepDueAt(step)),
 		scarce:    s.capacityScarce,
 	}
-	if w.maxWait <= 0 {
-		return w
+	if f.maxWait <= 0 {
+		return f
 	}
 	near := s.nearAgents(j, step, todo[0], now)
-	w.tasksBefore = s.nearTasksBefore(j.Steps[step].Rack, len(near))
+	f.tasksBefore = s.nearTasksBefore(j.Steps[step].Rack, len(near))
 	var nearTasks float64
 	for _, a := range near {
 		// Other entries count on the same capacity. A job that would miss its objective
 		// on a far worker has less to lose, and counts on all of it.
 		sharers := 1
-		if w.farInTime {
+		if f.farInTime {
 			sharers = max(a.report.ConnectedEntries, 1)
 		}
-		limit := sharers * (w.tasksBefore + len(todo))
-		nearTasks += a.forecastTasks(j, step, limit, w.maxWait, now) / float64(sharers)
+		limit := sharers * (f.tasksBefore + len(todo))
+		nearTasks += a.forecastTasks(j, step, limit, f.maxWait, now) / float64(sharers)
 	}
-	w.nearCapacity = int(nearTasks)
-	return w
+	f.nearCapacity = int(nearTasks)
+	return f
 }
 
 // maxNearWait returns how much longer a task may wait for a near worker. It waits only
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -98,17 +98,17 @@
 	waits []time.Duration
 }
 
-func (f sizeStats) String() string {
-	return fmt.Sprintf("%d jobs, %d refused, %d late, wait p50 %s p99 %s longest %s", f.jobs, f.refused, f.late, f.p50, f.p99, f.longest)
+func (s sizeStats) String() string {
+	return fmt.Sprintf("%d jobs, %d refused, %d late, wait p50 %s p99 %s longest %s", s.jobs, s.refused, s.late, s.p50, s.p99, s.longest)
 }
 
-func (f sizeStats) refusedShare() float64 { return float64(f.refused) / float64(f.jobs) }
-func (f sizeStats) lateShare() float64    { return float64(f.late) / float64(f.jobs) }
+func (s sizeStats) refusedShare() float64 { return float64(s.refused) / float64(s.jobs) }
+func (s sizeStats) lateShare() float64    { return float64(s.late) / float64(s.jobs) }
 
 // shareWaitingOver returns the share of the jobs that waited longer than d.
-func (f sizeStats) shareWaitingOver(d time.Duration) float64 {
-	n, _ := slices.BinarySearch(f.waits, d+1)
-	return float64(len(f.waits)-n) / float64(len(f.waits))
+func (s sizeStats) shareWaitingOver(d time.Duration) float64 {
+	n, _ := slices.BinarySearch(s.waits, d+1)
+	return float64(len(s.waits)-n) / float64(len(s.waits))
 }
 
 // onePercentBound returns 1% plus three times its standard error in a sample of n.
@@ -124,12 +124,12 @@
 // statsFor returns the statistics of the jobs with a CPU demand in all simulations. The
 // wait of a job lasts until its task begins, or until it is refused.
 func statsFor(cpu int, simulations ...*simulation) sizeStats {
-	var f sizeStats
+	var s sizeStats
 	var waits []time.Duration
 	for _, w := range simulations {
 		for id, r := range w.results {
 			if r.job.Steps[0].Demand.CPU == cpu {
-				waits = append(waits, w.addToStats(&f, id, r))
+				waits = append(waits, w.addToStats(&s, id, r))
 			}
 		}
 	}
@@ -137,27 +137,27 @@
 	percentile := func(q float64) time.Duration {
 		return waits[int(math.Ceil(q*float64(len(waits))))-1].Round(100 * time.Microsecond)
 	}
-	f.waits = waits
-	f.p50, f.p99, f.longest = percentile(0.5), percentile(0.99), percentile(1)
-	return f
+	s.waits = waits
+	s.p50, s.p99, s.longest = percentile(0.5), percentile(0.99), percentile(1)
+	return s
 }
 
 // addToStats adds a job to the statistics and returns its wait.
-func (w *simulation) addToStats(f *sizeStats, id string, r *result) time.Duration {
+func (w *simulation) addToStats(s *sizeStats, id string, r *result) time.Duration {
 	task := id + ".0.0.0"
-	f.jobs++
+	s.jobs++
 	wait := r.took
 	at, started := w.firstStartAt[task]
 	switch {
 	case !r.got:
-		f.unanswered++
+		s.unanswered++
 	case started:
 		wait = at.Sub(r.sent)
 	default:
-		f.refused++
+		s.refused++
 	}
 	if !started || wait > maxWaitInTime(w.tasks[task].work) {
-		f.late++
+		s.late++
 	}
 	return wait
 }
--- a/scheduler/speed.go
+++ b/scheduler/speed.go
@@ -44,20 +44,20 @@
 var defaultSpeed = speed{value: 1, relative: 1}
 
 // update applies a report. A report without a speed changes nothing.
-func (v *speed) update(r messenger.Report) {
+func (s *speed) update(r messenger.Report) {
 	if r.Speed > 0 {
-		v.value = r.Speed
-		v.sampleJobs = r.SpeedJobs
+		s.value = r.Speed
+		s.sampleJobs = r.SpeedJobs
 	}
 }
 
 // known reports whether the speed is based on enough jobs.
-func (v *speed) known() bool { return v.sampleJobs >= minSpeedJobs }
+func (s *speed) known() bool { return s.sampleJobs >= minSpeedJobs }
 
 // setRelative sets the relative speed and its step.
-func (v *speed) setRelative(relative float64) {
-	v.relative = relative
-	v.step = quantizeSpeed(relative)
+func (s *speed) setRelative(relative float64) {
+	s.relative = relative
+	s.step = quantizeSpeed(relative)
 }
 
 // quantizeSpeed converts a relative speed to steps of speedStepRatio.
@@ -187,13 +187,13 @@
 // applyTo sets how well the speed of a worker suits the tasks. A faster worker is
 // preferred, unless other tasks are waiting and the job meets its objective on a slower
 // one too.
-func (t speedCriteria) applyTo(f *fit, a *agent) {
-	if !t.heterogeneous {
+func (c speedCriteria) applyTo(f *fit, a *agent) {
+	if !c.heterogeneous {
 		return
 	}
-	f.inTime = durationAt(t.worstCase, a.speed.relative) <= t.timeLeft
+	f.inTime = durationAt(c.worstCase, a.speed.relative) <= c.timeLeft
 	f.speedRank = a.speed.step
-	if f.inTime && t.contended {
+	if f.inTime && c.contended {
 		f.speedRank = -f.speedRank
 	}
 }
