--- a/messenger/link.go
+++ b/messenger/link.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a link. A machine without power leaves
-	// it unanswered; the farthest one answers within 50 ms.
+	// dialTimeout bounds the time to open a link. A machine without power never
+	// answers; the farthest machine answers within 50 ms.
 	dialTimeout = 120 * time.Millisecond
-	// maxMessageBytes bounds one message, in bytes.
+	// maxMessageBytes is the maximum size of one message, in bytes.
 	maxMessageBytes = 1 << 20
 )
 
-// messageTypes are the message types; the index of a type is its number on the wire.
+// messageTypes lists the message types; the index of a type is its number on the wire.
 var messageTypes = []reflect.Type{
 	reflect.TypeFor[Hello](),
 	reflect.TypeFor[Heartbeat](),
@@ -33,35 +33,35 @@
 	reflect.TypeFor[Reserve](),
 }
 
-// Handler receives what arrives on a link. Its methods are called from one
-// goroutine of the link, in order.
+// Handler receives the messages of a link. Its methods are called from one goroutine of
+// the link, in order.
 type Handler interface {
-	// Receive takes one message, a pointer to a type of this package.
+	// Receive handles one message, a pointer to a message type of this package.
 	Receive(l *Link, msg any)
 	// Closed is called once, after the last Receive.
 	Closed(l *Link)
 }
 
-// Link is one connection between an entry and an agent. It carries messages in
-// CBOR, each after its type and length; all that is queued goes out in one
-// write. It delivers in order and at most once. When it breaks, or stays silent
-// for longer than IdleTimeout, it closes for good, and what was not delivered
-// is dropped.
+// Link is one connection between an entry and an agent. Messages are encoded in CBOR,
+// each preceded by its type and length; all queued messages go out in one write.
+// Delivery is in order and at most once. A link that breaks, or on which nothing
+// arrives for longer than IdleTimeout, closes for good, and undelivered messages are
+// dropped.
 type Link struct {
 	*courier.Sender
 	conn    courier.TimeoutConn
 	handler Handler
 }
 
-// NewLink starts a link over socket. The link closes socket in the end.
-func NewLink(socket net.Conn, h Handler) *Link {
-	if tcp, ok := socket.(*net.TCPConn); ok {
-		// What is on its way when a link is given up must not arrive later.
+// NewLink starts a link over conn. The link closes conn when it ends.
+func NewLink(conn net.Conn, h Handler) *Link {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		// Data still in flight when a link is closed must not arrive later.
 		_ = tcp.SetLinger(0)
 	}
 	l := &Link{
-		Sender:  courier.NewSender(func() { _ = socket.Close() }),
-		conn:    courier.TimeoutConn{Conn: socket, Timeout: IdleTimeout},
+		Sender:  courier.NewSender(func() { _ = conn.Close() }),
+		conn:    courier.TimeoutConn{Conn: conn, Timeout: IdleTimeout},
 		handler: h,
 	}
 	go l.write()
@@ -72,23 +72,23 @@
 // Dial opens a link to addr.
 func Dial(ctx context.Context, addr string, h Handler) (*Link, error) {
 	d := net.Dialer{Timeout: dialTimeout}
-	socket, err := d.DialContext(ctx, "tcp", addr)
+	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial %s", addr)
 	}
-	return NewLink(socket, h), nil
+	return NewLink(conn, h), nil
 }
 
 func (l *Link) write() {
 	defer l.Close()
 	var batch []byte
 	for {
-		list, ok := l.NextBatch()
+		messages, ok := l.NextBatch()
 		if !ok {
 			return
 		}
 		batch = batch[:0]
-		for _, msg := range list {
+		for _, msg := range messages {
 			var err error
 			if batch, err = appendMessage(batch, msg); err != nil {
 				return
@@ -113,8 +113,8 @@
 	}
 }
 
-// appendMessage appends msg as it goes over the wire.
-func appendMessage(out []byte, msg any) ([]byte, error) {
+// appendMessage appends the wire encoding of msg to out.
+func appendMessage(buf []byte, msg any) ([]byte, error) {
 	number := -1
 	for i, t := range messageTypes {
 		if t == reflect.TypeOf(msg) {
@@ -122,32 +122,32 @@
 		}
 	}
 	if number < 0 {
-		return out, errors.Errorf("%T is no message", msg)
+		return buf, errors.Errorf("%T is not a message type", msg)
 	}
 	body, err := cbor.Marshal(msg)
 	if err != nil {
-		return out, errors.Wrapf(err, "encode %T", msg)
+		return buf, errors.Wrapf(err, "encode %T", msg)
 	}
-	out = append(out, byte(number))
-	out = binary.AppendUvarint(out, uint64(len(body)))
-	return append(out, body...), nil
+	buf = append(buf, byte(number))
+	buf = binary.AppendUvarint(buf, uint64(len(body)))
+	return append(buf, body...), nil
 }
 
 // readMessage reads one message and returns a pointer to it.
-func readMessage(in *bufio.Reader) (any, error) {
-	number, err := in.ReadByte()
+func readMessage(r *bufio.Reader) (any, error) {
+	number, err := r.ReadByte()
 	if err != nil {
 		return nil, err
 	}
-	size, err := binary.ReadUvarint(in)
+	size, err := binary.ReadUvarint(r)
 	if err != nil {
 		return nil, err
 	}
 	if int(number) >= len(messageTypes) || size > maxMessageBytes {
-		return nil, errors.Errorf("message of type %d and %d bytes", number, size)
+		return nil, errors.Errorf("invalid message header: type %d, %d bytes", number, size)
 	}
 	body := make([]byte, size)
-	if _, err := io.ReadFull(in, body); err != nil {
+	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
 	msg := reflect.New(messageTypes[number]).Interface()
--- a/scheduler/availability.go
+++ b/scheduler/availability.go
@@ -7,61 +7,61 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// availability is how soon an agent is expected to have room for a task.
+// availability is how soon an agent is expected to have free capacity for a task.
 type availability struct {
 	near bool
-	// horizon is the index of the first of the ForecastHorizons within which there will be
-	// room. Agents that do not tell come after these, and before those that will
-	// not have it within any.
+	// horizon is the index of the first of the ForecastHorizons within which there will
+	// be enough capacity. Agents that report no forecast come after these, and before
+	// those that will not have it within any.
 	horizon int
-	// freeShare is the room that is free now over the room wanted.
+	// freeShare is the capacity that is free now over the capacity needed.
 	freeShare float64
-	// order is the agent's place in the job's own order of agents, so that entries
-	// ask different ones of those that are alike.
+	// order is the agent's position in the job's own order of agents, so that entries
+	// ask different agents among equal ones.
 	order uint64
 }
 
-// Values of outlook.span beside the indexes of ForecastHorizons.
+// Values of availability.horizon apart from the indexes of ForecastHorizons.
 const (
 	horizonUnknown = len(messenger.ForecastHorizons)
 	horizonBeyond  = horizonUnknown + 1
 )
 
-func (o availability) better(p availability) bool {
+func (a availability) better(other availability) bool {
 	switch {
-	case o.near != p.near:
-		return o.near
-	case o.horizon != p.horizon:
-		return o.horizon < p.horizon
-	case o.freeShare != p.freeShare:
-		return o.freeShare > p.freeShare
+	case a.near != other.near:
+		return a.near
+	case a.horizon != other.horizon:
+		return a.horizon < other.horizon
+	case a.freeShare != other.freeShare:
+		return a.freeShare > other.freeShare
 	}
-	return o.order < p.order
+	return a.order < other.order
 }
 
-// soonestAgent returns the agent at which room for a task is expected first; nil
-// when none can be asked.
+// soonestAgent returns the agent at which capacity for a task is expected first; nil
+// when no agent can be asked.
 func (s *Scheduler) soonestAgent(t *task, now time.Time) *agent {
 	var best *agent
-	var bestOutlook availability
+	var bestAvailability availability
 	for _, a := range s.agentsByName {
 		if !s.mayReserveAt(a, t, now) {
 			continue
 		}
-		o := a.availability(t)
-		if best == nil || o.better(bestOutlook) {
+		candidate := a.availability(t)
+		if best == nil || candidate.better(bestAvailability) {
 			best = a
-			bestOutlook = o
+			bestAvailability = candidate
 		}
 	}
 	return best
 }
 
-// mayReserveAt reports whether an agent may be asked to keep room for a task.
+// mayReserveAt reports whether an agent may be asked to reserve capacity for a task.
 func (s *Scheduler) mayReserveAt(a *agent, t *task, now time.Time) bool {
 	step := t.job.Steps[t.step]
 	return a.reservation == nil &&
-		a.report.Backfill.Window == 0 && // It keeps room for another entry otherwise.
+		a.report.Backfill.Window == 0 && // Otherwise it is reserving for another entry.
 		!now.Before(a.nextReserveAt) &&
 		!now.Before(t.avoidUntil[a.name]) &&
 		t.demand().FitsIn(a.upstream.Capacity) &&
@@ -70,29 +70,29 @@
 		(step.MaxPerWorker == 0 || a.countPlaced(t.job, t.step) < step.MaxPerWorker)
 }
 
-// availability returns how soon the agent is expected to have room for a task.
+// availability returns how soon the agent is expected to have free capacity for a task.
 func (a *agent) availability(t *task) availability {
 	d := t.demand()
-	room := a.free().NonNegative()
-	o := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(room, d), order: t.job.agentOrder(a)}
+	capacity := a.free().NonNegative()
+	result := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(capacity, d), order: t.job.agentOrder(a)}
 	if len(a.report.Forecast) == 0 {
-		return o
+		return result
 	}
-	o.horizon = slices.IndexFunc(a.capacityForecast(), func(more messenger.Resources) bool { return d.FitsIn(room.Plus(more)) })
-	if o.horizon < 0 {
-		o.horizon = horizonBeyond
+	result.horizon = slices.IndexFunc(a.capacityForecast(), func(freed messenger.Resources) bool { return d.FitsIn(capacity.Plus(freed)) })
+	if result.horizon < 0 {
+		result.horizon = horizonBeyond
 	}
-	return o
+	return result
 }
 
-// coverage returns the share of a demand that room covers, in the respect in which
-// it covers least.
-func coverage(room, d messenger.Resources) float64 {
-	least := 1.0
-	for _, p := range [...][2]int{{room.CPU, d.CPU}, {room.Memory, d.Memory}, {room.GPU, d.GPU}} {
-		if p[1] > 0 {
-			least = min(least, float64(p[0])/float64(p[1]))
+// coverage returns the share of a demand that capacity covers, for the resource that it
+// covers least.
+func coverage(capacity, d messenger.Resources) float64 {
+	minShare := 1.0
+	for _, pair := range [...][2]int{{capacity.CPU, d.CPU}, {capacity.Memory, d.Memory}, {capacity.GPU, d.GPU}} {
+		if pair[1] > 0 {
+			minShare = min(minShare, float64(pair[0])/float64(pair[1]))
 		}
 	}
-	return least
+	return minShare
 }
