--- a/dispatcher/admission.go
+++ b/dispatcher/admission.go
@@ -9,38 +9,40 @@
 )
 
 const (
-	// minRunTimeSamples is the number of run times to learn before they are used in
-	// place of the bundle's hint.
+	// minRunTimeSamples is the number of run times of a service that are needed before
+	// they replace the estimate in the bundle.
 	minRunTimeSamples = 20
-	// runTimeWindow is the number of run times after which older ones fade.
+	// runTimeWindow is the number of run times in one window. When a window is full,
+	// the one before it is discarded.
 	runTimeWindow = 2000
-	// overrunShare is the share of jobs that may take longer than expected.
+	// overrunShare is the share of jobs that may take longer than estimated.
 	overrunShare = 0.02
-	// maxRunMillis is the longest run time that is told apart.
+	// maxRunMillis is the longest run time, in milliseconds, that the histograms
+	// resolve. Longer ones are recorded as this.
 	maxRunMillis  = 60_000
 	runTimeDigits = 2
-	// maxRetryAfter bounds the advice on when to come back.
+	// maxRetryAfter bounds the retry delay that a refused caller is given.
 	maxRetryAfter = 60 * time.Second
-	// minRetryAfter keeps refused callers from coming back at once.
+	// minRetryAfter keeps refused callers from retrying at once.
 	minRetryAfter = 50 * time.Millisecond
-	// retryBurst is the number of retries that the budget can save up.
+	// retryBurst is the number of retries that the budget can accumulate.
 	retryBurst = 100
 )
 
-// admission estimates waits and keeps the quotas of teams.
+// admission estimates waiting times and enforces the quotas of teams.
 type admission struct {
-	// runTimes holds the learned run times of each service.
+	// runTimes holds the recorded run times of each service.
 	runTimes map[string]*runTimes
 	// teamTasks counts the unfinished tasks of each team's jobs.
 	teamTasks map[string]int
-	// nextRetryAt is when the refused callers told so far will have been
-	// served; the next one is told a later time, so that a refused burst
-	// does not come back as one.
+	// nextRetryAt is when the work of all callers that were refused so far is expected
+	// to be done. The next refused caller is told to retry then or later, so that a
+	// burst of refused jobs does not return as a burst.
 	nextRetryAt time.Time
 }
 
-// runTimes holds the run times of a service: a full window of recent ones, and
-// the window before it.
+// runTimes holds the run times of a service in two windows: the one being filled, and
+// the full one before it.
 type runTimes struct {
 	recent   *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
@@ -70,6 +72,7 @@
 	return t.recent
 }
 
+// recordRunTime records the run time of a successful task.
 func (m *admission) recordRunTime(service string, d time.Duration) {
 	if m.runTimes == nil {
 		m.runTimes = make(map[string]*runTimes)
@@ -82,7 +85,8 @@
 	t.add(d)
 }
 
-// learnedRunTimes returns the run times of a service, or nil while too few are known.
+// learnedRunTimes returns the recorded run times of a service, or nil while there are
+// fewer than minRunTimeSamples.
 func (m *admission) learnedRunTimes(service string) *hdrhistogram.Histogram {
 	t := m.runTimes[service]
 	if t == nil || t.largerWindow().TotalCount() < minRunTimeSamples {
@@ -91,7 +95,8 @@
 	return t.largerWindow()
 }
 
-// runTime returns the mean run time of a service's tasks.
+// runTime returns the mean run time of a service's tasks: the recorded one, or the
+// estimate in the bundle.
 func (m *admission) runTime(o *Dispatcher, service string) time.Duration {
 	if h := m.learnedRunTimes(service); h != nil {
 		return time.Duration(h.Mean() * float64(time.Millisecond))
@@ -100,7 +105,9 @@
 	return time.Duration(s.ExpectedRunMillis) * time.Millisecond
 }
 
-// longestRunTime returns a run time that the longest of n tasks seldom exceeds.
+// longestRunTime returns a run time that the longest of n tasks exceeds only in a share
+// of overrunShare of the jobs. Without enough recorded run times it returns the
+// estimate in the bundle.
 func (m *admission) longestRunTime(o *Dispatcher, service string, n int) time.Duration {
 	h := m.learnedRunTimes(service)
 	if h == nil {
@@ -110,8 +117,9 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Millisecond
 }
 
-// likelyToMissDeadline reports whether a waiting task of j that starts now is more likely
-// than not to miss the deadline.
+// likelyToMissDeadline reports whether a waiting task of j that starts now is more
+// likely than not to miss the deadline. It uses the median of the recorded run times,
+// and reports false without them.
 func (o *Dispatcher) likelyToMissDeadline(j *job) bool {
 	h := o.admission.learnedRunTimes(j.submission.Service)
 	if h == nil {
@@ -121,6 +129,7 @@
 	return o.clock.Now().Add(usual).After(j.submission.Deadline)
 }
 
+// addTasks adds the tasks of j to the unfinished ones of its team.
 func (m *admission) addTasks(j *job) {
 	if m.teamTasks == nil {
 		m.teamTasks = make(map[string]int)
@@ -128,6 +137,7 @@
 	m.teamTasks[j.submission.Team] += len(j.tasks)
 }
 
+// removeTasks removes the tasks of j from the unfinished ones of its team.
 func (m *admission) removeTasks(j *job) {
 	m.teamTasks[j.submission.Team] -= len(j.tasks)
 	if m.teamTasks[j.submission.Team] <= 0 {
@@ -135,7 +145,8 @@
 	}
 }
 
-// check returns why r cannot be taken now, and when to come back.
+// check returns why r cannot be admitted now, and the delay after which to retry. The
+// reason is empty if r can be admitted.
 func (m *admission) check(o *Dispatcher, r Request) (courier.Reason, time.Duration) {
 	s := r.Submission
 	n := len(s.Tasks)
@@ -152,7 +163,7 @@
 	return "", 0
 }
 
-// slotShare estimates the slots that work for this owner.
+// slotShare estimates how many slots run tasks of this owner.
 func (o *Dispatcher) slotShare() int {
 	t := o.fleet.totals
 	return max(1, t.tasks, t.slots/max(1, len(o.view)))
@@ -167,7 +178,7 @@
 	return time.Duration(ahead) * m.meanRunTime(o) / time.Duration(o.slotShare())
 }
 
-// meanRunTime returns the mean learned run time over the services.
+// meanRunTime returns the mean over the services of their mean run times.
 func (m *admission) meanRunTime(o *Dispatcher) time.Duration {
 	var sum time.Duration
 	for _, s := range o.bundle.Services {
@@ -176,8 +187,9 @@
 	return sum / time.Duration(max(1, len(o.bundle.Services)))
 }
 
-// retryAfter returns when a refused job of n tasks should be sent again: after
-// the present backlog and after the refused jobs that were told before it.
+// retryAfter returns the delay after which a refused job of n tasks should be sent
+// again: when the present backlog and the jobs refused before it are expected to be
+// done. Jitter of up to 20% is added.
 func (m *admission) retryAfter(o *Dispatcher, n int) time.Duration {
 	now := o.clock.Now()
 	own := time.Duration(n) * m.meanRunTime(o) / time.Duration(o.slotShare())
@@ -194,17 +206,19 @@
 	return min(max(after, minRetryAfter), maxRetryAfter)
 }
 
-// retryBudget lets starts be repeated only as a share of first starts, so that
-// retries cannot multiply the load of an outage.
+// retryBudget limits retried starts to a share of first starts, so that retries cannot
+// multiply the load of an outage.
 type retryBudget struct {
 	// tokens counts hundredths of a retry.
-	tokens           int
+	tokens int
+	// uncreditedStarts counts the first starts that have not added tokens yet.
 	uncreditedStarts int
 }
 
 func (b *retryBudget) recordStart() { b.uncreditedStarts++ }
 
-// spend takes one retry out of the budget and reports whether it was there.
+// spend takes one retry from the budget and reports whether there was one. Each first
+// start adds percent hundredths of a retry.
 func (b *retryBudget) spend(percent int) bool {
 	b.tokens = min(b.tokens+b.uncreditedStarts*percent, retryBurst*100)
 	b.uncreditedStarts = 0
--- a/dispatcher/agent.go
+++ b/dispatcher/agent.go
@@ -7,7 +7,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// AgentLinkUp takes the first announcement on a new link to an agent.
+// AgentLinkUp handles the first Announce message on a new link to an agent.
 func (o *Dispatcher) AgentLinkUp(an courier.Announce) {
 	o.detectPause()
 	ref := courier.AgentRef{Agent: an.Agent, Incarnation: an.Incarnation}
@@ -31,7 +31,7 @@
 	o.AgentHeartbeat(an)
 }
 
-// sendClaims sends one claim for each term held here.
+// sendClaims sends one claim to an agent for each term held here.
 func (o *Dispatcher) sendClaims(a *agent) {
 	var claims []courier.Claim
 	for i := range o.partitions {
@@ -46,7 +46,7 @@
 	}
 }
 
-// AgentHeartbeat takes a later announcement.
+// AgentHeartbeat handles a later Announce message of an agent.
 func (o *Dispatcher) AgentHeartbeat(an courier.Announce) {
 	o.detectPause()
 	a := o.fleet.linkedAgent(an.Agent, an.LinkNumber)
@@ -75,7 +75,7 @@
 	return true
 }
 
-// AgentLinkDown notes that the link to an agent has ended.
+// AgentLinkDown handles the end of the link to an agent.
 func (o *Dispatcher) AgentLinkDown(name string, link uint64) {
 	o.detectPause()
 	a := o.fleet.linkedAgent(name, link)
@@ -91,9 +91,9 @@
 	}
 }
 
-// checkAgents acknowledges results, gives up agents that have been out of
-// touch too long, and lets ejected ones have a probe. It looks at every agent,
-// and so only seldom.
+// checkAgents acknowledges results, removes the agents that have been disconnected for
+// AgentTimeout, and allows probes to ejected ones. It iterates over all agents, so it
+// runs only every agentCheckInterval.
 func (o *Dispatcher) checkAgents(now time.Time) {
 	if now.Before(o.nextAgentCheck) {
 		return
@@ -106,7 +106,9 @@
 	}
 }
 
-// removeAgent settles the tasks that ran at an agent that will not answer.
+// removeAgent removes an agent that will not answer any more, and records its running
+// tasks as lost. For the given retention, the agent counts as one that may have
+// records.
 func (o *Dispatcher) removeAgent(a *agent, horizon time.Duration) {
 	o.fleet.remove(a, o.clock.Now().Add(horizon))
 	o.resendForbids(a)
@@ -118,8 +120,8 @@
 	o.retryBlocked()
 }
 
-// sendAcks acknowledges the results that have arrived since the last time.
-// Agents wait for this only when they drain, so it need not be at once.
+// sendAcks acknowledges the results that have arrived since the last acknowledgement.
+// Agents wait for it only when they drain, so it may be delayed.
 func (o *Dispatcher) sendAcks() {
 	for _, a := range o.fleet.sorted() {
 		if a.linked && len(a.pendingAcks) > 0 {
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,9 +1,9 @@
-// Package dispatcher decides, at the entry that owns a submission, what
-// happens to it: admission, the queue, which agent starts which task, the
-// answer, and what a new owner may do with the submissions of a dead one.
+// Package dispatcher handles the submissions whose partitions an entry owns: it decides
+// on admission, queues their tasks, chooses the agent that starts each task, determines
+// the answer, and decides how a new owner continues the submissions of a failed one.
 //
-// An Owner is not safe for concurrent use. It performs no input or output:
-// each call leaves Effects behind, which the caller takes with Drain.
+// A Dispatcher is not safe for concurrent use. It performs no input or output: each
+// call adds Effects, which the caller takes with TakeEffects and carries out.
 package dispatcher
 
 import (
@@ -18,49 +18,53 @@
 )
 
 const (
-	// PauseThreshold is the longest span between two ticks after which an owner
-	// still trusts its terms. It is shorter than the time that the others
-	// need to miss its heartbeats.
+	// PauseThreshold is the longest time between two calls after which an owner still
+	// trusts its terms. It is shorter than the time after which other entries count its
+	// heartbeats as missing.
 	PauseThreshold = 1500 * time.Millisecond
-	// FreshnessTimeout is how long after a pause requests wait for the bundle to be
-	// confirmed, in place of being refused.
+	// FreshnessTimeout is how long after the start or a pause of the process requests
+	// wait for the bundle to be confirmed before they are refused.
 	FreshnessTimeout = 2 * time.Second
-	// ClaimTimeout bounds the wait for agents in a take-over. Agents that
-	// answer later close the gap that they left.
+	// ClaimTimeout bounds how long a claim waits for the agents' answers. An agent that
+	// answers later stays unfenced until then.
 	ClaimTimeout = time.Second
-	// ClaimRetryDelay spaces the claims of rivals for one partition.
+	// ClaimRetryDelay is the minimum delay before a partition that a rival has claimed
+	// with a higher term is claimed again. It keeps rivals from claiming in quick
+	// succession.
 	ClaimRetryDelay = 200 * time.Millisecond
-	// AgentTimeout is how long an agent may be out of touch before its running
-	// tasks are given up.
+	// AgentTimeout is how long an agent may be disconnected before its running tasks
+	// count as lost.
 	AgentTimeout = 10 * time.Second
-	// RecordRetention is how long a started task can matter: the longest
-	// deadline and the grace for clocks that differ.
+	// RecordRetention is how long the record of a started task can matter: the longest
+	// deadline plus the grace for clock differences.
 	RecordRetention = 65 * time.Second
-	// UnreachableAgentRetention is how long an agent that fell silent counts as one that
-	// may still be starting tasks for an earlier owner.
+	// UnreachableAgentRetention is how long an agent that timed out counts as one that
+	// may still start tasks for an earlier owner.
 	UnreachableAgentRetention = 10 * time.Minute
-	// AnswerRetention keeps answers beyond the deadline of their submission.
+	// AnswerRetention is how long an answer is kept beyond the deadline of its
+	// submission.
 	AnswerRetention = 5 * time.Second
-	// OrphanGrace is how long a job runs on without a caller, so that a
-	// resubmission finds it.
+	// OrphanGrace is how long a job continues after its last caller has disconnected,
+	// so that a resubmission still finds it.
 	OrphanGrace = 2 * time.Second
-	// FinishTimePerTask is the time that a waiting task adds in the order of the
-	// queue. It lets small jobs overtake large ones, and bounds for how long.
+	// FinishTimePerTask is the time that each waiting task adds to the queue key of its
+	// job. It lets small jobs overtake large ones, and bounds for how long.
 	FinishTimePerTask = 100 * time.Millisecond
-	// DemandReportInterval spaces the repeated reports of waiting tasks.
+	// DemandReportInterval is the time between repeated reports of waiting tasks to the
+	// agents.
 	DemandReportInterval = 500 * time.Millisecond
 )
 
-// agentCheckInterval is the time between two looks at every agent.
+// agentCheckInterval is the time between two checks of all agents.
 const agentCheckInterval = 100 * time.Millisecond
 
-// Waiter identifies one caller that waits for the answer to a job.
+// Waiter identifies a caller that waits for the answer to a job.
 type Waiter uint64
 
-// Effect is one thing for the surrounding process to do.
+// Effect is an action that the caller of the Dispatcher carries out.
 type Effect interface{ effect() }
 
-// Send is the effect of sending Msg to the agent To.
+// Send is the effect of sending Msg to the agent named To.
 type Send struct {
 	To  string
 	Msg any
@@ -75,68 +79,72 @@
 func (Send) effect()  {}
 func (Reply) effect() {}
 
-// Config holds what an Owner needs to know about its entry.
+// Config holds the settings of a Dispatcher.
 type Config struct {
 	// Entry is the entry's identity.
 	Entry string
-	// Seed makes the choices of agents and the jitter repeatable.
+	// Seed seeds the choice of agents and the jitter, so that both are repeatable.
 	Seed uint64
 	// Placement chooses the agent for a task. Nil means LateBinding.
 	Placement Placement
-	// Order ranks the waiting jobs. Nil means VirtualFinish.
+	// Order ranks the jobs with waiting tasks. Nil means VirtualFinish.
 	Order Order
 }
 
-// Request is one copy of a submission as it reaches its owner.
+// Request is one copy of a submission as its owner receives it.
 type Request struct {
 	Submission courier.Submission
 	// Digest is the hash of the submission without its attempt.
 	Digest uint64
-	// Resent marks a copy that may not be the first one sent to an owner.
+	// Resent marks a copy that may not be the first one that was sent to an owner.
 	Resent bool
-	// Waiter receives the answer. Zero means that nobody waits.
+	// Waiter identifies the caller that gets the answer. Zero means that none waits.
 	Waiter Waiter
 }
 
-// isFirstCopy reports whether no other copy can have reached an owner before.
+// isFirstCopy reports whether no other copy can have reached an owner before this one.
 func (r Request) isFirstCopy() bool { return r.Submission.Attempt == 1 && !r.Resent }
 
-// Dispatcher is the aggregate of one entry's submissions.
+// Dispatcher holds the state of all submissions that one entry owns.
 type Dispatcher struct {
 	clock clockwork.Clock
 	cfg   Config
 	rng   *rand.Rand
-	// lastTick is when the owner last ran; a longer gap than PauseThreshold
-	// means that others may have taken over.
+	// lastTick is the time of the last call. If it is more than PauseThreshold ago,
+	// other entries may have claimed the partitions.
 	lastTick time.Time
-	// nextAgentCheck is when to look at the agents again.
+	// nextAgentCheck is when the agents are checked next.
 	nextAgentCheck time.Time
-	// resumedAt is when the process started or was last seen to wake up.
+	// resumedAt is when the process started, or when it was last found to have resumed
+	// after a pause.
 	resumedAt time.Time
 
 	bundle     approver.Bundle
 	freshUntil time.Time
 	stopping   bool
 	// rosterCompleteAt is when the roster counts as complete without a peer's
-	// word: until then, earlier owners may have used agents unknown here.
+	// confirmation. Until then, earlier owners may have used agents that are unknown
+	// here.
 	rosterCompleteAt time.Time
-	// peers lists the other entries that are alive or may be; view lists the
-	// live entries that own partitions, this one among them when it does.
+	// peers lists the other entries that are alive or may be. view lists the live
+	// entries that own partitions, including this one if it does.
 	peers      []string
 	view       []string
 	partitions [router.Partitions]partition
-	// highestTerms holds the highest term seen for each partition.
+	// highestTerms holds the highest term seen of each partition.
 	highestTerms [router.Partitions]courier.Term
 
-	// jobs holds unfinished jobs, and finished ones until they expire.
+	// jobs holds the unfinished jobs, and the finished ones until their answers expire.
 	jobs    map[string]*job
 	expiry  expiryQueue
 	waiters map[Waiter]*job
-	// forbiddenAttempts holds the highest attempt answered NotRun for each job.
+	// forbiddenAttempts holds the highest attempt of each job that was answered NotRun.
 	forbiddenAttempts map[string]forbiddenAttempt
-	// pendingForbids holds the NotRun answers that wait for an agent.
+	// pendingForbids holds the NotRun answers that wait until an agent has recorded the
+	// forbidden attempt.
 	pendingForbids map[string]*pendingForbid
-	// recoveredJobs holds what agents report of jobs without a body here.
+	// recoveredJobs holds what agents have reported about jobs whose bodies are not
+	// here.
 	recoveredJobs map[string]*recoveredJob
 	queue         *queue
 	fleet         *fleet
@@ -150,22 +158,30 @@
 	effects []Effect
 }
 
-// Counts are the totals since the start of the process.
+// Counts holds totals since the start of the process.
 type Counts struct {
-	Started   uint64
+	// Started counts the tasks sent to agents.
+	Started uint64
+	// Succeeded, Errored and Lost count the tasks that ended so.
 	Succeeded uint64
 	Errored   uint64
 	Lost      uint64
-	Refused   uint64
-	Declined  uint64
-	Messages  uint64
-	Complete  uint64
-	Failed    uint64
-	NotRun    uint64
-	Claims    uint64
+	// Refused counts the starts that agents refused.
+	Refused uint64
+	// Declined counts the offers that were not used.
+	Declined uint64
+	// Messages counts the messages to agents.
+	Messages uint64
+	// Complete and Failed count the jobs that ended so, and Failed also the answers
+	// that an outcome is unknown. NotRun counts the callers that were answered so.
+	Complete uint64
+	Failed   uint64
+	NotRun   uint64
+	// Claims counts the claims of partitions.
+	Claims uint64
 }
 
-// NewDispatcher returns an owner without partitions.
+// NewDispatcher returns a Dispatcher that owns no partitions.
 func NewDispatcher(clock clockwork.Clock, cfg Config) *Dispatcher {
 	if cfg.Placement == nil {
 		cfg.Placement = LateBinding{}
@@ -192,7 +208,7 @@
 	}
 }
 
-// TakeEffects returns the effects since the last call.
+// TakeEffects returns the effects added since the last call.
 func (o *Dispatcher) TakeEffects() []Effect {
 	out := o.effects
 	o.effects = nil
@@ -202,8 +218,8 @@
 // Counts returns the totals so far.
 func (o *Dispatcher) Counts() Counts { return o.counts }
 
-// SetBundle puts a bundle in force, and notes until when it may be used
-// without another confirmation. Older versions are ignored.
+// SetBundle puts a bundle in force. The bundle may be used until freshUntil, unless it
+// is confirmed again before. Older versions are ignored.
 func (o *Dispatcher) SetBundle(b approver.Bundle, freshUntil time.Time) {
 	o.detectPause()
 	if b.Version < o.bundle.Version {
@@ -222,11 +238,12 @@
 	}
 }
 
-// SetStopping makes the owner give up its partitions to the others: new
-// submissions are passed on, and the ones here go on until they are claimed.
+// SetStopping begins the planned stop of the entry: a partition that another entry
+// claims is not claimed back. New submissions then go to the new owner, and the jobs
+// here continue until their partition is claimed.
 func (o *Dispatcher) SetStopping() { o.stopping = true }
 
-// Idle reports whether no job is unfinished.
+// Idle reports whether every job is finished.
 func (o *Dispatcher) Idle() bool {
 	for _, j := range o.jobs {
 		if !j.done {
@@ -236,7 +253,7 @@
 	return true
 }
 
-// Tick does what has come due. It is called every few milliseconds.
+// Tick does the work that has become due. It is to be called every few milliseconds.
 func (o *Dispatcher) Tick() {
 	o.detectPause()
 	now := o.clock.Now()
@@ -250,8 +267,9 @@
 	o.reportDemand(now)
 }
 
-// detectPause notices that the process was paused for so long that others may have
-// taken over, and gives up all terms before anything else happens.
+// detectPause detects a pause of the process that was long enough for other entries to
+// claim its partitions. It then claims them again with a new term, or relinquishes
+// them, before the call does anything else.
 func (o *Dispatcher) detectPause() {
 	now := o.clock.Now()
 	paused := now.Sub(o.lastTick) > PauseThreshold
@@ -266,22 +284,26 @@
 	o.reclaimPartitions()
 }
 
-// expireFreshnessWait lets go of what waited in vain for the bundle to be confirmed.
+// expireFreshnessWait retries the requests that wait for the bundle to be confirmed
+// once FreshnessTimeout has passed. They are then refused.
 func (o *Dispatcher) expireFreshnessWait(now time.Time) {
 	if !o.fresh() && now.Sub(o.resumedAt) >= FreshnessTimeout {
 		o.retryBlocked()
 	}
 }
 
+// fresh reports whether the bundle in force is confirmed.
 func (o *Dispatcher) fresh() bool {
 	return o.bundle.Version > 0 && o.clock.Now().Before(o.freshUntil)
 }
 
+// send adds the effect of sending msg to an agent.
 func (o *Dispatcher) send(agent string, msg any) {
 	o.counts.Messages++
 	o.effects = append(o.effects, Send{To: agent, Msg: msg})
 }
 
+// reply adds the effect of answering w. The zero Waiter is ignored.
 func (o *Dispatcher) reply(w Waiter, a courier.Answer) {
 	if w == 0 {
 		return
--- a/dispatcher/dump.go
+++ b/dispatcher/dump.go
@@ -6,36 +6,44 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// Dump is an owner's state as operators see it.
+// Dump is the state of a Dispatcher as it is shown to operators.
 type Dump struct {
-	Counts        Counts
-	RefusedFor    map[courier.RefuseReason]uint64
-	Serving       int
-	Jobs          int
-	Unfinished    int
-	WaitingTasks  int
-	Slots         int
+	Counts     Counts
+	RefusedFor map[courier.RefuseReason]uint64
+	// Serving counts the partitions that are served.
+	Serving int
+	// Jobs counts the jobs, including the finished ones whose answers are kept.
+	Jobs         int
+	Unfinished   int
+	WaitingTasks int
+	// Slots counts the slots of the agents that accept new tasks.
+	Slots int
+	// RosterCertain means that the roster is complete.
 	RosterCertain bool
 	Agents        []AgentDump
-	Gone          []courier.AgentRef
+	// Gone lists the agents that may have records but cannot be reached.
+	Gone []courier.AgentRef
 }
 
-// AgentDump is what an owner knows of one agent.
+// AgentDump is the state of one agent as its owner knows it.
 type AgentDump struct {
 	Agent      string
 	DataCentre string
 	Linked     bool
-	Admitted   bool
-	Claimed    bool
-	Draining   bool
-	Out        bool
-	Ejected    bool
-	Slots      int
-	Free       int
-	Tasks      int
+	// Admitted means that every other entry has the agent in its roster.
+	Admitted bool
+	// Claimed means that the agent has answered every claim on this link.
+	Claimed  bool
+	Draining bool
+	// Out means that the agent's data centre is taken out of use.
+	Out     bool
+	Ejected bool
+	Slots   int
+	Free    int
+	Tasks   int
 }
 
-// Dump returns the state of the owner.
+// Dump returns the state of the Dispatcher.
 func (o *Dispatcher) Dump() Dump {
 	d := Dump{
 		Counts:        o.counts,
--- a/dispatcher/fleet.go
+++ b/dispatcher/fleet.go
@@ -10,44 +10,48 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// agent is what an owner knows of one agent incarnation.
+// agent is the state of one agent incarnation as its owner knows it.
 type agent struct {
 	ref        courier.AgentRef
 	dataCentre string
 	services   []string
 	slots      int
-	// linked is false while there is no link; link numbers the last one.
+	// linked reports whether there is a link now; link is the number of the last one.
 	linked     bool
 	link       uint64
 	unlinkedAt time.Time
-	// lastClaim and answeredClaim number the claims on this link.
+	// lastClaim and answeredClaim are the numbers of the last claim sent, and of the
+	// last one answered, on this link.
 	lastClaim     uint64
 	answeredClaim uint64
-	// inAllRosters means that every other entry has the agent in its roster; it
-	// stays true for the life of the incarnation.
+	// inAllRosters means that every other entry has the agent in its roster. It stays
+	// true for the lifetime of the incarnation.
 	inAllRosters bool
 	draining     bool
-	// stopping means that the incarnation will start nothing any more.
+	// stopping means that the incarnation starts no more tasks.
 	stopping      bool
 	dataCentreOut bool
 	// sentTaskCount counts the tasks sent on this link.
 	sentTaskCount uint64
 	load          courier.Load
 	health        health
-	// tasks holds the tasks that may be running there for this owner.
+	// tasks holds the tasks of this owner that may be running at the agent.
 	tasks map[courier.TaskID]struct{}
-	// pendingAcks holds the tasks whose results have arrived since the last Acked.
+	// pendingAcks holds the tasks whose results have arrived since the last Acked
+	// message.
 	pendingAcks []courier.TaskID
-	// countedInTotals is what the agent has added to the totals of the fleet.
+	// countedInTotals is the agent's present contribution to the totals of the fleet.
 	countedInTotals agentCounts
 }
 
-// free returns the slots that should be free when a message arrives now.
+// free returns the expected number of free slots: the reported one, less the tasks sent
+// that the report does not include yet.
 func (a *agent) free() int {
 	return a.load.Free - int(a.sentTaskCount-a.load.Seen)
 }
 
-// preferredFree returns the free slots that other owners leave to this one.
+// preferredFree returns the expected number of free slots that other owners use only
+// when theirs are taken.
 func (a *agent) preferredFree() int {
 	return min(a.free(), a.load.Mine-int(a.sentTaskCount-a.load.Seen))
 }
@@ -60,7 +64,7 @@
 // claimsAnswered reports whether the agent has answered every claim on this link.
 func (a *agent) claimsAnswered() bool { return a.answeredClaim == a.lastClaim }
 
-// sortedTasks returns the tasks that may be running there, in order.
+// sortedTasks returns the tasks that may be running at the agent, by job and index.
 func (a *agent) sortedTasks() []courier.TaskID {
 	out := slices.Collect(maps.Keys(a.tasks))
 	slices.SortFunc(out, func(x, y courier.TaskID) int {
@@ -73,30 +77,30 @@
 	return slices.Contains(a.services, service)
 }
 
-// fleet holds the known agents, and a list of those with free slots, so that
-// the cost of a choice does not grow with their number.
+// fleet holds the known agents. It indexes those with free slots, so that the cost of a
+// choice does not grow with the number of agents.
 type fleet struct {
 	agents map[string]*agent
-	// withFreeSlots holds the agents with free slots; own holds those among them whose
-	// free slots other owners leave to this one.
+	// withFreeSlots holds the agents with free slots. withPreferredSlots holds those
+	// among them with free slots that other owners use only when theirs are taken.
 	withFreeSlots      agentSet
 	withPreferredSlots agentSet
-	// unreachable holds agents that may keep records but cannot be asked, with the
-	// time until which they matter.
+	// unreachable holds the agents that may keep records but cannot be queried, with
+	// the time until which they count.
 	unreachable    map[courier.AgentRef]time.Time
 	outDataCentres []string
-	// totals is the sum of what the agents count; see agentCounts.
+	// totals is the sum of the agents' contributions; see agentCounts.
 	totals agentCounts
 }
 
-// agentCounts is what one agent adds to the sums over the fleet, which are
-// kept up to date so that no decision has to look at every agent.
+// agentCounts is the contribution of one agent to the totals of the fleet. The totals
+// are maintained incrementally, so that no decision has to iterate over all agents.
 type agentCounts struct {
-	// slots counts the slots of an agent that takes new tasks; free counts
-	// the free ones among them.
+	// slots counts the slots of an agent that accepts new tasks; free counts the free
+	// ones among them.
 	slots int
 	free  int
-	// tasks counts the tasks that may be running there for this owner.
+	// tasks counts the tasks of this owner that may be running at the agent.
 	tasks int
 }
 
@@ -107,8 +111,8 @@
 	}
 }
 
-// update puts the agent into the sets of agents with free slots, or takes it
-// out of them.
+// update brings the sets of agents with free slots and the totals up to date with the
+// state of the agent.
 func (f *fleet) update(a *agent) {
 	usable := a.acceptsTasks() && !a.health.ejected
 	f.withFreeSlots.set(a, usable && a.free() > 0)
@@ -123,7 +127,7 @@
 	f.replaceCounts(a, now)
 }
 
-// replaceCounts replaces what an agent adds to the totals.
+// replaceCounts replaces an agent's contribution to the totals.
 func (f *fleet) replaceCounts(a *agent, now agentCounts) {
 	f.totals.slots += now.slots - a.countedInTotals.slots
 	f.totals.free += now.free - a.countedInTotals.free
@@ -131,13 +135,13 @@
 	a.countedInTotals = now
 }
 
-// assign notes that a task may be running at an agent.
+// assign records that a task may be running at an agent.
 func (f *fleet) assign(a *agent, id courier.TaskID) {
 	a.tasks[id] = struct{}{}
 	f.update(a)
 }
 
-// unassign notes that a task is not running at an agent any more.
+// unassign records that a task no longer runs at an agent.
 func (f *fleet) unassign(a *agent, id courier.TaskID) {
 	delete(a.tasks, id)
 	f.update(a)
@@ -149,7 +153,7 @@
 	index map[*agent]int
 }
 
-// set puts a into the set or takes it out.
+// set adds a to the set or removes it.
 func (s *agentSet) set(a *agent, in bool) {
 	i, there := s.index[a]
 	switch {
@@ -169,9 +173,10 @@
 	}
 }
 
-// pickBetterOfTwo returns the better of two agents drawn at random that serve a service,
-// which keeps several owners from choosing alike. When both draws serve other
-// services, it returns any agent that will do, or nil.
+// pickBetterOfTwo draws two agents at random and returns the one of them with more free
+// slots that serves the service, which keeps several owners from making the same
+// choice. If neither of them serves it, the first agent of the set that does is
+// returned, or nil.
 func (s *agentSet) pickBetterOfTwo(service string, rng *rand.Rand) *agent {
 	n := len(s.list)
 	if n == 0 {
@@ -192,8 +197,8 @@
 	return nil
 }
 
-// remove forgets an agent that is out of reach but remembers, until then,
-// that it may keep records.
+// remove deletes an agent that cannot be reached, but keeps it until the given time as
+// one that may have records.
 func (f *fleet) remove(a *agent, until time.Time) {
 	a.linked = false
 	f.update(a)
@@ -210,7 +215,7 @@
 	}
 }
 
-// canServe reports whether any agent in reach runs the service.
+// canServe reports whether any known agent runs the service.
 func (f *fleet) canServe(service string) bool {
 	for _, a := range f.agents {
 		if a.serves(service) {
@@ -220,8 +225,8 @@
 	return false
 }
 
-// pick returns an agent with a free slot for the service, if possible one that
-// other owners leave to this one.
+// pick returns an agent with a free slot for the service, or nil. It prefers slots that
+// other owners use only when theirs are taken.
 func (f *fleet) pick(service string, rng *rand.Rand) *agent {
 	if a := f.withPreferredSlots.pickBetterOfTwo(service, rng); a != nil {
 		return a
@@ -229,7 +234,8 @@
 	return f.withFreeSlots.pickBetterOfTwo(service, rng)
 }
 
-// linkedAgent returns the agent called name if link is its current link.
+// linkedAgent returns the agent of the given name if link is its current link, and nil
+// otherwise.
 func (f *fleet) linkedAgent(name string, link uint64) *agent {
 	a := f.agents[name]
 	if a == nil || !a.linked || a.link != link {
@@ -238,7 +244,8 @@
 	return a
 }
 
-// unlinkedSince returns the agents out of touch since limit or longer, by name.
+// unlinkedSince returns the agents that have been disconnected since limit or longer,
+// by name.
 func (f *fleet) unlinkedSince(limit time.Time) []*agent {
 	var out []*agent
 	for _, a := range f.agents {
@@ -262,7 +269,7 @@
 	return out
 }
 
-// sorted returns the agents in the order of their names.
+// sorted returns all known agents, by name.
 func (f *fleet) sorted() []*agent {
 	out := make([]*agent, 0, len(f.agents))
 	for _, a := range f.agents {
@@ -276,7 +283,8 @@
 	slices.SortFunc(list, func(a, b *agent) int { return cmp.Compare(a.ref.Agent, b.ref.Agent) })
 }
 
-// tick lets ejected agents have a probe and forgets old absences.
+// tick allows a probe to the agents whose ejection time is over, and drops the
+// unreachable agents that no longer count.
 func (f *fleet) tick(now time.Time) {
 	for ref, until := range f.unreachable {
 		if until.Before(now) {
--- a/dispatcher/forbid.go
+++ b/dispatcher/forbid.go
@@ -8,21 +8,24 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// pendingForbid is a NotRun answer that waits until an agent remembers it. Copies of
-// the attempts may linger at an earlier owner that was paused; when that one
-// claims the partition again, the agent tells it.
+// pendingForbid is a NotRun answer that waits until an agent has recorded the forbidden
+// attempt. Copies of the attempt may still be queued at an earlier owner that was
+// paused. When that owner claims the partition again, the agent reports the forbidden
+// attempt to it.
 type pendingForbid struct {
 	attempt    int
 	submission courier.Submission
 	answer     courier.Answer
 	waiters    []Waiter
-	// agent and link tell who was asked to remember.
+	// agent and link identify the agent, and the link to it, to which the Forbid
+	// message was sent.
 	agent courier.AgentRef
 	link  uint64
 }
 
-// refuseDurably answers NotRun to the waiters of a submission of which nothing
-// has started. When it is certain that no other copy can run, it does so at once.
+// refuseDurably answers NotRun to the waiters of a submission of which nothing has
+// started. If it is certain that no other copy can run, it answers at once, and
+// otherwise after an agent has recorded the forbidden attempt.
 func (o *Dispatcher) refuseDurably(s courier.Submission, certain bool, answer courier.Answer, waiters []Waiter) {
 	if certain {
 		o.forbidAttempt(s, s.Attempt)
@@ -43,6 +46,7 @@
 	o.sendForbid(id, f)
 }
 
+// replyNotRun gives a NotRun answer to the waiters.
 func (o *Dispatcher) replyNotRun(answer courier.Answer, waiters []Waiter) {
 	for _, w := range waiters {
 		o.counts.NotRun++
@@ -50,7 +54,9 @@
 	}
 }
 
-// sendForbid asks any agent in reach. Without one the outcome is unknown.
+// sendForbid sends a pending forbidden attempt to the first agent, by name, that is
+// connected and has answered its claims. Without such an agent, the waiters are
+// answered that the outcome is unknown.
 func (o *Dispatcher) sendForbid(id string, f *pendingForbid) {
 	for _, a := range o.fleet.sorted() {
 		if !a.linked || !a.claimsAnswered() {
@@ -73,7 +79,8 @@
 	}
 }
 
-// HandleForbidden takes an agent's word that it remembers a refusal.
+// HandleForbidden handles an agent's confirmation that it has recorded a forbidden
+// attempt.
 func (o *Dispatcher) HandleForbidden(name string, link uint64, m courier.Forbidden) {
 	o.detectPause()
 	a := o.fleet.linkedAgent(name, link)
@@ -86,7 +93,8 @@
 	o.replyNotRun(f.answer, f.waiters)
 }
 
-// resendForbids asks another agent where the one asked is out of reach.
+// resendForbids sends the forbidden attempts that wait for a, which is disconnected or
+// removed, to another agent.
 func (o *Dispatcher) resendForbids(a *agent) {
 	for _, id := range slices.Sorted(maps.Keys(o.pendingForbids)) {
 		if f := o.pendingForbids[id]; f.agent == a.ref {
@@ -95,8 +103,8 @@
 	}
 }
 
-// dropForbids sends the waiters of the refusals in a partition on, when the
-// partition is claimed, here or elsewhere.
+// dropForbids drops the pending and the recorded forbidden attempts of a partition that
+// is claimed, here or by another entry, and directs the waiters to its owner.
 func (o *Dispatcher) dropForbids(p router.Partition) {
 	for _, id := range slices.Sorted(maps.Keys(o.pendingForbids)) {
 		if router.PartitionOf(id) != p {
@@ -115,8 +123,8 @@
 	}
 }
 
-// mergeForbidden takes over the refusals that an agent remembers. Jobs here
-// that wait because of refused attempts end.
+// mergeForbidden takes over the forbidden attempts that an agent has recorded, and ends
+// the unfinished jobs here that they concern.
 func (o *Dispatcher) mergeForbidden(fenced map[router.Partition]bool, list []courier.Forbidden) {
 	for _, m := range list {
 		if !fenced[router.PartitionOf(m.Job)] {
@@ -132,8 +140,8 @@
 	}
 }
 
-// endForbiddenJob ends a job here that another owner has answered NotRun. That
-// owner knew that nothing had started.
+// endForbiddenJob ends a job that another owner has answered NotRun. That owner knew
+// that nothing had started.
 func (o *Dispatcher) endForbiddenJob(j *job) {
 	const detail = "a later owner answered NotRun"
 	if len(j.mayHaveRun()) > 0 {
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -3,35 +3,37 @@
 import "time"
 
 const (
-	// ejectFailedJobs is the number of failures in a row that ejects an agent.
+	// ejectThreshold is the number of consecutive failures after which an agent is
+	// ejected.
 	ejectThreshold = 5
-	// minEjectTime and maxEjectTime bound how long an agent is ejected; the span
+	// minEjectionTime and maxEjectionTime bound how long an agent is ejected. The time
 	// doubles with each failed probe.
 	minEjectionTime = time.Second
 	maxEjectionTime = 30 * time.Second
 )
 
-// health judges an agent by the outcomes of its tasks. An agent that fails
-// everything is always free, and would draw all work without it.
+// health tracks the outcomes of an agent's tasks. An agent that fails everything always
+// has free slots, and would attract all tasks if it were not ejected.
 type health struct {
 	consecutiveFailures int
 	ejected             bool
-	// probing means that the next outcome decides: one task is let through.
+	// probing means that one task is let through, whose outcome decides whether the
+	// agent is ejected again.
 	probing      bool
 	ejectedUntil time.Time
 	ejectionTime time.Duration
 }
 
-// recordSuccess notes a good outcome.
+// recordSuccess resets the health after a success.
 func (h *health) recordSuccess() { *h = health{} }
 
-// recordFailure notes a bad outcome and reports whether the agent is to be ejected.
+// recordFailure counts a failure and reports whether the agent is to be ejected.
 func (h *health) recordFailure() bool {
 	h.consecutiveFailures++
 	return h.probing || (!h.ejected && h.consecutiveFailures >= ejectThreshold)
 }
 
-// eject sets the agent aside.
+// eject excludes the agent from new tasks for the ejection time.
 func (h *health) eject(now time.Time) {
 	h.ejectionTime = min(max(2*h.ejectionTime, minEjectionTime), maxEjectionTime)
 	h.ejectedUntil = now.Add(h.ejectionTime)
@@ -45,15 +47,16 @@
 	h.probing = true
 }
 
-// probeSent holds back all tasks but the probe until its outcome is known, or
-// until it is time for another one.
+// probeSent excludes the agent from new tasks until the outcome of the probe is known,
+// or until it is time for another probe.
 func (h *health) probeSent(now time.Time) {
 	h.ejected = true
 	h.ejectedUntil = now.Add(max(h.ejectionTime, minEjectionTime))
 }
 
-// recordHealth notes an outcome at a, and ejects it when it fails what it starts,
-// unless too many others are ejected already.
+// recordHealth records the outcome of a task at a. An agent that fails its tasks is
+// ejected, unless the share of ejected agents would then exceed the bundle's
+// EjectPercent.
 func (o *Dispatcher) recordHealth(a *agent, good bool) {
 	if good {
 		a.health.recordSuccess()
--- a/dispatcher/job.go
+++ b/dispatcher/job.go
@@ -12,8 +12,8 @@
 type taskState int
 
 const (
-	// taskWaiting means that the task has not started and that no message that
-	// could start it is on its way.
+	// taskWaiting means that the task has not started and that no message that could
+	// start it is in transit.
 	taskWaiting taskState = iota
 	// taskSent means that the task has started or may start.
 	taskSent
@@ -26,39 +26,40 @@
 	state   taskState
 	outcome courier.Outcome
 	result  json.RawMessage
-	// agent, link and number tell where and as which of the link's tasks it
-	// was sent, when state is sent.
+	// agent and link tell where and on which link the task was sent, and number which
+	// task of the link it was, if the task has been sent. number is 0 for a task that
+	// is known only from an agent's record.
 	agent  courier.AgentRef
 	link   uint64
 	number uint64
 	sentAt time.Time
 }
 
-// job is one submission at its owner.
+// job is the state of one submission at its owner.
 type job struct {
 	id         string
 	submission courier.Submission
 	digest     uint64
 	partition  router.Partition
 	arrivedAt  time.Time
-	// attempt is the highest attempt that has reached this job; onlyCopy
-	// means that no other copy of the submission can exist.
+	// attempt is the highest attempt that has reached this job. onlyCopy means that no
+	// other copy of the submission can exist.
 	attempt  int
 	onlyCopy bool
 	tasks    []task
-	// firstWaiting is the first task that may be waiting; all before it are not.
+	// firstWaiting is a lower bound of the index of the first waiting task.
 	firstWaiting int
-	// waitingTasks counts the tasks in state waiting.
+	// waitingTasks counts the tasks in state taskWaiting.
 	waitingTasks int
-	// unfinished counts the tasks that are not ended.
+	// unfinished counts the tasks that have not ended.
 	unfinished int
 	waiters    map[Waiter]struct{}
-	// orphanedAt is when the last waiter left; zero while there is one.
+	// orphanedAt is when the last waiter left, or zero while there is one.
 	orphanedAt time.Time
-	// done means that answer is final. It never changes back.
+	// done means that answer is final. It never becomes false again.
 	done   bool
 	answer courier.Answer
-	// queued and heapIndex belong to the queue.
+	// queued and heapIndex are maintained by the queue.
 	queued    bool
 	heapIndex int
 }
@@ -81,8 +82,8 @@
 	}
 }
 
-// takeWaiting returns the index of a waiting task and marks it as the next one
-// sent to a.
+// takeWaiting returns the index of a waiting task, and marks it as the next task sent
+// to a.
 func (j *job) takeWaiting(a *agent, now time.Time) int {
 	for j.tasks[j.firstWaiting].state != taskWaiting {
 		j.firstWaiting++
@@ -94,14 +95,15 @@
 	return i
 }
 
-// resetTask makes a sent task wait again, after a positive refusal.
+// resetTask makes a sent task wait again after it was refused.
 func (j *job) resetTask(i int) {
 	j.tasks[i] = task{}
 	j.waitingTasks++
 	j.firstWaiting = min(j.firstWaiting, i)
 }
 
-// endTask notes the outcome of a task. It reports whether this is news.
+// endTask records the outcome of a task. It reports false if the task has ended
+// already.
 func (j *job) endTask(i int, outcome courier.Outcome, result json.RawMessage) bool {
 	t := &j.tasks[i]
 	if t.state == taskEnded {
@@ -117,7 +119,7 @@
 	return true
 }
 
-// mayHaveRun lists the tasks that started or may have started.
+// mayHaveRun returns the indexes of the tasks that have or may have started.
 func (j *job) mayHaveRun() []int {
 	var out []int
 	for i := range j.tasks {
@@ -128,7 +130,7 @@
 	return out
 }
 
-// sentTasksByAgent lists the tasks that may be running, by agent.
+// sentTasksByAgent returns the tasks that may be running, by agent.
 func (j *job) sentTasksByAgent() map[courier.AgentRef][]courier.TaskID {
 	out := make(map[courier.AgentRef][]courier.TaskID)
 	for i := range j.tasks {
@@ -147,19 +149,20 @@
 	return out
 }
 
-// freeTasks drops what a finished job does not need any more.
+// freeTasks frees the memory that a finished job no longer needs.
 func (j *job) freeTasks() {
 	j.submission.Tasks = nil
 	j.tasks = nil
 }
 
-// recoveredJob is what agents have reported of a job whose body is not here.
+// recoveredJob is what agents have reported about a job whose body is not here.
 type recoveredJob struct {
 	digest    uint64
 	records   map[int]recoveredTask
 	expiresAt time.Time
 }
 
+// recoveredTask is the record of one task of a recovered job.
 type recoveredTask struct {
 	agent   courier.AgentRef
 	link    uint64
@@ -167,7 +170,7 @@
 	result  json.RawMessage
 }
 
-// forbiddenAttempt remembers that attempts up to attempt were answered NotRun.
+// forbiddenAttempt records that all attempts up to attempt were answered NotRun.
 type forbiddenAttempt struct {
 	attempt   int
 	expiresAt time.Time
--- a/dispatcher/merge.go
+++ b/dispatcher/merge.go
@@ -9,7 +9,7 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// HandleClaimReply takes an agent's answer to a claim.
+// HandleClaimReply handles an agent's answer to a claim.
 func (o *Dispatcher) HandleClaimReply(name string, link uint64, r courier.ClaimReply) {
 	o.detectPause()
 	a := o.fleet.linkedAgent(name, link)
@@ -37,6 +37,9 @@
 	o.dispatch()
 }
 
+// mergeRecords takes over the records of the fenced partitions that an agent has
+// reported, and acknowledges those of ended tasks. All starts are recorded before any
+// outcome, since an outcome may end its job.
 func (o *Dispatcher) mergeRecords(a *agent, fenced map[router.Partition]bool, records []courier.Record) {
 	records = slices.DeleteFunc(records, func(r courier.Record) bool {
 		return !fenced[router.PartitionOf(r.Task.Job)]
@@ -56,7 +59,7 @@
 	}
 }
 
-// mergeRecord notes that an agent has started a task.
+// mergeRecord records that an agent has started a task.
 func (o *Dispatcher) mergeRecord(a *agent, rec courier.Record) {
 	j := o.jobs[rec.Task.Job]
 	if j == nil {
@@ -79,7 +82,7 @@
 	o.fleet.assign(a, rec.Task)
 }
 
-// recordMergedOutcome settles a merged task that has ended.
+// recordMergedOutcome records the outcome of a merged task that has ended.
 func (o *Dispatcher) recordMergedOutcome(a *agent, rec courier.Record) {
 	o.fleet.unassign(a, rec.Task)
 	j := o.jobs[rec.Task.Job]
@@ -88,6 +91,8 @@
 	}
 }
 
+// recoverTask keeps the record of a task whose job has no body here. A known outcome is
+// not replaced by Running.
 func (o *Dispatcher) recoverTask(a *agent, rec courier.Record) {
 	in := o.recoveredJobs[rec.Task.Job]
 	if in == nil {
@@ -107,8 +112,8 @@
 	}
 }
 
-// requeueUndelivered makes tasks wait again that were sent on an earlier link and
-// never arrived: the agent refuses that link from now on.
+// requeueUndelivered requeues the tasks that were sent on an earlier link and did not
+// arrive. The agent refuses messages of that link from now on.
 func (o *Dispatcher) requeueUndelivered(a *agent, fenced map[router.Partition]bool) {
 	for _, id := range a.sortedTasks() {
 		j := o.jobs[id.Job]
@@ -125,6 +130,8 @@
 	}
 }
 
+// expireRecovered deletes the recovered jobs and the forbidden attempts that have
+// expired.
 func (o *Dispatcher) expireRecovered(now time.Time) {
 	for id, in := range o.recoveredJobs {
 		if in.expiresAt.Before(now) {
--- a/dispatcher/outcome.go
+++ b/dispatcher/outcome.go
@@ -4,7 +4,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// HandleFinished takes the outcomes of tasks, and the slot that may be offered with
+// HandleFinished handles the outcomes of tasks, and the slot that may be offered with
 // them.
 func (o *Dispatcher) HandleFinished(name string, link uint64, f courier.Finished) {
 	o.detectPause()
@@ -26,6 +26,8 @@
 	o.reportDemand(o.clock.Now())
 }
 
+// handleTaskEnd records the outcome of a task at a, its run time if it has succeeded,
+// and its effect on the health of a.
 func (o *Dispatcher) handleTaskEnd(a *agent, rec courier.Record) {
 	j := o.jobs[rec.Task.Job]
 	if j == nil {
@@ -46,7 +48,7 @@
 	o.recordOutcome(j, i, rec)
 }
 
-// HandleOffer takes a free slot that an agent holds for this owner.
+// HandleOffer handles the offer of a free slot that an agent reserves for this owner.
 func (o *Dispatcher) HandleOffer(name string, link uint64, f courier.Offer) {
 	o.detectPause()
 	a := o.fleet.linkedAgent(name, link)
@@ -58,7 +60,7 @@
 	o.reportDemand(o.clock.Now())
 }
 
-// HandleRefuse takes an agent's word that tasks have not started.
+// HandleRefuse handles an agent's message that a task has not started.
 func (o *Dispatcher) HandleRefuse(name string, link uint64, r courier.Refuse) {
 	o.detectPause()
 	a := o.fleet.linkedAgent(name, link)
@@ -78,7 +80,7 @@
 	o.dispatch()
 }
 
-// jobOfRefuse returns the job that a refusal concerns, or nil if the refusal is
+// jobOfRefuse returns the job that a Refuse message concerns, or nil if the message is
 // not about the last start of the task.
 func (o *Dispatcher) jobOfRefuse(a *agent, r courier.Refuse) *job {
 	j := o.jobs[r.Task.Job]
@@ -90,8 +92,8 @@
 	if t.state != taskSent || t.agent != a.ref || t.link != a.link {
 		return nil
 	}
-	// A task known from a report has no number on this link; only the upstream
-	// can still refuse it.
+	// A task known only from a record has no number on this link, and can then be
+	// refused only by the upstream.
 	reported := t.number == 0 && r.Reason == courier.RefusedByUpstream
 	if t.number != r.Number && !reported {
 		return nil
@@ -99,6 +101,8 @@
 	return j
 }
 
+// retryRefused requeues a refused task. A refusal by the upstream spends a retry of the
+// budget; if there is none, the job is aborted.
 func (o *Dispatcher) retryRefused(a *agent, j *job, i int, reason courier.RefuseReason) {
 	if reason != courier.RefusedByUpstream {
 		o.requeue(j, i)
@@ -113,7 +117,7 @@
 	o.abortJob(j, courier.ReasonOverload, "the upstreams refuse tasks and the retry budget is spent")
 }
 
-// requeue makes a sent task wait again.
+// requeue makes a sent task wait again, and queues it if its partition is served.
 func (o *Dispatcher) requeue(j *job, i int) {
 	j.resetTask(i)
 	if o.partitions[j.partition].state == partitionServing {
@@ -126,7 +130,8 @@
 	o.fleet.update(a)
 }
 
-// recordOutcome notes the outcome of a task, and ends the job when that decides it.
+// recordOutcome records the outcome of a task, and ends the job if the outcome decides
+// it.
 func (o *Dispatcher) recordOutcome(j *job, i int, rec courier.Record) {
 	wasWaiting := j.tasks[i].state == taskWaiting
 	if !j.endTask(i, rec.Outcome, rec.Result) {
@@ -157,7 +162,7 @@
 	o.finish(j, courier.Answer{State: courier.Complete, Results: j.results()})
 }
 
-// fail ends a job of which tasks may have run.
+// fail ends a job as Failed. Some of its tasks may have run.
 func (o *Dispatcher) fail(j *job, reason courier.Reason, detail string) {
 	o.counts.Failed++
 	o.finish(j, courier.Answer{
@@ -168,8 +173,8 @@
 	})
 }
 
-// mayHaveRun lists the tasks of j that may have started: all of them when
-// agents that might know of others have not been asked.
+// mayHaveRun returns the indexes of the tasks of j that may have started: all of them
+// if agents that may have records of others have not answered.
 func (o *Dispatcher) mayHaveRun(j *job) []int {
 	if o.partitions[j.partition].state == partitionServing && (j.onlyCopy || !o.mayMissRecords(j.partition)) {
 		return j.mayHaveRun()
@@ -181,8 +186,8 @@
 	return all
 }
 
-// abortJob ends a job early: as NotRun when nothing can have started, and else
-// as Failed.
+// abortJob ends a job early: as NotRun if no task can have started, and otherwise as
+// Failed.
 func (o *Dispatcher) abortJob(j *job, reason courier.Reason, detail string) {
 	if len(o.mayHaveRun(j)) > 0 {
 		o.fail(j, reason, detail)
@@ -191,8 +196,8 @@
 	o.endNotRun(j, reason, detail, j.onlyCopy)
 }
 
-// endNotRun ends a job of which nothing has started. Certain means that no
-// copy of it can start anything any more.
+// endNotRun ends a job of which nothing has started. certain means that no copy of it
+// can start anything any more.
 func (o *Dispatcher) endNotRun(j *job, reason courier.Reason, detail string, certain bool) {
 	answer := courier.Answer{
 		Job:        j.id,
@@ -213,7 +218,8 @@
 	o.refuseDurably(s, certain, answer, waiters)
 }
 
-// finish gives every caller the final answer and stops what still runs.
+// finish records the final answer of a job, sends it to every waiter, and stops the
+// tasks that still run.
 func (o *Dispatcher) finish(j *job, answer courier.Answer) {
 	answer.Job = j.id
 	answer.BundleVersion = o.bundle.Version
@@ -232,6 +238,7 @@
 	o.scheduleExpiry(j, j.submission.Deadline.Add(AnswerRetention))
 }
 
+// stopTasks sends Stop messages for the tasks of j that may be running.
 func (o *Dispatcher) stopTasks(j *job) {
 	running := j.sentTasksByAgent()
 	for _, a := range o.fleet.sortedKnown(running) {
--- a/dispatcher/partition.go
+++ b/dispatcher/partition.go
@@ -15,35 +15,37 @@
 const (
 	// partitionNotOwned means that another entry owns the partition.
 	partitionNotOwned partitionState = iota
-	// partitionClaiming means that agents are being fenced; requests are parked.
+	// partitionClaiming means that agents are being fenced. Requests are deferred until
+	// then.
 	partitionClaiming
 	// partitionServing means that this entry owns the partition.
 	partitionServing
 )
 
-// partition is an owner's state for one range of job identities.
+// partition is the state at one entry of one partition of the job identities.
 type partition struct {
 	state partitionState
-	// term is the term of the last claim here; it never falls.
+	// term is the term of the last claim made here. It never decreases.
 	term courier.Term
-	// unfenced holds the agent incarnations that may hold records of the
-	// partition and have not been fenced at term. While it is not empty,
-	// nothing may be concluded from the absence of a record.
+	// unfenced holds the agent incarnations that may have records of the partition and
+	// have not been fenced at term. While it is not empty, a missing record does not
+	// prove that a task has not started.
 	unfenced map[courier.AgentRef]struct{}
-	// deferred holds requests that wait for the claim, or for an agent that may
-	// still answer it.
+	// deferred holds the requests that wait for the claim, for an agent that may still
+	// answer it, or for the bundle to be confirmed.
 	deferred []Request
-	// blocked means that requests or jobs of a served partition wait for such
-	// an agent.
+	// blocked means that requests or jobs of a served partition wait for such an agent
+	// or for the bundle.
 	blocked   bool
 	claimedAt time.Time
-	// claimRetryAt is when to claim again after a rival's higher term, or zero.
+	// claimRetryAt is when to claim again after a rival claimed with a higher term, or
+	// zero.
 	claimRetryAt time.Time
 }
 
-// SetView takes over which entries own partitions, and which other entries
-// are alive or may be. Partitions that fall to this entry are claimed. Partitions that
-// fall to others are served on until the others claim them.
+// SetView sets which entries own partitions, and which other entries are alive or may
+// be. Partitions that this entry is to own are claimed. Partitions that others are to
+// own are served until the others claim them.
 func (o *Dispatcher) SetView(view, peers []string) {
 	o.detectPause()
 	o.peers = slices.Clone(peers)
@@ -65,6 +67,7 @@
 	o.claim(take)
 }
 
+// shouldOwn reports whether this entry is to own p according to the view.
 func (o *Dispatcher) shouldOwn(p router.Partition) bool {
 	return router.Owner(p, o.view) == o.cfg.Entry
 }
@@ -72,7 +75,7 @@
 // Terms returns the highest known term of each partition.
 func (o *Dispatcher) Terms() []courier.Term { return slices.Clone(o.highestTerms[:]) }
 
-// ServedPartitions reports how many partitions are served.
+// ServedPartitions returns the number of partitions that are served.
 func (o *Dispatcher) ServedPartitions() int {
 	n := 0
 	for i := range o.partitions {
@@ -83,7 +86,8 @@
 	return n
 }
 
-// reclaimPartitions claims every partition held here anew.
+// reclaimPartitions claims all partitions held here again, and relinquishes those that
+// this entry is not to own.
 func (o *Dispatcher) reclaimPartitions() {
 	var again []router.Partition
 	for i := range o.partitions {
@@ -137,7 +141,7 @@
 	o.send(a.ref.Agent, c)
 }
 
-// dequeueUnserved takes the jobs of partitions that are not served off the queue.
+// dequeueUnserved removes the jobs of partitions that are not served from the queue.
 func (o *Dispatcher) dequeueUnserved() {
 	for _, j := range o.jobs {
 		if o.partitions[j.partition].state != partitionServing {
@@ -146,8 +150,8 @@
 	}
 }
 
-// finishClaims serves the partitions whose agents have all answered, or whose
-// wait is over.
+// finishClaims begins to serve the partitions whose claim every known agent has
+// answered while the roster is complete, or whose claim has reached ClaimTimeout.
 func (o *Dispatcher) finishClaims(now time.Time) {
 	for i := range o.partitions {
 		part := &o.partitions[i]
@@ -167,8 +171,8 @@
 	o.resumePartition(p)
 }
 
-// resumePartition lets the jobs and requests of a served partition go on that waited
-// for the claim or for an agent.
+// resumePartition continues the jobs and requests of a served partition that waited for
+// the claim, for an agent or for the bundle.
 func (o *Dispatcher) resumePartition(p router.Partition) {
 	part := &o.partitions[p]
 	part.blocked = false
@@ -184,7 +188,7 @@
 	}
 }
 
-// jobsOf returns the jobs of a partition in the order of their identities.
+// jobsOf returns the jobs of a partition, by job identity.
 func (o *Dispatcher) jobsOf(p router.Partition) []*job {
 	var out []*job
 	for _, j := range o.jobs {
@@ -196,8 +200,9 @@
 	return out
 }
 
-// clearDeferred looks again at what waits for agents, after one has answered or
-// has been given up.
+// retryBlocked decides again on what waits in the blocked partitions. It is called when
+// an agent has answered or has been removed, when the roster has become complete, and
+// when the bundle has been confirmed or the wait for it is over.
 func (o *Dispatcher) retryBlocked() {
 	for i := range o.partitions {
 		if part := &o.partitions[i]; part.state == partitionServing && part.blocked {
@@ -206,7 +211,9 @@
 	}
 }
 
-// resumeJob queues a job that was known here before the partition was claimed.
+// resumeJob queues a job that was known here before the partition was claimed. The job
+// waits while an agent that may have started its tasks can still answer, and fails if
+// such an agent cannot be reached.
 func (o *Dispatcher) resumeJob(j *job) {
 	if j.waitingTasks == 0 {
 		return
@@ -222,8 +229,8 @@
 	o.fail(j, courier.ReasonOutcomeUnknown, "an agent that may have started tasks of this job cannot be asked")
 }
 
-// deferUntilFenced parks a request whose answer depends on an agent that may still answer
-// a claim. It reports whether it did.
+// deferUntilFenced defers a request if the answer depends on an agent that may still
+// answer a claim, and reports whether it did.
 func (o *Dispatcher) deferUntilFenced(r Request) bool {
 	if !o.awaitsClaimReply(&o.partitions[router.PartitionOf(r.Submission.JobID())]) {
 		return false
@@ -232,14 +239,15 @@
 	return true
 }
 
-// deferRequest keeps a request of a served partition until the partition is released.
+// deferRequest keeps a request of a served partition until the partition is resumed.
 func (o *Dispatcher) deferRequest(r Request) {
 	part := &o.partitions[router.PartitionOf(r.Submission.JobID())]
 	part.blocked = true
 	part.deferred = append(part.deferred, r)
 }
 
-// retryClaims claims again where a rival's term was higher.
+// retryClaims claims again the partitions that a rival claimed with a higher term, when
+// their delay is over.
 func (o *Dispatcher) retryClaims(now time.Time) {
 	var again []router.Partition
 	for i := range o.partitions {
@@ -251,7 +259,8 @@
 	o.claim(again)
 }
 
-// relinquish gives p up to whoever has claimed it. Its callers are sent on.
+// relinquish gives p up to the entry that has claimed it or is to own it. Its callers
+// are told to submit there.
 func (o *Dispatcher) relinquish(p router.Partition) {
 	part := &o.partitions[p]
 	part.state = partitionNotOwned
@@ -271,7 +280,7 @@
 	}
 }
 
-// dropJob drops a job whose partition has gone to another owner.
+// dropJob stops tracking a job whose partition another entry owns now.
 func (o *Dispatcher) dropJob(j *job) {
 	o.queue.removeJob(j)
 	delete(o.jobs, j.id)
@@ -289,13 +298,14 @@
 	}
 }
 
-// replyMoved sends a caller on. Admitted tells that the job was taken on here.
+// replyMoved directs a caller to the owner of p. admitted tells whether the job was
+// admitted here.
 func (o *Dispatcher) replyMoved(w Waiter, p router.Partition, admitted bool) {
 	o.reply(w, courier.Answer{State: courier.Moved, Owner: router.Owner(p, o.view), Admitted: admitted})
 }
 
-// relinquishTo gives p up to a higher term, and claims it again a little later when
-// this entry should own it.
+// relinquishTo gives p up to a higher term, and schedules another claim if this entry
+// should own it and is not stopping.
 func (o *Dispatcher) relinquishTo(p router.Partition, t courier.Term) {
 	if o.highestTerms[p].Less(t) {
 		o.highestTerms[p] = t
@@ -313,7 +323,8 @@
 	part.claimRetryAt = o.clock.Now().Add(ClaimRetryDelay + jitter)
 }
 
-// HandleSuperseded takes an agent's word that another entry has claimed partitions.
+// HandleSuperseded handles an agent's message that another entry has claimed
+// partitions.
 func (o *Dispatcher) HandleSuperseded(s courier.Superseded) {
 	o.detectPause()
 	for _, p := range s.Partitions {
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -6,23 +6,25 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// Placement chooses where the next task starts.
+// Placement chooses the agent that starts the next task.
 type Placement interface {
-	// choose returns an agent for a task of service, or nil to wait.
+	// choose returns an agent for a task of service, or nil if the task has to wait.
 	choose(o *Dispatcher, service string) *agent
-	// reportsDemand reports whether waiting tasks ask agents for free slots.
+	// reportsDemand reports whether agents are notified of waiting tasks, so that they
+	// offer free slots.
 	reportsDemand() bool
 }
 
-// LateBinding starts only into slots known to be free, and asks the agents to
-// offer slots as they become free while tasks wait.
+// LateBinding starts tasks only in slots that are known to be free. While tasks wait,
+// it notifies the agents, which then offer slots as they become free.
 type LateBinding struct{}
 
 func (LateBinding) choose(o *Dispatcher, service string) *agent { return o.fleet.pick(service, o.rng) }
 func (LateBinding) reportsDemand() bool                         { return true }
 
-// HeartbeatOnly starts only into slots known to be free, and learns of free slots
-// from the reports that come anyway. It is the baseline.
+// HeartbeatOnly starts tasks only in slots that are known to be free, and learns of
+// free slots only from heartbeats and other messages that are sent anyway. It is the
+// baseline.
 type HeartbeatOnly struct{}
 
 func (HeartbeatOnly) choose(o *Dispatcher, service string) *agent {
@@ -31,27 +33,29 @@
 func (HeartbeatOnly) reportsDemand() bool { return false }
 
 const (
-	// notifyPerTask is the number of agents that are asked first for each
-	// waiting task while some slots may be free.
+	// notifyPerTask is the number of agents that are notified first for each waiting
+	// task while some slots may be free.
 	notifyPerTask = 2
-	// notifyWhenFull is the number asked first while no slot is known to be
-	// free: the next one to become free is wanted, wherever it is.
+	// notifyWhenFull is the minimum number of agents that are notified first while no
+	// slot is known to be free. The next slot to become free is wanted, at whichever
+	// agent it is.
 	notifyWhenFull = 16
-	// notifyAllDelay is when all agents are asked, if tasks still wait.
+	// notifyAllDelay is the delay after which all agents are notified if tasks still
+	// wait.
 	notifyAllDelay = 20 * time.Millisecond
 )
 
-// demandState is what the agents were last told of the waiting tasks.
+// demandState is what the agents were last told about the waiting tasks.
 type demandState struct {
 	waiting    int
 	reportedAt time.Time
-	// notified holds the agents that were told of waiting tasks since there
-	// last were none; all means that every one was.
+	// notified holds the agents that were notified since tasks began to wait.
+	// notifiedAll means that every agent was.
 	notified    map[*agent]struct{}
 	notifiedAll bool
 }
 
-// startBatch gathers the tasks of one Start message.
+// startBatch collects the tasks of one Start message.
 type startBatch struct {
 	agent *agent
 	tasks []courier.StartTask
@@ -88,7 +92,7 @@
 	}
 }
 
-// bindTask takes a waiting task of j, the first of its service, for a.
+// bindTask assigns a waiting task of j, which is the first job of its service, to a.
 func (o *Dispatcher) bindTask(j *job, a *agent) courier.StartTask {
 	i := j.takeWaiting(a, o.clock.Now())
 	o.queue.removeTask(j)
@@ -107,6 +111,8 @@
 	}
 }
 
+// sendStart sends tasks to an agent. offer is the number of the offer that the first
+// task uses, or 0.
 func (o *Dispatcher) sendStart(a *agent, offer uint64, tasks []courier.StartTask) {
 	o.send(a.ref.Agent, courier.Start{
 		LinkNumber:    a.link,
@@ -116,7 +122,7 @@
 	})
 }
 
-// useOffer starts a waiting task into an offered slot, or gives it back.
+// useOffer starts a waiting task in an offered slot, or declines the offer.
 func (o *Dispatcher) useOffer(a *agent, offer uint64) {
 	if offer == 0 {
 		return
@@ -130,7 +136,7 @@
 	o.send(a.ref.Agent, courier.Decline{Offer: offer})
 }
 
-// nextJobAt returns the job to start next at a, or nil.
+// nextJobAt returns the job from which a starts a task next, or nil.
 func (o *Dispatcher) nextJobAt(a *agent) *job {
 	for _, service := range a.services {
 		if j := o.nextJobOf(service); j != nil {
@@ -140,8 +146,8 @@
 	return nil
 }
 
-// nextJobOf returns the job of service to start next, or nil, and gives up those
-// before it that have become hopeless.
+// nextJobOf returns the job of the service from which a task starts next, or nil. It
+// aborts the jobs before it that are likely to miss their deadlines.
 func (o *Dispatcher) nextJobOf(service string) *job {
 	for j := o.queue.first(service); j != nil; j = o.queue.first(service) {
 		if !o.likelyToMissDeadline(j) {
@@ -152,9 +158,10 @@
 	return nil
 }
 
-// reportDemand tells agents how many tasks wait: some at once when tasks begin
-// to wait, all when they still wait later or grow much in number, and from
-// time to time. When none waits any more, those that were told hear of it.
+// reportDemand notifies agents how many tasks wait: some agents at once when tasks
+// begin to wait; all agents when tasks still wait after notifyAllDelay, when their
+// number has more than doubled, and every DemandReportInterval. When no tasks wait any
+// more, the notified agents are told so.
 func (o *Dispatcher) reportDemand(now time.Time) {
 	if !o.cfg.Placement.reportsDemand() {
 		return
@@ -178,7 +185,7 @@
 	}
 }
 
-// initialNotifyCount returns how many agents to ask first for n waiting tasks.
+// initialNotifyCount returns how many agents to notify first of n waiting tasks.
 func (o *Dispatcher) initialNotifyCount(n int) int {
 	if o.fleet.totals.free == 0 {
 		return max(notifyWhenFull, n*notifyPerTask)
@@ -186,6 +193,8 @@
 	return n * notifyPerTask
 }
 
+// notifyAllDue reports whether tasks have waited for notifyAllDelay and not all agents
+// have been notified.
 func (o *Dispatcher) notifyAllDue(now time.Time) bool {
 	return !o.demand.notifiedAll && now.Sub(o.demand.reportedAt) >= notifyAllDelay
 }
@@ -217,7 +226,7 @@
 }
 
 // AnyFreeSlot draws among all agents with free slots, whether or not other owners
-// leave them to this one. It is the baseline of LateBinding's preference.
+// prefer the same slots. It is the baseline for the preference of LateBinding.
 type AnyFreeSlot struct{}
 
 func (AnyFreeSlot) choose(o *Dispatcher, service string) *agent {
--- a/dispatcher/queue.go
+++ b/dispatcher/queue.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Order ranks waiting jobs.
+// Order ranks the jobs with waiting tasks.
 type Order interface {
-	// Key returns a time in Unix nanoseconds. The job with the earliest key
-	// starts first, at its owner and, where slots are offered, among owners.
+	// Key returns the rank of a job as a time in Unix nanoseconds. The job with the
+	// earliest key starts first, both among the jobs of one owner and, where agents
+	// offer slots, among owners.
 	Key(j QueuedJob) int64
 }
 
-// QueuedJob is what an Order may look at.
+// QueuedJob is the input of an Order.
 type QueuedJob struct {
 	ArrivedNanos  int64
 	DeadlineNanos int64
-	// TasksLeft counts the tasks that wait.
+	// TasksLeft counts the waiting tasks.
 	TasksLeft int
 }
 
@@ -33,8 +34,8 @@
 // Key implements Order.
 func (EarliestDeadline) Key(j QueuedJob) int64 { return j.DeadlineNanos }
 
-// FewestTasksLeft starts the job with the fewest waiting tasks first, however long
-// others have waited.
+// FewestTasksLeft starts the job with the fewest waiting tasks first, regardless of how
+// long the others have waited.
 type FewestTasksLeft struct{}
 
 // Key implements Order.
@@ -42,11 +43,11 @@
 	return j.ArrivedNanos + int64(j.TasksLeft)*int64(time.Hour)
 }
 
-// VirtualFinish starts the job first that would finish first if each had the
-// same share of the slots: a small job overtakes a large one, but only for as
-// long as the large one's tasks account for.
+// VirtualFinish starts the job first that would finish first if all jobs had equal
+// shares of the slots: a small job overtakes a large one, but only for as long as the
+// number of the large one's tasks accounts for.
 type VirtualFinish struct {
-	// PerTask is the time that a waiting task adds.
+	// PerTask is the time that each waiting task adds to the key.
 	PerTask time.Duration
 }
 
@@ -55,8 +56,8 @@
 	return j.ArrivedNanos + int64(j.TasksLeft)*int64(o.PerTask)
 }
 
-// queue holds the jobs with waiting tasks, one heap for each service, so that
-// a service without workers does not hold up the others.
+// queue holds the jobs with waiting tasks in one heap for each service, so that a
+// service without workers does not block the others.
 type queue struct {
 	order    Order
 	services map[string]*jobHeap
@@ -71,7 +72,7 @@
 	return &queue{order: order, services: make(map[string]*jobHeap)}
 }
 
-// add queues j unless it is queued, and counts n more waiting tasks.
+// add counts n more waiting tasks of j, and queues j if it is not queued yet.
 func (q *queue) add(j *job, n int) {
 	q.tasks += n
 	h := q.services[j.submission.Service]
@@ -89,8 +90,7 @@
 	heap.Push(h, queuedJob{job: j, sequence: q.sequence})
 }
 
-// removeTask notes that one waiting task of j is not waiting any more, and drops j
-// when none is left.
+// removeTask counts one waiting task of j less, and removes j when it has none left.
 func (q *queue) removeTask(j *job) {
 	if !j.queued {
 		return
@@ -103,7 +103,7 @@
 	heap.Fix(q.services[j.submission.Service], j.heapIndex)
 }
 
-// removeJob drops j with all its waiting tasks.
+// removeJob removes j with all its waiting tasks.
 func (q *queue) removeJob(j *job) {
 	if !j.queued {
 		return
@@ -128,7 +128,7 @@
 	return key
 }
 
-// first returns the job of service to start next, or nil.
+// first returns the job of the service that starts next, or nil.
 func (q *queue) first(service string) *job {
 	h := q.services[service]
 	if h == nil || len(h.jobs) == 0 {
@@ -137,6 +137,7 @@
 	return h.jobs[0].job
 }
 
+// queuedJob is an element of a jobHeap. sequence breaks ties between equal keys.
 type queuedJob struct {
 	job      *job
 	sequence uint64
@@ -150,7 +151,7 @@
 	})
 }
 
-// jobHeap implements heap.Interface.
+// jobHeap implements heap.Interface. The first job starts next.
 type jobHeap struct {
 	order Order
 	jobs  []queuedJob
@@ -186,7 +187,8 @@
 	return q
 }
 
-// expiryQueue orders jobs by the time at which something is due for them.
+// expiryQueue is a heap of jobs, ordered by the time at which expireJob has to check
+// them.
 type expiryQueue []expiry
 
 type expiry struct {
--- a/dispatcher/roster.go
+++ b/dispatcher/roster.go
@@ -9,11 +9,11 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// MergeRoster takes over the agents that a peer uses. Those without a link here
-// may hold records, and stay missing until they have been fenced; they matter
-// for as long as they do to any peer. A certain roster makes this one certain,
-// if the peer gave it at or after the time asOf of this clock and this process
-// was not paused since.
+// MergeRoster adds the agents that a peer uses. Those without a link here may have
+// records, so they count as unfenced until they answer a claim, and they count for as
+// long as they do at any peer. A complete roster (certain) makes this one complete,
+// provided that the peer gave it at or after asOf, a time of this clock, and this
+// process was not paused since.
 func (o *Dispatcher) MergeRoster(roster []courier.RosterAgent, certain bool, asOf time.Time) {
 	o.detectPause()
 	now := o.clock.Now()
@@ -35,8 +35,8 @@
 	}
 }
 
-// SetRosterComplete notes that no agent was used by an earlier owner that is
-// neither known here nor listed as gone.
+// SetRosterComplete records that earlier owners used no agents other than those that
+// are known here or listed as unreachable.
 func (o *Dispatcher) SetRosterComplete() {
 	now := o.clock.Now()
 	if !o.rosterCompleteAt.After(now) {
@@ -47,6 +47,7 @@
 	o.retryBlocked()
 }
 
+// addUnfenced adds an agent to the unfenced ones of every partition owned here.
 func (o *Dispatcher) addUnfenced(ref courier.AgentRef) {
 	for p := range o.partitions {
 		if part := &o.partitions[p]; part.state != partitionNotOwned {
@@ -55,8 +56,8 @@
 	}
 }
 
-// Roster lists the agents that may hold records of tasks started from here,
-// and whether the list is complete.
+// Roster lists the agents that may have records of tasks started from here, and reports
+// whether the list is complete.
 func (o *Dispatcher) Roster() ([]courier.RosterAgent, bool) {
 	var out []courier.RosterAgent
 	for _, a := range o.fleet.sorted() {
@@ -78,6 +79,8 @@
 	return cmp.Or(cmp.Compare(a.Agent, b.Agent), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
+// agentsWithRecords returns the agents that may have records: the known and the
+// unreachable ones.
 func (o *Dispatcher) agentsWithRecords() map[courier.AgentRef]struct{} {
 	out := make(map[courier.AgentRef]struct{}, len(o.fleet.agents)+len(o.fleet.unreachable))
 	for _, a := range o.fleet.agents {
@@ -89,7 +92,8 @@
 	return out
 }
 
-// awaitsClaimReply reports whether an agent may still answer the claim soon.
+// awaitsClaimReply reports whether an unfenced agent is known here, so that it may
+// still answer the claim.
 func (o *Dispatcher) awaitsClaimReply(part *partition) bool {
 	for ref := range part.unfenced {
 		if a := o.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
@@ -99,7 +103,8 @@
 	return false
 }
 
-// mayMissRecords reports whether tasks of p may have started that nobody here knows of.
+// mayMissRecords reports whether tasks of p may have started whose records are not
+// known here. It drops the unfenced agents that no longer count.
 func (o *Dispatcher) mayMissRecords(p router.Partition) bool {
 	if o.rosterCompleteAt.After(o.clock.Now()) {
 		return true
--- a/dispatcher/submit.go
+++ b/dispatcher/submit.go
@@ -11,7 +11,7 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// Submit takes one copy of a submission. Its waiter gets exactly one Reply.
+// Submit handles one copy of a submission. Its waiter gets exactly one Reply.
 func (o *Dispatcher) Submit(r Request) {
 	o.detectPause()
 	p := router.PartitionOf(r.Submission.JobID())
@@ -57,7 +57,7 @@
 	o.admitNew(r)
 }
 
-// join adds a caller to a job that is known here.
+// join adds a waiter to a job that is known here, or answers from it.
 func (o *Dispatcher) join(j *job, r Request) {
 	if j.digest != r.Digest {
 		o.replyConflict(r)
@@ -72,6 +72,7 @@
 	o.addWaiter(j, r.Waiter)
 }
 
+// addWaiter registers a waiter of j, which is then not orphaned any more.
 func (o *Dispatcher) addWaiter(j *job, w Waiter) {
 	if w == 0 {
 		return
@@ -113,8 +114,8 @@
 	o.queue.add(j, j.waitingTasks)
 }
 
-// refuseExpired answers a submission whose deadline has passed. What earlier
-// copies started may have been forgotten by then, here and at the agents.
+// refuseExpired answers a submission whose deadline has passed. The records of what
+// earlier copies started may have expired by then, here and at the agents.
 func (o *Dispatcher) refuseExpired(r Request) {
 	if !r.isFirstCopy() {
 		o.replyOutcomeUnknown(r, detailRecordsExpired)
@@ -123,8 +124,8 @@
 	o.refuse(r, courier.ReasonDeadline, "the deadline has passed", 0)
 }
 
-// bundleViolation names the field of s that the bundle in force does not allow,
-// or returns "".
+// bundleViolation describes the first field of s that the bundle in force does not
+// allow, or returns "".
 func (o *Dispatcher) bundleViolation(s courier.Submission) string {
 	service, ok := o.bundle.Service(s.Service)
 	if !ok {
@@ -136,6 +137,7 @@
 	return ""
 }
 
+// addJob registers a new job and schedules its expiry at the deadline.
 func (o *Dispatcher) addJob(r Request) *job {
 	j := newJob(r, o.clock.Now())
 	o.jobs[j.id] = j
@@ -145,7 +147,7 @@
 	return j
 }
 
-// resumeRecovered continues a job of an earlier owner from what the agents reported.
+// resumeRecovered continues a job of an earlier owner from the records of the agents.
 func (o *Dispatcher) resumeRecovered(r Request, in *recoveredJob) {
 	if in.digest != r.Digest {
 		o.replyConflict(r)
@@ -172,7 +174,8 @@
 	}
 }
 
-// restoreTask notes that a task has started, before any outcome ends the job.
+// restoreTask records that a task has started. It is called for all tasks before any
+// outcome, since an outcome may end the job.
 func (o *Dispatcher) restoreTask(j *job, i int, t recoveredTask) {
 	if i < 0 || i >= len(j.tasks) {
 		return
@@ -184,8 +187,8 @@
 	}
 }
 
-// recordRestoredOutcome settles a restored task whose outcome is known, or will
-// never be.
+// recordRestoredOutcome records the outcome of a restored task if it is known, and Lost
+// if it can never become known.
 func (o *Dispatcher) recordRestoredOutcome(j *job, i int, t recoveredTask) {
 	if i < 0 || i >= len(j.tasks) || j.done {
 		return
@@ -204,7 +207,7 @@
 	o.recordOutcome(j, i, rec)
 }
 
-// CallerLeft notes that a caller has gone.
+// CallerLeft handles the disconnection of a caller.
 func (o *Dispatcher) CallerLeft(w Waiter) {
 	o.detectPause()
 	j := o.waiters[w]
@@ -220,6 +223,7 @@
 	}
 }
 
+// dropDeferred drops the deferred requests of a waiter.
 func (o *Dispatcher) dropDeferred(w Waiter) {
 	for i := range o.partitions {
 		part := &o.partitions[i]
@@ -227,7 +231,7 @@
 	}
 }
 
-// Cancel ends an unfinished job and returns its state.
+// Cancel ends a job if it is unfinished, and returns its state.
 func (o *Dispatcher) Cancel(id string) courier.Answer {
 	o.detectPause()
 	if j := o.jobs[id]; j != nil && !j.done {
@@ -240,7 +244,7 @@
 	return o.State(id)
 }
 
-// State returns what is known of a job.
+// State returns what is known about a job.
 func (o *Dispatcher) State(id string) courier.Answer {
 	a := courier.Answer{Job: id, State: courier.Unknown, BundleVersion: o.bundle.Version, Entry: o.cfg.Entry}
 	p := router.PartitionOf(id)
@@ -267,13 +271,13 @@
 	return a
 }
 
-// scheduleExpiry has expireJobs look at j at a time.
+// scheduleExpiry makes expireJobs check j at the given time.
 func (o *Dispatcher) scheduleExpiry(j *job, at time.Time) {
 	heap.Push(&o.expiry, expiry{atNanos: at.UnixNano(), job: j})
 }
 
-// expireJobs gives up jobs whose deadline has passed or whose callers have
-// left, and forgets answers that nobody can ask for any more.
+// expireJobs aborts the jobs whose deadline has passed or whose callers have left, and
+// deletes the answers that have expired.
 func (o *Dispatcher) expireJobs(now time.Time) {
 	for len(o.expiry) > 0 && o.expiry[0].atNanos <= now.UnixNano() {
 		e := heap.Pop(&o.expiry).(expiry)
@@ -281,6 +285,8 @@
 	}
 }
 
+// expireJob ends, deletes or reschedules a job for which a time of the expiry queue has
+// come. Entries of deleted or replaced jobs are ignored.
 func (o *Dispatcher) expireJob(j *job, now time.Time) {
 	switch {
 	case o.jobs[j.id] != j:
@@ -295,7 +301,8 @@
 	}
 }
 
-// refuse answers NotRun to a submission of which nothing has started.
+// refuse answers NotRun to a submission of which nothing has started. after is the
+// delay after which the caller may retry.
 func (o *Dispatcher) refuse(r Request, reason courier.Reason, detail string, after time.Duration) {
 	answer := courier.Answer{
 		Job:        r.Submission.JobID(),
@@ -307,7 +314,7 @@
 	o.refuseDurably(r.Submission, r.isFirstCopy(), answer, []Waiter{r.Waiter})
 }
 
-// forbidAttempt makes sure that no delayed copy of a refused attempt runs.
+// forbidAttempt records a forbidden attempt, so that no delayed copy of it runs.
 func (o *Dispatcher) forbidAttempt(s courier.Submission, attempt int) {
 	old := o.forbiddenAttempts[s.JobID()]
 	o.forbiddenAttempts[s.JobID()] = forbiddenAttempt{
@@ -316,6 +323,7 @@
 	}
 }
 
+// replyConflict answers a submission whose key is in use by one with another body.
 func (o *Dispatcher) replyConflict(r Request) {
 	o.reply(r.Waiter, courier.Answer{
 		Job:    r.Submission.JobID(),
@@ -325,15 +333,15 @@
 	})
 }
 
-// The details of answers whose outcome is unknown.
+// Details of answers whose outcome is unknown.
 const (
 	detailAgentUnreachable = "an agent that may have started tasks of this job cannot be asked"
 	detailSomeStarted      = "some tasks are known to have started, and an agent that may have started others cannot be asked"
 	detailRecordsExpired   = "the deadline has passed, and what earlier attempts started may be forgotten"
 )
 
-// replyOutcomeUnknown answers a resubmission whose earlier copies may have run where
-// nobody can tell.
+// replyOutcomeUnknown answers a resubmission if it cannot be known whether its earlier
+// copies have run.
 func (o *Dispatcher) replyOutcomeUnknown(r Request, detail string) {
 	o.counts.Failed++
 	a := courier.Answer{
--- a/starter/claim.go
+++ b/starter/claim.go
@@ -9,6 +9,7 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
+// raiseTerms raises the terms of the partitions to the given ones, where these are higher.
 func (l *Ledger) raiseTerms(terms []courier.Term) {
 	for p, t := range terms {
 		if p < len(l.terms) && l.terms[p].Less(t) {
@@ -17,7 +18,7 @@
 	}
 }
 
-// Claim fences the partitions of c against lower terms and reports what was
+// Claim fences the partitions of c against lower terms, and reports the tasks that were
 // started in them.
 func (l *Ledger) Claim(entry string, c courier.Claim) {
 	reply := courier.ClaimReply{Number: c.Number, Term: c.Term}
@@ -46,6 +47,7 @@
 	}
 }
 
+// withRefused adds a refused partition and its term to m, which may be nil.
 func withRefused(m map[router.Partition]courier.Term, p router.Partition, t courier.Term) map[router.Partition]courier.Term {
 	if m == nil {
 		m = make(map[router.Partition]courier.Term)
@@ -54,6 +56,7 @@
 	return m
 }
 
+// appendRecords appends the records of a partition, by job and index.
 func (l *Ledger) appendRecords(out []courier.Record, p router.Partition) []courier.Record {
 	first := len(out)
 	for _, r := range l.records[p] {
--- a/starter/dump.go
+++ b/starter/dump.go
@@ -6,7 +6,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// Dump is a ledger's state as operators see it.
+// Dump is the state of a Ledger as it is shown to operators.
 type Dump struct {
 	Identity      Identity
 	Upstream      Upstream
@@ -23,7 +23,7 @@
 	Tasks        []courier.TaskID
 }
 
-// Dump returns the state of the ledger.
+// Dump returns the state of the Ledger.
 func (l *Ledger) Dump() Dump {
 	d := Dump{
 		Identity:      l.identity,
--- a/starter/forbid.go
+++ b/starter/forbid.go
@@ -9,13 +9,14 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// forbiddenAttempt remembers that attempts up to attempt were answered NotRun.
+// forbiddenAttempt records that all attempts up to attempt were answered NotRun.
 type forbiddenAttempt struct {
 	attempt   int
 	expiresAt time.Time
 }
 
-// Forbid remembers a refusal for its owner, unless the owner is an old one.
+// Forbid records a forbidden attempt and confirms it to the owner. A message of an old
+// link or term is ignored.
 func (l *Ledger) Forbid(entry string, f courier.Forbid) {
 	e := l.entries[entry]
 	if e == nil || e.link != f.LinkNumber || l.terms[router.PartitionOf(f.Job)] != f.Term {
@@ -29,7 +30,7 @@
 	l.send(entry, courier.Forbidden{Job: f.Job, Attempt: f.Attempt})
 }
 
-// forbiddenIn lists the refusals in some partitions, by job.
+// forbiddenIn returns the forbidden attempts in the given partitions, by job.
 func (l *Ledger) forbiddenIn(parts []router.Partition) []courier.Forbidden {
 	var out []courier.Forbidden
 	for _, job := range slices.Sorted(maps.Keys(l.forbidden)) {
@@ -40,6 +41,7 @@
 	return out
 }
 
+// expireForbidden deletes the forbidden attempts that have expired.
 func (l *Ledger) expireForbidden(now time.Time) {
 	for job, f := range l.forbidden {
 		if f.expiresAt.Before(now) {
--- a/starter/offer.go
+++ b/starter/offer.go
@@ -6,7 +6,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// SetDemand notes how many tasks an entry has waiting.
+// SetDemand sets how many tasks of an entry wait.
 func (l *Ledger) SetDemand(entry string, d courier.Demand) {
 	e := l.entries[entry]
 	if e == nil {
@@ -17,7 +17,8 @@
 	l.offerFree()
 }
 
-// Decline gives an offered slot to the next demand.
+// Decline ends an offer that its entry does not use, and offers the slot to the next
+// demand.
 func (l *Ledger) Decline(entry string, d courier.Decline) {
 	slot, ok := l.takeOffer(entry, d.Offer)
 	if !ok {
@@ -30,8 +31,8 @@
 	l.offerFree()
 }
 
-// takeOffer ends the offer if entry holds it, and returns its slot, which
-// stays taken.
+// takeOffer ends the offer if it was made to entry, and returns its slot, which stays
+// in use.
 func (l *Ledger) takeOffer(entry string, id uint64) (int, bool) {
 	o, ok := l.offers[id]
 	if !ok || o.entry != entry {
@@ -41,7 +42,7 @@
 	return o.slot, true
 }
 
-// endOffer gives the slot of an offer back.
+// endOffer ends an offer and frees its slot.
 func (l *Ledger) endOffer(id uint64) {
 	l.slots.release(l.offers[id].slot)
 	delete(l.offers, id)
@@ -59,8 +60,8 @@
 	}
 }
 
-// piggybackOffer holds a free slot for entry when its demand is first in line,
-// so that the offer can travel with another message. It returns 0 otherwise.
+// piggybackOffer creates an offer for entry if its tasks have waited longest, so that
+// the offer can be sent with another message. It returns 0 otherwise.
 func (l *Ledger) piggybackOffer(entry string) uint64 {
 	if l.availableSlots() <= 0 || l.longestWaiting() != entry || entry == "" {
 		return 0
@@ -68,6 +69,7 @@
 	return l.createOffer(entry)
 }
 
+// createOffer reserves a free slot for entry and returns the number of the offer.
 func (l *Ledger) createOffer(entry string) uint64 {
 	l.lastOffer++
 	slot := l.slots.take(l.preferredSlots(entry), l.upstream.Slots)
@@ -76,7 +78,7 @@
 	return l.lastOffer
 }
 
-// longestWaiting returns the entry with the oldest live demand, or "".
+// longestWaiting returns the entry with the oldest demand that has not expired, or "".
 func (l *Ledger) longestWaiting() string {
 	now := l.clock.Now()
 	var best string
--- a/starter/slot.go
+++ b/starter/slot.go
@@ -7,13 +7,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slotSet tells which slots of an upstream are taken, by number.
+// slotSet records which slots of an upstream are in use, by slot number.
 type slotSet struct {
 	inUse []bool
 }
 
-// take takes a free slot below n and returns its number. It prefers the slots
-// for which owned is true.
+// take takes a free slot and returns its number. It prefers the slots below n for which
+// owned is true. If all slots are in use, it adds one.
 func (s *slotSet) take(owned func(slot int) bool, n int) int {
 	s.grow(n)
 	fallback := -1
@@ -55,9 +55,10 @@
 	}
 }
 
-// preferredSlots returns which slots an entry uses before the other entries do. The
-// slots are dealt out in turn over the linked entries, so that owners that
-// choose from old reports seldom choose the same slot.
+// preferredSlots returns a function that reports whether an entry uses a slot before
+// the other entries do. The slots are distributed in turn over the linked entries, so
+// that owners that choose from old reports seldom choose the same slot. The agent's
+// name decides which entry is first.
 func (l *Ledger) preferredSlots(entry string) func(slot int) bool {
 	names := slices.Sorted(maps.Keys(l.entries))
 	i := slices.Index(names, entry)
--- a/starter/start.go
+++ b/starter/start.go
@@ -5,7 +5,8 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// Start starts the tasks that may start and refuses the others.
+// Start starts the tasks that may start, and refuses the others. A task that has a
+// record already is answered from it.
 func (l *Ledger) Start(entry string, s courier.Start) {
 	var refused []refusedStart
 	var known []courier.Record
@@ -22,7 +23,7 @@
 		p := router.PartitionOf(t.Task.Job)
 		if r := l.records[p][t.Task]; r != nil {
 			known = append(known, r.Record)
-			continue // The record answers for it: a start is never run twice.
+			continue // A task that has started is never run again.
 		}
 		if reason := l.refuseReason(e, s, t, p, held); reason != "" {
 			refused = append(refused, refusedStart{t, reason, l.terms[p]})
@@ -41,13 +42,15 @@
 	}
 }
 
-// refusedStart is a task of a Start with the reason that it may not start.
+// refusedStart is a task of a Start message that may not start, and the reason.
 type refusedStart struct {
 	task   courier.StartTask
 	reason courier.RefuseReason
 	term   courier.Term
 }
 
+// replyToStart reports the refused tasks and the records of the tasks that had started
+// before.
 func (l *Ledger) replyToStart(entry string, refused []refusedStart, known []courier.Record) {
 	for _, r := range refused {
 		msg := courier.Refuse{Number: r.task.Number, Task: r.task.Task, Reason: r.reason, Load: l.load(entry)}
@@ -61,7 +64,7 @@
 	}
 }
 
-// refuseReason returns why t may not start, or "".
+// refuseReason returns why t may not start, or "" if it may.
 func (l *Ledger) refuseReason(e *entryState, s courier.Start, t courier.StartTask, p router.Partition, held bool) courier.RefuseReason {
 	now := l.clock.Now()
 	switch {
@@ -83,6 +86,7 @@
 	return ""
 }
 
+// recordStart records the start of a task in a slot and adds the effect that runs it.
 func (l *Ledger) recordStart(t courier.StartTask, p router.Partition, slot int) {
 	l.records[p][t.Task] = &record{
 		Record:    courier.Record{Task: t.Task, Digest: t.Digest, Outcome: courier.Running},
@@ -98,8 +102,8 @@
 	l.effects = append(l.effects, Run{Task: t, ExpiresAt: until})
 }
 
-// WithdrawStart takes back a start that the upstream positively did not run. The
-// task leaves the record, since it may start elsewhere.
+// WithdrawStart reverts the start of a task that the upstream is known not to have run.
+// The record is deleted, since the task may start elsewhere.
 func (l *Ledger) WithdrawStart(id courier.TaskID) {
 	p := router.PartitionOf(id.Job)
 	r := l.records[p][id]
@@ -119,8 +123,8 @@
 	})
 }
 
-// Finish notes the end of a running task and reports it to the entry that
-// owns the task's partition now. The first outcome stays.
+// Finish records the outcome of a running task and reports it to the entry that owns
+// the task's partition now. Only the first outcome counts.
 func (l *Ledger) Finish(rec courier.Record) {
 	p := router.PartitionOf(rec.Task.Job)
 	r := l.records[p][rec.Task]
@@ -134,11 +138,13 @@
 	l.resultBytes += len(rec.Result)
 	holder := l.terms[p].Holder
 	id := l.piggybackOffer(holder)
-	l.offerFree() // Before the report, which must not count slots just offered.
+	l.offerFree() // The load reported below must not count the slots offered here.
 	l.send(holder, courier.Finished{Records: []courier.Record{r.Record}, Offer: id, Load: l.load(holder)})
 }
 
-// Acknowledge notes that the owner has the results of tasks.
+// Acknowledge records that the owner has received the results of tasks. While the
+// results take more than AckedResultBytesLimit, acknowledged ones are dropped and their
+// outcomes become Lost.
 func (l *Ledger) Acknowledge(a courier.Acked) {
 	for _, id := range a.Tasks {
 		r := l.records[router.PartitionOf(id.Job)][id]
@@ -154,7 +160,7 @@
 	}
 }
 
-// Stop asks the upstream to stop the running ones of tasks.
+// Stop stops those of the tasks that are running on the upstream.
 func (l *Ledger) Stop(s courier.Stop) {
 	for _, id := range s.Tasks {
 		r := l.records[router.PartitionOf(id.Job)][id]
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -1,10 +1,10 @@
-// Package starter decides, beside each upstream, which tasks start. Its Ledger
-// is the one place where "started" becomes true: it keeps a record of each
-// task from the start until the task's deadline is past, so that the same
-// start sent again is never run again.
+// Package starter decides, at the agent beside each upstream, which tasks start. A
+// Ledger determines whether a task has started: it keeps a record of each task from the
+// start until after the task's deadline, so that a start that is sent again does not
+// run again.
 //
-// A Ledger is not safe for concurrent use. It performs no input or output:
-// each call leaves Effects behind, which the caller takes with Drain.
+// A Ledger is not safe for concurrent use. It performs no input or output: each call
+// adds Effects, which the caller takes with TakeEffects and carries out.
 package starter
 
 import (
@@ -18,17 +18,18 @@
 )
 
 const (
-	// FreshnessLimit is how long after the last confirmation of the bundle version,
-	// by the agent's own clock, tasks may still start.
+	// FreshnessLimit is how long after the last confirmation of the bundle version, by
+	// the agent's own clock, tasks may still start.
 	FreshnessLimit = 3 * time.Second
-	// OfferTTL ends an offer that its owner has not used.
+	// OfferTTL is how long an offer is valid that its owner does not use.
 	OfferTTL = 100 * time.Millisecond
-	// RecordRetentionGrace keeps records beyond the task's deadline, for clocks that
-	// differ between processes.
+	// RecordRetentionGrace is how long records are kept beyond the task's deadline,
+	// since clocks differ between processes.
 	RecordRetentionGrace = 5 * time.Second
-	// AckedResultBytesLimit bounds the memory for results that have been acknowledged.
+	// AckedResultBytesLimit is the size of all kept results, in bytes, above which
+	// results that are acknowledged are dropped.
 	AckedResultBytesLimit = 16 << 20
-	// DemandTTL drops a demand that was not repeated.
+	// DemandTTL is how long a demand is valid that is not repeated.
 	DemandTTL = 2 * time.Second
 )
 
@@ -46,14 +47,14 @@
 	Address  string
 	Slots    int
 	Services []string
-	// Leaving means that the upstream takes no new work.
+	// Leaving means that the upstream accepts no new work.
 	Leaving bool
 }
 
-// Effect is one thing for the surrounding process to do.
+// Effect is an action that the caller of the Ledger carries out.
 type Effect interface{ effect() }
 
-// Send is the effect of sending Msg to the entry To.
+// Send is the effect of sending Msg to the entry named To.
 type Send struct {
 	To  string
 	Msg any
@@ -62,7 +63,7 @@
 // Run is the effect of running a task on the upstream.
 type Run struct {
 	Task courier.StartTask
-	// ExpiresAt is when the decision lapses: the task must not be handed to the
+	// ExpiresAt is when the decision to start expires: the task must not be sent to the
 	// upstream at that time or later.
 	ExpiresAt time.Time
 }
@@ -78,42 +79,45 @@
 
 func (Stop) effect() {}
 
-// record is the memory of one started task.
+// record is the record of one started task.
 type record struct {
 	courier.Record
-	// keepUntil is when the record may be forgotten; no copy of the start is
-	// accepted after the deadline, which is earlier.
+	// keepUntil is when the record may be deleted. It is later than the deadline, after
+	// which no copy of the start is accepted.
 	keepUntil time.Time
 	acked     bool
-	// number is the Number of the StartTask, on the link it came by.
+	// number is the Number of the StartTask on the link on which it arrived.
 	number uint64
-	// slot is the slot that the task runs in, while it runs.
+	// slot is the slot that the task uses while it runs.
 	slot int
 }
 
-// offer is a free slot held for one entry.
+// offer is a free slot that is reserved for one entry.
 type offer struct {
 	entry     string
 	slot      int
 	expiresAt time.Time
 }
 
-// entryState is what the ledger keeps for one linked entry.
+// entryState is the ledger's state for one linked entry.
 type entryState struct {
-	// link is the number of the current link; messages of others are refused.
+	// link is the number of the current link. Start messages of other links are
+	// refused, and Forbid messages are ignored.
 	link       uint64
 	lastNumber uint64
 	demand     demand
 }
 
-// demand is an entry's wish for slots.
+// demand is the number of tasks that wait at an entry.
 type demand struct {
-	waiting   int
+	waiting int
+	// dueAt is the key of the entry's first waiting job, by this clock.
 	dueAt     time.Time
 	expiresAt time.Time
 }
 
-// Ledger is the aggregate that guards one upstream.
+// Ledger holds the state of one upstream: its slots, the records of its tasks, the
+// offers, and the terms of the partitions.
 type Ledger struct {
 	clock     clockwork.Clock
 	identity  Identity
@@ -121,26 +125,27 @@
 	upstream  Upstream
 	draining  bool
 
-	// running counts the records whose outcome is Running; it never exceeds
-	// the slots less the offers, but for slots withdrawn while in use.
+	// running counts the records whose outcome is Running. It never exceeds the slots
+	// less the offers, except when the upstream reduces its slots while they are in
+	// use.
 	running int
-	// slots tells which slots are running a task or are offered.
+	// slots records which slots run a task or are offered.
 	slots slotSet
-	// records holds every task started since the process began whose
-	// deadline is not long past, by partition.
+	// records holds, by partition, every task that was started since the process began,
+	// until RecordRetentionGrace after the deadline, or longer while it runs.
 	records [router.Partitions]map[courier.TaskID]*record
-	// forbidden holds the highest attempt answered NotRun of each job.
+	// forbidden holds the highest attempt of each job that was answered NotRun.
 	forbidden map[string]forbiddenAttempt
-	// terms never fall.
+	// terms holds the highest known term of each partition. A term never decreases.
 	terms   [router.Partitions]courier.Term
 	entries map[string]*entryState
 	offers  map[uint64]offer
-	// lastOffer numbers offers; 0 means none.
+	// lastOffer is the number of the last offer; 0 stands for no offer.
 	lastOffer uint64
 
 	policy courier.AgentPolicy
-	// confirmedAt is the latest time, by this clock, at which policy is known
-	// to have been the newest one.
+	// confirmedAt is the latest time, by this clock, at which policy is known to have
+	// been the newest one.
 	confirmedAt time.Time
 	resultBytes int
 	nextExpiry  time.Time
@@ -148,7 +153,7 @@
 	effects []Effect
 }
 
-// NewLedger returns a ledger with an empty record.
+// NewLedger returns a Ledger without records.
 func NewLedger(clock clockwork.Clock, self Identity) *Ledger {
 	l := &Ledger{
 		clock:     clock,
@@ -165,25 +170,25 @@
 	return l
 }
 
-// TakeEffects returns the effects since the last call.
+// TakeEffects returns the effects added since the last call.
 func (l *Ledger) TakeEffects() []Effect {
 	out := l.effects
 	l.effects = nil
 	return out
 }
 
-// SetUpstream takes over what the upstream announced.
+// SetUpstream sets what the upstream has announced.
 func (l *Ledger) SetUpstream(u Upstream) {
 	l.upstream = u
 	l.offerFree()
 }
 
-// SetDraining stops all new starts, before a planned stop.
+// SetDraining prevents all new starts, before a planned stop of the agent.
 func (l *Ledger) SetDraining() {
 	l.draining = true
 }
 
-// Idle reports whether no task runs and every result has arrived.
+// Idle reports whether no task runs and every result has been acknowledged.
 func (l *Ledger) Idle() bool {
 	if l.running > 0 {
 		return false
@@ -201,13 +206,13 @@
 // BundleVersion returns the version of the policy in force.
 func (l *Ledger) BundleVersion() uint64 { return l.policy.BundleVersion }
 
-// LinkUp notes a new link to an entry; the old link's messages are refused
-// from now on.
+// LinkUp registers a new link to an entry. Messages of the old link are refused from
+// now on.
 func (l *Ledger) LinkUp(entry string, link uint64) {
 	l.entries[entry] = &entryState{link: link}
 }
 
-// LinkDown forgets the demand and the offers of an entry whose link broke.
+// LinkDown drops the demand and the offers of an entry whose link has ended.
 func (l *Ledger) LinkDown(entry string, link uint64) {
 	e := l.entries[entry]
 	if e == nil || e.link != link {
@@ -222,7 +227,7 @@
 	l.offerFree()
 }
 
-// Announce returns the heartbeat for one entry.
+// Announce returns the heartbeat message for one entry.
 func (l *Ledger) Announce(entry string) courier.Announce {
 	a := courier.Announce{
 		Agent:         l.identity.Agent,
@@ -243,9 +248,9 @@
 	return a
 }
 
-// HandleAnnounceReply takes an entry's answer to a heartbeat: a newer policy, and the time
-// up to which the policy is known to be the newest. An older version than the
-// one in force is ignored, so that a policy never reverts.
+// HandleAnnounceReply handles an entry's answer to a heartbeat: a newer policy, and the
+// time up to which the policy is known to be the newest. A version older than the one
+// in force is ignored, so that a policy never reverts.
 func (l *Ledger) HandleAnnounceReply(r courier.AnnounceReply) {
 	l.raiseTerms(r.Terms)
 	if r.Policy != nil && r.Policy.BundleVersion > l.policy.BundleVersion {
@@ -261,7 +266,7 @@
 	l.offerFree()
 }
 
-// Tick drops what has lapsed.
+// Tick drops the offers, records and forbidden attempts that have expired.
 func (l *Ledger) Tick() {
 	now := l.clock.Now()
 	for id, o := range l.offers {
@@ -285,6 +290,7 @@
 	}
 }
 
+// dataCentreOut reports whether the policy takes the agent's data centre out of use.
 func (l *Ledger) dataCentreOut() bool {
 	return slices.Contains(l.policy.OutDataCentres, l.identity.DataCentre)
 }
@@ -293,12 +299,13 @@
 	return l.policy.BundleVersion > 0 && now.Before(l.confirmedAt.Add(FreshnessLimit))
 }
 
-// freeSlots returns the slots that are neither running nor offered.
+// freeSlots returns the number of slots that are neither running a task nor offered. It
+// is negative if the upstream has reduced its slots while they are in use.
 func (l *Ledger) freeSlots() int {
 	return l.upstream.Slots - l.running - len(l.offers)
 }
 
-// availableSlots returns the slots that any owner may use now.
+// availableSlots returns the number of free slots that any owner may use now.
 func (l *Ledger) availableSlots() int {
 	if l.draining || l.upstream.Leaving || l.dataCentreOut() || !l.fresh(l.clock.Now()) {
 		return 0
@@ -306,6 +313,7 @@
 	return max(0, l.freeSlots())
 }
 
+// load returns the load as it is reported to an entry.
 func (l *Ledger) load(entry string) courier.Load {
 	load := courier.Load{Free: l.availableSlots()}
 	if e := l.entries[entry]; e != nil {
@@ -317,9 +325,10 @@
 	return load
 }
 
+// send adds the effect of sending msg to an entry, if it is linked.
 func (l *Ledger) send(to string, msg any) {
 	if to == "" || l.entries[to] == nil {
-		return // The next claim on a new link reports what is missed here.
+		return // The answer to the claim on the next link reports what is not sent here.
 	}
 	l.effects = append(l.effects, Send{To: to, Msg: msg})
 }
