--- a/dispatcher/admission.go
+++ b/dispatcher/admission.go
@@ -97,21 +97,21 @@
 
 // runTime returns the mean run time of a service's tasks: the recorded one, or the
 // estimate in the bundle.
-func (m *admission) runTime(o *Dispatcher, service string) time.Duration {
+func (m *admission) runTime(d *Dispatcher, service string) time.Duration {
 	if h := m.learnedRunTimes(service); h != nil {
 		return time.Duration(h.Mean() * float64(time.Millisecond))
 	}
-	s, _ := o.bundle.Service(service)
+	s, _ := d.bundle.Service(service)
 	return time.Duration(s.ExpectedRunMillis) * time.Millisecond
 }
 
 // longestRunTime returns a run time that the longest of n tasks exceeds only in a share
 // of overrunShare of the jobs. Without enough recorded run times it returns the
 // estimate in the bundle.
-func (m *admission) longestRunTime(o *Dispatcher, service string, n int) time.Duration {
+func (m *admission) longestRunTime(d *Dispatcher, service string, n int) time.Duration {
 	h := m.learnedRunTimes(service)
 	if h == nil {
-		return m.runTime(o, service)
+		return m.runTime(d, service)
 	}
 	q := 100 * (1 - overrunShare/float64(n))
 	return time.Duration(h.ValueAtQuantile(q)) * time.Millisecond
@@ -120,13 +120,13 @@
 // likelyToMissDeadline reports whether a waiting task of j that starts now is more
 // likely than not to miss the deadline. It uses the median of the recorded run times,
 // and reports false without them.
-func (o *Dispatcher) likelyToMissDeadline(j *job) bool {
-	h := o.admission.learnedRunTimes(j.submission.Service)
+func (d *Dispatcher) likelyToMissDeadline(j *job) bool {
+	h := d.admission.learnedRunTimes(j.submission.Service)
 	if h == nil {
 		return false
 	}
-	usual := time.Duration(h.ValueAtQuantile(50)) * time.Millisecond
-	return o.clock.Now().Add(usual).After(j.submission.Deadline)
+	median := time.Duration(h.ValueAtQuantile(50)) * time.Millisecond
+	return d.clock.Now().Add(median).After(j.submission.Deadline)
 }
 
 // addTasks adds the tasks of j to the unfinished ones of its team.
@@ -147,61 +147,61 @@
 
 // check returns why r cannot be admitted now, and the delay after which to retry. The
 // reason is empty if r can be admitted.
-func (m *admission) check(o *Dispatcher, r Request) (courier.Reason, time.Duration) {
+func (m *admission) check(d *Dispatcher, r Request) (courier.Reason, time.Duration) {
 	s := r.Submission
 	n := len(s.Tasks)
-	if team, ok := o.bundle.Team(s.Team); !ok || m.teamTasks[s.Team]+n > team.TaskLimit {
-		return courier.ReasonTeamQuota, m.retryAfter(o, n)
+	if team, ok := d.bundle.Team(s.Team); !ok || m.teamTasks[s.Team]+n > team.TaskLimit {
+		return courier.ReasonTeamQuota, m.retryAfter(d, n)
 	}
-	if o.queue.tasks+n > o.bundle.Limits.WaitingTaskLimit {
-		return courier.ReasonOverload, m.retryAfter(o, n)
+	if d.queue.tasks+n > d.bundle.Limits.WaitingTaskLimit {
+		return courier.ReasonOverload, m.retryAfter(d, n)
 	}
-	left := s.Deadline.Sub(o.clock.Now())
-	if m.estimateWait(o, n)+m.longestRunTime(o, s.Service, n) > left {
-		return courier.ReasonOverload, m.retryAfter(o, n)
+	remaining := s.Deadline.Sub(d.clock.Now())
+	if m.estimateWait(d, n)+m.longestRunTime(d, s.Service, n) > remaining {
+		return courier.ReasonOverload, m.retryAfter(d, n)
 	}
 	return "", 0
 }
 
 // slotShare estimates how many slots run tasks of this owner.
-func (o *Dispatcher) slotShare() int {
-	t := o.fleet.totals
-	return max(1, t.tasks, t.slots/max(1, len(o.view)))
+func (d *Dispatcher) slotShare() int {
+	t := d.fleet.totals
+	return max(1, t.tasks, t.slots/max(1, len(d.view)))
 }
 
 // estimateWait estimates the time until the last of n more tasks starts.
-func (m *admission) estimateWait(o *Dispatcher, n int) time.Duration {
-	ahead := o.queue.tasks + n - o.fleet.totals.free
-	if ahead <= 0 {
+func (m *admission) estimateWait(d *Dispatcher, n int) time.Duration {
+	excess := d.queue.tasks + n - d.fleet.totals.free
+	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(ahead) * m.meanRunTime(o) / time.Duration(o.slotShare())
+	return time.Duration(excess) * m.meanRunTime(d) / time.Duration(d.slotShare())
 }
 
 // meanRunTime returns the mean over the services of their mean run times.
-func (m *admission) meanRunTime(o *Dispatcher) time.Duration {
+func (m *admission) meanRunTime(d *Dispatcher) time.Duration {
 	var sum time.Duration
-	for _, s := range o.bundle.Services {
-		sum += m.runTime(o, s.Name)
+	for _, s := range d.bundle.Services {
+		sum += m.runTime(d, s.Name)
 	}
-	return sum / time.Duration(max(1, len(o.bundle.Services)))
+	return sum / time.Duration(max(1, len(d.bundle.Services)))
 }
 
 // retryAfter returns the delay after which a refused job of n tasks should be sent
 // again: when the present backlog and the jobs refused before it are expected to be
 // done. Jitter of up to 20% is added.
-func (m *admission) retryAfter(o *Dispatcher, n int) time.Duration {
-	now := o.clock.Now()
-	own := time.Duration(n) * m.meanRunTime(o) / time.Duration(o.slotShare())
-	at := now.Add(m.estimateWait(o, 0))
+func (m *admission) retryAfter(d *Dispatcher, n int) time.Duration {
+	now := d.clock.Now()
+	expectedRunTime := time.Duration(n) * m.meanRunTime(d) / time.Duration(d.slotShare())
+	at := now.Add(m.estimateWait(d, 0))
 	if m.nextRetryAt.After(at) {
 		at = m.nextRetryAt
 	}
-	m.nextRetryAt = at.Add(own)
+	m.nextRetryAt = at.Add(expectedRunTime)
 	if limit := now.Add(maxRetryAfter); m.nextRetryAt.After(limit) {
 		m.nextRetryAt = limit
 	}
-	jitter := 1 + 0.2*o.rng.Float64()
+	jitter := 1 + 0.2*d.rng.Float64()
 	after := time.Duration(float64(at.Sub(now)) * jitter)
 	return min(max(after, minRetryAfter), maxRetryAfter)
 }
@@ -217,7 +217,7 @@
 
 func (b *retryBudget) recordStart() { b.uncreditedStarts++ }
 
-// spend takes one retry from the budget and reports whether there was one. Each first
+// spend removes one retry from the budget and reports whether there was one. Each first
 // start adds percent hundredths of a retry.
 func (b *retryBudget) spend(percent int) bool {
 	b.tokens = min(b.tokens+b.uncreditedStarts*percent, retryBurst*100)
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -173,11 +173,11 @@
 	// Messages counts the messages to agents.
 	Messages uint64
 	// Complete and Failed count the jobs that ended so, and Failed also the answers
-	// that an outcome is unknown. NotRun counts the callers that were answered so.
+	// that the outcome is unknown. NotRun counts the answers of that state.
 	Complete uint64
 	Failed   uint64
 	NotRun   uint64
-	// Claims counts the claims of partitions.
+	// Claims counts the claims, each of one or more partitions.
 	Claims uint64
 }
 
@@ -209,43 +209,43 @@
 }
 
 // TakeEffects returns the effects added since the last call.
-func (o *Dispatcher) TakeEffects() []Effect {
-	out := o.effects
-	o.effects = nil
+func (d *Dispatcher) TakeEffects() []Effect {
+	out := d.effects
+	d.effects = nil
 	return out
 }
 
 // Counts returns the totals so far.
-func (o *Dispatcher) Counts() Counts { return o.counts }
+func (d *Dispatcher) Counts() Counts { return d.counts }
 
 // SetBundle puts a bundle in force. The bundle may be used until freshUntil, unless it
 // is confirmed again before. Older versions are ignored.
-func (o *Dispatcher) SetBundle(b approver.Bundle, freshUntil time.Time) {
-	o.detectPause()
-	if b.Version < o.bundle.Version {
+func (d *Dispatcher) SetBundle(b approver.Bundle, freshUntil time.Time) {
+	d.detectPause()
+	if b.Version < d.bundle.Version {
 		return
 	}
-	changed := b.Version != o.bundle.Version
-	o.bundle = b
-	wasFresh := o.fresh()
-	o.freshUntil = freshUntil
-	if !wasFresh && o.fresh() {
-		o.retryBlocked()
+	changed := b.Version != d.bundle.Version
+	d.bundle = b
+	wasFresh := d.fresh()
+	d.freshUntil = freshUntil
+	if !wasFresh && d.fresh() {
+		d.retryBlocked()
 	}
 	if changed {
-		o.fleet.setOutDataCentres(b.OutDataCentres())
-		o.dispatch()
+		d.fleet.setOutDataCentres(b.OutDataCentres())
+		d.dispatch()
 	}
 }
 
 // SetStopping begins the planned stop of the entry: a partition that another entry
 // claims is not claimed back. New submissions then go to the new owner, and the jobs
 // here continue until their partition is claimed.
-func (o *Dispatcher) SetStopping() { o.stopping = true }
+func (d *Dispatcher) SetStopping() { d.stopping = true }
 
 // Idle reports whether every job is finished.
-func (o *Dispatcher) Idle() bool {
-	for _, j := range o.jobs {
+func (d *Dispatcher) Idle() bool {
+	for _, j := range d.jobs {
 		if !j.done {
 			return false
 		}
@@ -254,61 +254,61 @@
 }
 
 // Tick does the work that has become due. It is to be called every few milliseconds.
-func (o *Dispatcher) Tick() {
-	o.detectPause()
-	now := o.clock.Now()
-	o.expireJobs(now)
-	o.finishClaims(now)
-	o.retryClaims(now)
-	o.expireRecovered(now)
-	o.expireFreshnessWait(now)
-	o.checkAgents(now)
-	o.dispatch()
-	o.reportDemand(now)
+func (d *Dispatcher) Tick() {
+	d.detectPause()
+	now := d.clock.Now()
+	d.expireJobs(now)
+	d.finishClaims(now)
+	d.retryClaims(now)
+	d.expireRecovered(now)
+	d.expireFreshnessWait(now)
+	d.checkAgents(now)
+	d.dispatch()
+	d.reportDemand(now)
 }
 
 // detectPause detects a pause of the process that was long enough for other entries to
 // claim its partitions. It then claims them again with a new term, or relinquishes
 // them, before the call does anything else.
-func (o *Dispatcher) detectPause() {
-	now := o.clock.Now()
-	paused := now.Sub(o.lastTick) > PauseThreshold
-	o.lastTick = now
+func (d *Dispatcher) detectPause() {
+	now := d.clock.Now()
+	paused := now.Sub(d.lastTick) > PauseThreshold
+	d.lastTick = now
 	if !paused {
 		return
 	}
-	o.resumedAt = now
-	if len(o.peers) > 0 {
-		o.rosterCompleteAt = now.Add(RecordRetention)
+	d.resumedAt = now
+	if len(d.peers) > 0 {
+		d.rosterCompleteAt = now.Add(RecordRetention)
 	}
-	o.reclaimPartitions()
+	d.reclaimPartitions()
 }
 
 // expireFreshnessWait retries the requests that wait for the bundle to be confirmed
 // once FreshnessTimeout has passed. They are then refused.
-func (o *Dispatcher) expireFreshnessWait(now time.Time) {
-	if !o.fresh() && now.Sub(o.resumedAt) >= FreshnessTimeout {
-		o.retryBlocked()
+func (d *Dispatcher) expireFreshnessWait(now time.Time) {
+	if !d.fresh() && now.Sub(d.resumedAt) >= FreshnessTimeout {
+		d.retryBlocked()
 	}
 }
 
 // fresh reports whether the bundle in force is confirmed.
-func (o *Dispatcher) fresh() bool {
-	return o.bundle.Version > 0 && o.clock.Now().Before(o.freshUntil)
+func (d *Dispatcher) fresh() bool {
+	return d.bundle.Version > 0 && d.clock.Now().Before(d.freshUntil)
 }
 
 // send adds the effect of sending msg to an agent.
-func (o *Dispatcher) send(agent string, msg any) {
-	o.counts.Messages++
-	o.effects = append(o.effects, Send{To: agent, Msg: msg})
+func (d *Dispatcher) send(agent string, msg any) {
+	d.counts.Messages++
+	d.effects = append(d.effects, Send{To: agent, Msg: msg})
 }
 
 // reply adds the effect of answering w. The zero Waiter is ignored.
-func (o *Dispatcher) reply(w Waiter, a courier.Answer) {
+func (d *Dispatcher) reply(w Waiter, a courier.Answer) {
 	if w == 0 {
 		return
 	}
-	a.BundleVersion = o.bundle.Version
-	a.Entry = o.cfg.Entry
-	o.effects = append(o.effects, Reply{Waiter: w, Answer: a})
+	a.BundleVersion = d.bundle.Version
+	a.Entry = d.cfg.Entry
+	d.effects = append(d.effects, Reply{Waiter: w, Answer: a})
 }
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -14,19 +14,21 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// harness is an owner with agents that answer as told.
+// harness is a Dispatcher with simulated agents, which answer claims and run the tasks
+// that they are sent.
 type harness struct {
-	clock   *clockwork.FakeClock
-	owner   *Dispatcher
-	slots   int
-	seen    map[string]uint64
-	running map[string][]courier.StartTask
-	replies map[Waiter]courier.Answer
-	waiter  Waiter
-	// forbidden is what agents report as answered NotRun.
+	clock      *clockwork.FakeClock
+	dispatcher *Dispatcher
+	slots      int
+	lastNumber map[string]uint64
+	running    map[string][]courier.StartTask
+	replies    map[Waiter]courier.Answer
+	lastWaiter Waiter
+	// forbidden is what the agents report as answered NotRun.
 	forbidden []courier.Forbidden
 }
 
+// testBundle returns a bundle with one service and one team.
 func testBundle() approver.Bundle {
 	return approver.Bundle{
 		Version:  1,
@@ -36,118 +38,122 @@
 	}
 }
 
+// newHarness returns a harness whose Dispatcher serves all partitions and is linked to
+// the agents.
 func newHarness(agents, slots int) *harness {
 	clock := clockwork.NewFakeClock()
-	b := &harness{
-		clock:   clock,
-		owner:   NewDispatcher(clock, Config{Entry: "entry-1", Seed: 1}),
-		slots:   slots,
-		seen:    make(map[string]uint64),
-		running: make(map[string][]courier.StartTask),
-		replies: make(map[Waiter]courier.Answer),
+	h := &harness{
+		clock:      clock,
+		dispatcher: NewDispatcher(clock, Config{Entry: "entry-1", Seed: 1}),
+		slots:      slots,
+		lastNumber: make(map[string]uint64),
+		running:    make(map[string][]courier.StartTask),
+		replies:    make(map[Waiter]courier.Answer),
 	}
-	b.owner.SetRosterComplete()
-	b.owner.SetView([]string{"entry-1"}, nil)
-	b.owner.SetBundle(testBundle(), clock.Now().Add(time.Hour))
+	h.dispatcher.SetRosterComplete()
+	h.dispatcher.SetView([]string{"entry-1"}, nil)
+	h.dispatcher.SetBundle(testBundle(), clock.Now().Add(time.Hour))
 	for i := range agents {
-		b.owner.AgentLinkUp(b.announce(fmt.Sprintf("agent-%d", i)))
+		h.dispatcher.AgentLinkUp(h.announce(fmt.Sprintf("agent-%d", i)))
 	}
-	b.applyEffects()
-	return b
+	h.applyEffects()
+	return h
 }
 
-func (b *harness) announce(name string) courier.Announce {
+func (h *harness) announce(name string) courier.Announce {
 	return courier.Announce{
-		Agent: name, Incarnation: name, Slots: b.slots, Services: []string{"quote"},
-		LinkNumber: 1, Load: b.load(name),
+		Agent: name, Incarnation: name, Slots: h.slots, Services: []string{"quote"},
+		LinkNumber: 1, Load: h.load(name),
 	}
 }
 
-func (b *harness) load(name string) courier.Load {
-	free := b.slots - len(b.running[name])
-	return courier.Load{Free: free, Mine: free, Seen: b.seen[name]}
+func (h *harness) load(name string) courier.Load {
+	free := h.slots - len(h.running[name])
+	return courier.Load{Free: free, Mine: free, Seen: h.lastNumber[name]}
 }
 
-// applyEffects carries out the owner's effects: claims are answered and starts run.
-func (b *harness) applyEffects() {
-	for effects := b.owner.TakeEffects(); len(effects) > 0; effects = b.owner.TakeEffects() {
+// applyEffects carries out the effects of the Dispatcher: claims are answered and
+// starts run.
+func (h *harness) applyEffects() {
+	for effects := h.dispatcher.TakeEffects(); len(effects) > 0; effects = h.dispatcher.TakeEffects() {
 		for _, e := range effects {
 			switch e := e.(type) {
 			case Reply:
-				b.replies[e.Waiter] = e.Answer
+				h.replies[e.Waiter] = e.Answer
 			case Send:
-				b.receive(e.To, e.Msg)
+				h.receive(e.To, e.Msg)
 			}
 		}
 	}
 }
 
-func (b *harness) receive(name string, msg any) {
+// receive handles a message to an agent.
+func (h *harness) receive(name string, msg any) {
 	switch m := msg.(type) {
 	case courier.Claim:
-		b.owner.HandleClaimReply(name, 1, courier.ClaimReply{
-			Number: m.Number, Term: m.Term, Partitions: m.Partitions, Load: b.load(name), Forbidden: b.forbidden,
+		h.dispatcher.HandleClaimReply(name, 1, courier.ClaimReply{
+			Number: m.Number, Term: m.Term, Partitions: m.Partitions, Load: h.load(name), Forbidden: h.forbidden,
 		})
 	case courier.Forbid:
-		b.owner.HandleForbidden(name, 1, courier.Forbidden{Job: m.Job, Attempt: m.Attempt})
+		h.dispatcher.HandleForbidden(name, 1, courier.Forbidden{Job: m.Job, Attempt: m.Attempt})
 	case courier.Start:
-		b.running[name] = append(b.running[name], m.Tasks...)
-		b.seen[name] = m.Tasks[len(m.Tasks)-1].Number
+		h.running[name] = append(h.running[name], m.Tasks...)
+		h.lastNumber[name] = m.Tasks[len(m.Tasks)-1].Number
 	}
 }
 
 // finish ends the oldest task of an agent and reports whether there was one.
-func (b *harness) finish(name string, outcome courier.Outcome) bool {
-	list := b.running[name]
+func (h *harness) finish(name string, outcome courier.Outcome) bool {
+	list := h.running[name]
 	if len(list) == 0 {
 		return false
 	}
-	b.running[name] = list[1:]
+	h.running[name] = list[1:]
 	rec := courier.Record{Task: list[0].Task, Outcome: outcome, Result: json.RawMessage(`"ok"`)}
-	b.owner.HandleFinished(name, 1, courier.Finished{Records: []courier.Record{rec}, Load: b.load(name)})
-	b.applyEffects()
+	h.dispatcher.HandleFinished(name, 1, courier.Finished{Records: []courier.Record{rec}, Load: h.load(name)})
+	h.applyEffects()
 	return true
 }
 
 // submit submits a job of n tasks and returns its waiter.
-func (b *harness) submit(key string, n int, deadline time.Duration) Waiter {
-	b.waiter++
-	s := courier.Submission{Team: "team", Key: key, Service: "quote", Attempt: 1, Deadline: b.clock.Now().Add(deadline)}
+func (h *harness) submit(key string, n int, deadline time.Duration) Waiter {
+	h.lastWaiter++
+	s := courier.Submission{Team: "team", Key: key, Service: "quote", Attempt: 1, Deadline: h.clock.Now().Add(deadline)}
 	for range n {
 		s.Tasks = append(s.Tasks, courier.Task{Payload: json.RawMessage(`{"Millis":100}`)})
 	}
-	b.owner.Submit(Request{Submission: s, Digest: 1, Waiter: b.waiter})
-	b.applyEffects()
-	return b.waiter
+	h.dispatcher.Submit(Request{Submission: s, Digest: 1, Waiter: h.lastWaiter})
+	h.applyEffects()
+	return h.lastWaiter
 }
 
 func TestFailingAgentIsEjected(t *testing.T) {
-	b := newHarness(10, 4)
-	taken := 0
+	h := newHarness(10, 4)
+	started := 0
 	for i := range 40 {
-		b.submit(fmt.Sprintf("job-%d", i), 10, 10*time.Second)
-		for b.finish("agent-0", courier.Errored) {
-			taken++
+		h.submit(fmt.Sprintf("job-%d", i), 10, 10*time.Second)
+		for h.finish("agent-0", courier.Errored) {
+			started++
 		}
 		for a := 1; a < 10; a++ {
-			for b.finish(fmt.Sprintf("agent-%d", a), courier.Succeeded) {
+			for h.finish(fmt.Sprintf("agent-%d", a), courier.Succeeded) {
 			}
 		}
 	}
-	require.Less(t, taken, 20, "tasks that the failing agent has taken")
+	require.Less(t, started, 20, "tasks sent to the failing agent")
 }
 
 func TestNeverMoreThanTheShareIsEjected(t *testing.T) {
-	b := newHarness(10, 4)
+	h := newHarness(10, 4)
 	for i := range 40 {
-		b.submit(fmt.Sprintf("job-%d", i), 20, 10*time.Second)
+		h.submit(fmt.Sprintf("job-%d", i), 20, 10*time.Second)
 		for a := range 10 {
-			for b.finish(fmt.Sprintf("agent-%d", a), courier.Errored) {
+			for h.finish(fmt.Sprintf("agent-%d", a), courier.Errored) {
 			}
 		}
 	}
 	ejected := 0
-	for _, a := range b.owner.Dump().Agents {
+	for _, a := range h.dispatcher.Dump().Agents {
 		if a.Ejected {
 			ejected++
 		}
@@ -156,10 +162,10 @@
 }
 
 func TestOverloadIsRefusedAtOnceWithGrowingRetryAfter(t *testing.T) {
-	b := newHarness(1, 1)
-	b.submit("long", 50, 10*time.Second)
-	first := b.replies[b.submit("first", 10, time.Second)]
-	second := b.replies[b.submit("second", 10, time.Second)]
+	h := newHarness(1, 1)
+	h.submit("long", 50, 10*time.Second)
+	first := h.replies[h.submit("first", 10, time.Second)]
+	second := h.replies[h.submit("second", 10, time.Second)]
 	require.Equal(t, courier.NotRun, first.State)
 	require.Equal(t, courier.ReasonOverload, first.Reason)
 	backlog := 49 * 100 * time.Millisecond
@@ -169,162 +175,167 @@
 }
 
 func TestJobThatNoWorkerRunsIsRefusedAtOnce(t *testing.T) {
-	b := newHarness(0, 1)
-	a := b.replies[b.submit("job", 1, time.Second)]
+	h := newHarness(0, 1)
+	a := h.replies[h.submit("job", 1, time.Second)]
 	require.Equal(t, courier.NotRun, a.State)
 	require.Equal(t, courier.ReasonNoWorker, a.Reason)
 }
 
 func TestRefusalsByTheUpstreamSpendABudget(t *testing.T) {
-	b := newHarness(2, 8)
-	w := b.submit("job", 4, 10*time.Second)
+	h := newHarness(2, 8)
+	w := h.submit("job", 4, 10*time.Second)
 	refusals := 0
 	for range 1000 {
 		for _, name := range []string{"agent-0", "agent-1"} {
-			list := b.running[name]
+			list := h.running[name]
 			if len(list) == 0 {
 				continue
 			}
-			b.running[name] = list[1:]
+			h.running[name] = list[1:]
 			refusals++
-			b.owner.HandleRefuse(name, 1, courier.Refuse{
-				Number: list[0].Number, Task: list[0].Task, Reason: courier.RefusedByUpstream, Load: b.load(name),
+			h.dispatcher.HandleRefuse(name, 1, courier.Refuse{
+				Number: list[0].Number, Task: list[0].Task, Reason: courier.RefusedByUpstream, Load: h.load(name),
 			})
-			b.applyEffects()
+			h.applyEffects()
 		}
 	}
 	require.Less(t, refusals, 20)
-	require.Contains(t, b.replies, w, "the job is given up at once")
+	require.Contains(t, h.replies, w, "the job is aborted at once")
 }
 
-// TestRefusalByTheUpstreamIsHeardAfterTheLinkWasReplaced has a task on record as the link breaks that the upstream refuses later.
-func TestRefusalByTheUpstreamIsHeardAfterTheLinkWasReplaced(t *testing.T) {
-	b := newHarness(1, 1)
-	w := b.submit("job", 1, 10*time.Second)
-	sent := b.running["agent-0"][0]
-	b.owner.AgentLinkDown("agent-0", 1)
-	an := b.announce("agent-0")
+// TestRefusalByTheUpstreamIsProcessedAfterTheLinkWasReplaced guards against ignoring a
+// refusal by the upstream of a task that was on record when the link to the agent
+// ended: on the new link, the task is known only from the record.
+func TestRefusalByTheUpstreamIsProcessedAfterTheLinkWasReplaced(t *testing.T) {
+	h := newHarness(1, 1)
+	w := h.submit("job", 1, 10*time.Second)
+	sent := h.running["agent-0"][0]
+	h.dispatcher.AgentLinkDown("agent-0", 1)
+	an := h.announce("agent-0")
 	an.LinkNumber = 2
-	b.owner.AgentLinkUp(an)
-	for _, e := range b.owner.TakeEffects() {
+	h.dispatcher.AgentLinkUp(an)
+	for _, e := range h.dispatcher.TakeEffects() {
 		if m, ok := e.(Send).Msg.(courier.Claim); ok {
-			b.owner.HandleClaimReply("agent-0", 2, courier.ClaimReply{
-				Number: m.Number, Term: m.Term, Partitions: m.Partitions, Load: b.load("agent-0"),
+			h.dispatcher.HandleClaimReply("agent-0", 2, courier.ClaimReply{
+				Number: m.Number, Term: m.Term, Partitions: m.Partitions, Load: h.load("agent-0"),
 				Records: []courier.Record{{Task: sent.Task, Digest: 1, Outcome: courier.Running}},
 			})
 		}
 	}
-	b.running["agent-0"] = nil
-	b.owner.HandleRefuse("agent-0", 2, courier.Refuse{
-		Number: sent.Number, Task: sent.Task, Reason: courier.RefusedByUpstream, Load: b.load("agent-0"),
+	h.running["agent-0"] = nil
+	h.dispatcher.HandleRefuse("agent-0", 2, courier.Refuse{
+		Number: sent.Number, Task: sent.Task, Reason: courier.RefusedByUpstream, Load: h.load("agent-0"),
 	})
-	b.applyEffects()
-	require.Equal(t, courier.NotRun, b.replies[w].State, "the retry budget is spent")
+	h.applyEffects()
+	require.Equal(t, courier.NotRun, h.replies[w].State, "the retry budget is spent")
 }
 
-// TestResubmissionOfAForgottenJobIsNotAnsweredNotRun sends a job again that has completed and is past its deadline.
-func TestResubmissionOfAForgottenJobIsNotAnsweredNotRun(t *testing.T) {
-	b := newHarness(1, 1)
+// TestResubmissionOfAnExpiredJobIsNotAnsweredNotRun submits a completed job again
+// after its deadline, when its answer has expired. NotRun would be wrong, since the
+// tasks have run.
+func TestResubmissionOfAnExpiredJobIsNotAnsweredNotRun(t *testing.T) {
+	h := newHarness(1, 1)
 	s := courier.Submission{
-		Team: "team", Key: "job", Service: "quote", Attempt: 1, Deadline: b.clock.Now().Add(time.Second),
+		Team: "team", Key: "job", Service: "quote", Attempt: 1, Deadline: h.clock.Now().Add(time.Second),
 		Tasks: []courier.Task{{Payload: json.RawMessage(`{}`)}},
 	}
-	b.owner.Submit(Request{Submission: s, Digest: 1, Waiter: 1})
-	b.applyEffects()
-	require.True(t, b.finish("agent-0", courier.Succeeded))
-	require.Equal(t, courier.Complete, b.replies[1].State)
-	b.clock.Advance(time.Second + AnswerRetention)
-	b.owner.Tick()
+	h.dispatcher.Submit(Request{Submission: s, Digest: 1, Waiter: 1})
+	h.applyEffects()
+	require.True(t, h.finish("agent-0", courier.Succeeded))
+	require.Equal(t, courier.Complete, h.replies[1].State)
+	h.clock.Advance(time.Second + AnswerRetention)
+	h.dispatcher.Tick()
 	s.Attempt = 2
-	b.owner.Submit(Request{Submission: s, Digest: 1, Waiter: 2})
-	b.applyEffects()
-	require.Equal(t, courier.Failed, b.replies[2].State)
-	require.Equal(t, []int{0}, b.replies[2].MayHaveRun)
+	h.dispatcher.Submit(Request{Submission: s, Digest: 1, Waiter: 2})
+	h.applyEffects()
+	require.Equal(t, courier.Failed, h.replies[2].State)
+	require.Equal(t, []int{0}, h.replies[2].MayHaveRun)
 }
 
-// TestResumedOwnerHonoursARefusal wakes an owner with a queued job that its
-// successor has answered NotRun meanwhile.
+// TestResumedOwnerHonoursARefusal guards against an owner that resumes after a pause
+// and starts a queued job that its successor has answered NotRun meanwhile.
 func TestResumedOwnerHonoursARefusal(t *testing.T) {
-	b := newHarness(1, 1)
-	b.submit("running", 1, 30*time.Second)
-	w := b.submit("queued", 1, 30*time.Second)
-	b.forbidden = []courier.Forbidden{{Job: "team/queued", Attempt: 1}}
-	b.clock.Advance(2 * PauseThreshold)
-	b.owner.Tick()
-	b.applyEffects()
-	b.finish("agent-0", courier.Succeeded)
-	require.Equal(t, courier.NotRun, b.replies[w].State)
-	require.Empty(t, b.running["agent-0"])
+	h := newHarness(1, 1)
+	h.submit("running", 1, 30*time.Second)
+	w := h.submit("queued", 1, 30*time.Second)
+	h.forbidden = []courier.Forbidden{{Job: "team/queued", Attempt: 1}}
+	h.clock.Advance(2 * PauseThreshold)
+	h.dispatcher.Tick()
+	h.applyEffects()
+	h.finish("agent-0", courier.Succeeded)
+	require.Equal(t, courier.NotRun, h.replies[w].State)
+	require.Empty(t, h.running["agent-0"])
 }
 
-func TestWhatTheBundleDoesNotAllowIsNamed(t *testing.T) {
-	b := newHarness(1, 1)
+func TestViolationOfTheBundleIsNamedInTheAnswer(t *testing.T) {
+	h := newHarness(1, 1)
 	bundle := testBundle()
 	bundle.Version = 2
 	bundle.Services[0].TaskLimit = 2
-	b.owner.SetBundle(bundle, b.clock.Now().Add(time.Hour))
-	many := b.replies[b.submit("many", 3, time.Second)]
+	h.dispatcher.SetBundle(bundle, h.clock.Now().Add(time.Hour))
+	many := h.replies[h.submit("many", 3, time.Second)]
 	require.Equal(t, courier.NotRun, many.State)
 	require.Contains(t, many.Detail, "Tasks: found 3, allowed up to 2")
-	s := courier.Submission{Team: "team", Key: "odd", Service: "odd", Attempt: 1, Deadline: b.clock.Now().Add(time.Second)}
-	b.owner.Submit(Request{Submission: s, Waiter: 99})
-	b.applyEffects()
-	require.Contains(t, b.replies[99].Detail, `Service: found "odd", allowed a service of bundle version 2`)
+	s := courier.Submission{Team: "team", Key: "odd", Service: "odd", Attempt: 1, Deadline: h.clock.Now().Add(time.Second)}
+	h.dispatcher.Submit(Request{Submission: s, Waiter: 99})
+	h.applyEffects()
+	require.Contains(t, h.replies[99].Detail, `Service: found "odd", allowed a service of bundle version 2`)
 }
 
-// TestCancellationWave cancels 1,000 waiting jobs: the slots stay in use for
-// others, and every caller is answered.
+// TestCancellationWave cancels 1,000 waiting jobs. No job may stay queued or
+// unfinished, so that the slots stay in use for others, and every caller is answered.
 func TestCancellationWave(t *testing.T) {
-	b := newHarness(2, 2)
+	h := newHarness(2, 2)
 	var waiters []Waiter
 	for i := range 1000 {
-		waiters = append(waiters, b.submit(fmt.Sprintf("job-%d", i), 1, 59*time.Second))
+		waiters = append(waiters, h.submit(fmt.Sprintf("job-%d", i), 1, 59*time.Second))
 	}
 	for i := range 1000 {
-		b.owner.Cancel(fmt.Sprintf("team/job-%d", i))
-		b.applyEffects()
+		h.dispatcher.Cancel(fmt.Sprintf("team/job-%d", i))
+		h.applyEffects()
 	}
 	for _, w := range waiters {
-		require.Contains(t, []courier.State{courier.NotRun, courier.Failed}, b.replies[w].State)
+		require.Contains(t, []courier.State{courier.NotRun, courier.Failed}, h.replies[w].State)
 	}
-	require.Zero(t, b.owner.Dump().WaitingTasks)
-	require.Zero(t, b.owner.Dump().Unfinished)
+	require.Zero(t, h.dispatcher.Dump().WaitingTasks)
+	require.Zero(t, h.dispatcher.Dump().Unfinished)
 }
 
-// BenchmarkTask measures one task from its submission to its answer, with
-// other agents idle and other jobs waiting.
-func BenchmarkTask(bm *testing.B) {
+// BenchmarkTask measures one task from its submission to its answer while other agents
+// are idle and other jobs wait.
+func BenchmarkTask(b *testing.B) {
 	for _, agents := range []int{11, 33, 110, 1100} {
 		for _, jobs := range []int{10, 1000, 10_000} {
-			bm.Run(fmt.Sprintf("agents=%d/waiting=%d", agents, jobs), func(bm *testing.B) {
-				b := newHarness(agents, 8)
+			b.Run(fmt.Sprintf("agents=%d/waiting=%d", agents, jobs), func(b *testing.B) {
+				h := newHarness(agents, 8)
 				for i := range jobs + agents*8 {
-					b.submit(fmt.Sprintf("job-%d", i), 1, 59*time.Second)
+					h.submit(fmt.Sprintf("job-%d", i), 1, 59*time.Second)
 				}
-				messages := b.owner.Counts().Messages
-				bm.ResetTimer()
-				for i := range bm.N {
-					b.submit(fmt.Sprintf("more-%d", i), 1, 59*time.Second)
-					b.finish(fmt.Sprintf("agent-%d", i%agents), courier.Succeeded)
+				messages := h.dispatcher.Counts().Messages
+				b.ResetTimer()
+				for i := range b.N {
+					h.submit(fmt.Sprintf("more-%d", i), 1, 59*time.Second)
+					h.finish(fmt.Sprintf("agent-%d", i%agents), courier.Succeeded)
 				}
-				bm.ReportMetric(float64(b.owner.Counts().Messages-messages)/float64(bm.N), "messages/op")
+				b.ReportMetric(float64(h.dispatcher.Counts().Messages-messages)/float64(b.N), "messages/op")
 			})
 		}
 	}
 }
 
-// BenchmarkMemory measures what an owner keeps for a finished job of one task.
-func BenchmarkMemory(bm *testing.B) {
-	b := newHarness(1, 1_000_000)
+// BenchmarkMemory measures the memory that a Dispatcher keeps for a finished job of one
+// task.
+func BenchmarkMemory(b *testing.B) {
+	h := newHarness(1, 1_000_000)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	for i := range bm.N {
-		b.submit(fmt.Sprintf("job-%d", i), 1, 59*time.Second)
-		b.finish("agent-0", courier.Succeeded)
+	for i := range b.N {
+		h.submit(fmt.Sprintf("job-%d", i), 1, 59*time.Second)
+		h.finish("agent-0", courier.Succeeded)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	bm.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(bm.N), "bytes/job")
-	runtime.KeepAlive(b)
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(b.N), "bytes/job")
+	runtime.KeepAlive(h)
 }
--- a/dispatcher/dump.go
+++ b/dispatcher/dump.go
@@ -44,23 +44,23 @@
 }
 
 // Dump returns the state of the Dispatcher.
-func (o *Dispatcher) Dump() Dump {
-	d := Dump{
-		Counts:        o.counts,
-		RefusedFor:    maps.Clone(o.refuseReasons),
-		Serving:       o.ServedPartitions(),
-		Jobs:          len(o.jobs),
-		WaitingTasks:  o.queue.tasks,
-		Slots:         o.fleet.totals.slots,
-		RosterCertain: !o.rosterCompleteAt.After(o.clock.Now()),
+func (d *Dispatcher) Dump() Dump {
+	dump := Dump{
+		Counts:        d.counts,
+		RefusedFor:    maps.Clone(d.refuseReasons),
+		Serving:       d.ServedPartitions(),
+		Jobs:          len(d.jobs),
+		WaitingTasks:  d.queue.tasks,
+		Slots:         d.fleet.totals.slots,
+		RosterCertain: !d.rosterCompleteAt.After(d.clock.Now()),
 	}
-	for _, j := range o.jobs {
+	for _, j := range d.jobs {
 		if !j.done {
-			d.Unfinished++
+			dump.Unfinished++
 		}
 	}
-	for _, a := range o.fleet.sorted() {
-		d.Agents = append(d.Agents, AgentDump{
+	for _, a := range d.fleet.sorted() {
+		dump.Agents = append(dump.Agents, AgentDump{
 			Agent:      a.ref.Agent,
 			DataCentre: a.dataCentre,
 			Linked:     a.linked,
@@ -74,8 +74,8 @@
 			Tasks:      len(a.tasks),
 		})
 	}
-	for ref := range o.fleet.unreachable {
-		d.Gone = append(d.Gone, ref)
+	for ref := range d.fleet.unreachable {
+		dump.Gone = append(dump.Gone, ref)
 	}
-	return d
+	return dump
 }
--- a/dispatcher/fleet.go
+++ b/dispatcher/fleet.go
@@ -117,22 +117,22 @@
 	usable := a.acceptsTasks() && !a.health.ejected
 	f.withFreeSlots.set(a, usable && a.free() > 0)
 	f.withPreferredSlots.set(a, usable && a.preferredFree() > 0)
-	now := agentCounts{tasks: len(a.tasks)}
+	counts := agentCounts{tasks: len(a.tasks)}
 	if a.acceptsTasks() {
-		now.slots = a.slots
+		counts.slots = a.slots
 	}
 	if usable {
-		now.free = max(0, a.free())
+		counts.free = max(0, a.free())
 	}
-	f.replaceCounts(a, now)
+	f.replaceCounts(a, counts)
 }
 
 // replaceCounts replaces an agent's contribution to the totals.
-func (f *fleet) replaceCounts(a *agent, now agentCounts) {
-	f.totals.slots += now.slots - a.countedInTotals.slots
-	f.totals.free += now.free - a.countedInTotals.free
-	f.totals.tasks += now.tasks - a.countedInTotals.tasks
-	a.countedInTotals = now
+func (f *fleet) replaceCounts(a *agent, counts agentCounts) {
+	f.totals.slots += counts.slots - a.countedInTotals.slots
+	f.totals.free += counts.free - a.countedInTotals.free
+	f.totals.tasks += counts.tasks - a.countedInTotals.tasks
+	a.countedInTotals = counts
 }
 
 // assign records that a task may be running at an agent.
@@ -155,15 +155,15 @@
 
 // set adds a to the set or removes it.
 func (s *agentSet) set(a *agent, in bool) {
-	i, there := s.index[a]
+	i, present := s.index[a]
 	switch {
-	case in && !there:
+	case in && !present:
 		if s.index == nil {
 			s.index = make(map[*agent]int)
 		}
 		s.index[a] = len(s.list)
 		s.list = append(s.list, a)
-	case !in && there:
+	case !in && present:
 		last := len(s.list) - 1
 		moved := s.list[last]
 		s.list[i] = moved
@@ -199,14 +199,15 @@
 
 // remove deletes an agent that cannot be reached, but keeps it until the given time as
 // one that may have records.
-func (f *fleet) remove(a *agent, until time.Time) {
+func (f *fleet) remove(a *agent, expiresAt time.Time) {
 	a.linked = false
 	f.update(a)
 	f.replaceCounts(a, agentCounts{})
 	delete(f.agents, a.ref.Agent)
-	f.unreachable[a.ref] = until
+	f.unreachable[a.ref] = expiresAt
 }
 
+// setOutDataCentres sets the data centres that are taken out of use.
 func (f *fleet) setOutDataCentres(dataCentres []string) {
 	f.outDataCentres = dataCentres
 	for _, a := range f.sorted() {
@@ -286,8 +287,8 @@
 // tick allows a probe to the agents whose ejection time is over, and drops the
 // unreachable agents that no longer count.
 func (f *fleet) tick(now time.Time) {
-	for ref, until := range f.unreachable {
-		if until.Before(now) {
+	for ref, expiresAt := range f.unreachable {
+		if expiresAt.Before(now) {
 			delete(f.unreachable, ref)
 		}
 	}
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -57,24 +57,24 @@
 // recordHealth records the outcome of a task at a. An agent that fails its tasks is
 // ejected, unless the share of ejected agents would then exceed the bundle's
 // EjectPercent.
-func (o *Dispatcher) recordHealth(a *agent, good bool) {
-	if good {
+func (d *Dispatcher) recordHealth(a *agent, succeeded bool) {
+	if succeeded {
 		a.health.recordSuccess()
-		o.fleet.update(a)
+		d.fleet.update(a)
 		return
 	}
 	if !a.health.recordFailure() {
 		return
 	}
 	ejected := 0
-	for _, b := range o.fleet.agents {
+	for _, b := range d.fleet.agents {
 		if b.health.ejected {
 			ejected++
 		}
 	}
-	if (ejected+1)*100 > len(o.fleet.agents)*o.bundle.Limits.EjectPercent {
+	if (ejected+1)*100 > len(d.fleet.agents)*d.bundle.Limits.EjectPercent {
 		return
 	}
-	a.health.eject(o.clock.Now())
-	o.fleet.update(a)
+	a.health.eject(d.clock.Now())
+	d.fleet.update(a)
 }
--- a/dispatcher/partition.go
+++ b/dispatcher/partition.go
@@ -15,8 +15,8 @@
 const (
 	// partitionNotOwned means that another entry owns the partition.
 	partitionNotOwned partitionState = iota
-	// partitionClaiming means that agents are being fenced. Requests are deferred until
-	// then.
+	// partitionClaiming means that agents are being fenced. Requests are deferred
+	// meanwhile.
 	partitionClaiming
 	// partitionServing means that this entry owns the partition.
 	partitionServing
@@ -46,40 +46,40 @@
 // SetView sets which entries own partitions, and which other entries are alive or may
 // be. Partitions that this entry is to own are claimed. Partitions that others are to
 // own are served until the others claim them.
-func (o *Dispatcher) SetView(view, peers []string) {
-	o.detectPause()
-	o.peers = slices.Clone(peers)
-	if slices.Equal(o.view, view) {
+func (d *Dispatcher) SetView(view, peers []string) {
+	d.detectPause()
+	d.peers = slices.Clone(peers)
+	if slices.Equal(d.view, view) {
 		return
 	}
-	o.view = slices.Clone(view)
-	var take []router.Partition
+	d.view = slices.Clone(view)
+	var toClaim []router.Partition
 	for p := range router.Partitions {
-		part := &o.partitions[p]
-		wanted := o.shouldOwn(router.Partition(p))
+		part := &d.partitions[p]
+		shouldBeOwned := d.shouldOwn(router.Partition(p))
 		switch {
-		case wanted && part.state == partitionNotOwned:
-			take = append(take, router.Partition(p))
-		case !wanted && part.state == partitionClaiming:
-			o.relinquish(router.Partition(p))
+		case shouldBeOwned && part.state == partitionNotOwned:
+			toClaim = append(toClaim, router.Partition(p))
+		case !shouldBeOwned && part.state == partitionClaiming:
+			d.relinquish(router.Partition(p))
 		}
 	}
-	o.claim(take)
+	d.claim(toClaim)
 }
 
 // shouldOwn reports whether this entry is to own p according to the view.
-func (o *Dispatcher) shouldOwn(p router.Partition) bool {
-	return router.Owner(p, o.view) == o.cfg.Entry
+func (d *Dispatcher) shouldOwn(p router.Partition) bool {
+	return router.Owner(p, d.view) == d.cfg.Entry
 }
 
 // Terms returns the highest known term of each partition.
-func (o *Dispatcher) Terms() []courier.Term { return slices.Clone(o.highestTerms[:]) }
+func (d *Dispatcher) Terms() []courier.Term { return slices.Clone(d.highestTerms[:]) }
 
 // ServedPartitions returns the number of partitions that are served.
-func (o *Dispatcher) ServedPartitions() int {
+func (d *Dispatcher) ServedPartitions() int {
 	n := 0
-	for i := range o.partitions {
-		if o.partitions[i].state == partitionServing {
+	for i := range d.partitions {
+		if d.partitions[i].state == partitionServing {
 			n++
 		}
 	}
@@ -88,110 +88,110 @@
 
 // reclaimPartitions claims all partitions held here again, and relinquishes those that
 // this entry is not to own.
-func (o *Dispatcher) reclaimPartitions() {
-	var again []router.Partition
-	for i := range o.partitions {
+func (d *Dispatcher) reclaimPartitions() {
+	var toClaim []router.Partition
+	for i := range d.partitions {
 		p := router.Partition(i)
-		if o.partitions[i].state == partitionNotOwned {
+		if d.partitions[i].state == partitionNotOwned {
 			continue
 		}
-		if o.shouldOwn(p) {
-			again = append(again, p)
+		if d.shouldOwn(p) {
+			toClaim = append(toClaim, p)
 		} else {
-			o.relinquish(p)
+			d.relinquish(p)
 		}
 	}
-	o.claim(again)
+	d.claim(toClaim)
 }
 
 // claim fences partitions at every agent with a term above all known ones.
-func (o *Dispatcher) claim(parts []router.Partition) {
+func (d *Dispatcher) claim(parts []router.Partition) {
 	if len(parts) == 0 {
 		return
 	}
-	o.counts.Claims++
-	term := courier.Term{Holder: o.cfg.Entry}
+	d.counts.Claims++
+	term := courier.Term{Holder: d.cfg.Entry}
 	for _, p := range parts {
-		term.Number = max(term.Number, o.highestTerms[p].Number)
+		term.Number = max(term.Number, d.highestTerms[p].Number)
 	}
 	term.Number++
-	now := o.clock.Now()
+	now := d.clock.Now()
 	for _, p := range parts {
-		part := &o.partitions[p]
+		part := &d.partitions[p]
 		part.state = partitionClaiming
 		part.term = term
 		part.claimedAt = now
 		part.claimRetryAt = time.Time{}
-		part.unfenced = o.agentsWithRecords()
-		o.highestTerms[p] = term
-		o.dropForbids(p)
+		part.unfenced = d.agentsWithRecords()
+		d.highestTerms[p] = term
+		d.dropForbids(p)
 	}
-	o.dequeueUnserved()
-	for _, a := range o.fleet.sorted() {
+	d.dequeueUnserved()
+	for _, a := range d.fleet.sorted() {
 		if a.linked {
-			o.sendClaim(a, courier.Claim{Term: term, Partitions: parts})
+			d.sendClaim(a, courier.Claim{Term: term, Partitions: parts})
 		}
 	}
-	o.finishClaims(now)
+	d.finishClaims(now)
 }
 
-func (o *Dispatcher) sendClaim(a *agent, c courier.Claim) {
+func (d *Dispatcher) sendClaim(a *agent, c courier.Claim) {
 	a.lastClaim++
 	c.Number = a.lastClaim
-	o.send(a.ref.Agent, c)
+	d.send(a.ref.Agent, c)
 }
 
 // dequeueUnserved removes the jobs of partitions that are not served from the queue.
-func (o *Dispatcher) dequeueUnserved() {
-	for _, j := range o.jobs {
-		if o.partitions[j.partition].state != partitionServing {
-			o.queue.removeJob(j)
+func (d *Dispatcher) dequeueUnserved() {
+	for _, j := range d.jobs {
+		if d.partitions[j.partition].state != partitionServing {
+			d.queue.removeJob(j)
 		}
 	}
 }
 
 // finishClaims begins to serve the partitions whose claim every known agent has
 // answered while the roster is complete, or whose claim has reached ClaimTimeout.
-func (o *Dispatcher) finishClaims(now time.Time) {
-	for i := range o.partitions {
-		part := &o.partitions[i]
+func (d *Dispatcher) finishClaims(now time.Time) {
+	for i := range d.partitions {
+		part := &d.partitions[i]
 		if part.state != partitionClaiming || !part.claimRetryAt.IsZero() {
 			continue
 		}
-		waited := now.Sub(part.claimedAt) >= ClaimTimeout
-		if waited || (!o.awaitsClaimReply(part) && !o.rosterCompleteAt.After(now)) {
-			o.startServing(router.Partition(i))
+		timedOut := now.Sub(part.claimedAt) >= ClaimTimeout
+		if timedOut || (!d.awaitsClaimReply(part) && !d.rosterCompleteAt.After(now)) {
+			d.startServing(router.Partition(i))
 		}
 	}
 }
 
-func (o *Dispatcher) startServing(p router.Partition) {
-	part := &o.partitions[p]
+func (d *Dispatcher) startServing(p router.Partition) {
+	part := &d.partitions[p]
 	part.state = partitionServing
-	o.resumePartition(p)
+	d.resumePartition(p)
 }
 
 // resumePartition continues the jobs and requests of a served partition that waited for
 // the claim, for an agent or for the bundle.
-func (o *Dispatcher) resumePartition(p router.Partition) {
-	part := &o.partitions[p]
+func (d *Dispatcher) resumePartition(p router.Partition) {
+	part := &d.partitions[p]
 	part.blocked = false
-	for _, j := range o.jobsOf(p) {
+	for _, j := range d.jobsOf(p) {
 		if !j.done && !j.queued {
-			o.resumeJob(j)
+			d.resumeJob(j)
 		}
 	}
-	parked := part.deferred
+	deferred := part.deferred
 	part.deferred = nil
-	for _, r := range parked {
-		o.admit(r)
+	for _, r := range deferred {
+		d.admit(r)
 	}
 }
 
 // jobsOf returns the jobs of a partition, by job identity.
-func (o *Dispatcher) jobsOf(p router.Partition) []*job {
+func (d *Dispatcher) jobsOf(p router.Partition) []*job {
 	var out []*job
-	for _, j := range o.jobs {
+	for _, j := range d.jobs {
 		if j.partition == p {
 			out = append(out, j)
 		}
@@ -203,10 +203,10 @@
 // retryBlocked decides again on what waits in the blocked partitions. It is called when
 // an agent has answered or has been removed, when the roster has become complete, and
 // when the bundle has been confirmed or the wait for it is over.
-func (o *Dispatcher) retryBlocked() {
-	for i := range o.partitions {
-		if part := &o.partitions[i]; part.state == partitionServing && part.blocked {
-			o.resumePartition(router.Partition(i))
+func (d *Dispatcher) retryBlocked() {
+	for i := range d.partitions {
+		if part := &d.partitions[i]; part.state == partitionServing && part.blocked {
+			d.resumePartition(router.Partition(i))
 		}
 	}
 }
@@ -214,85 +214,85 @@
 // resumeJob queues a job that was known here before the partition was claimed. The job
 // waits while an agent that may have started its tasks can still answer, and fails if
 // such an agent cannot be reached.
-func (o *Dispatcher) resumeJob(j *job) {
+func (d *Dispatcher) resumeJob(j *job) {
 	if j.waitingTasks == 0 {
 		return
 	}
-	if !o.mayMissRecords(j.partition) {
-		o.queue.add(j, j.waitingTasks)
+	if !d.mayMissRecords(j.partition) {
+		d.queue.add(j, j.waitingTasks)
 		return
 	}
-	if part := &o.partitions[j.partition]; o.awaitsClaimReply(part) {
+	if part := &d.partitions[j.partition]; d.awaitsClaimReply(part) {
 		part.blocked = true
 		return
 	}
-	o.fail(j, courier.ReasonOutcomeUnknown, "an agent that may have started tasks of this job cannot be asked")
+	d.fail(j, courier.ReasonOutcomeUnknown, "an agent that may have started tasks of this job cannot be asked")
 }
 
 // deferUntilFenced defers a request if the answer depends on an agent that may still
 // answer a claim, and reports whether it did.
-func (o *Dispatcher) deferUntilFenced(r Request) bool {
-	if !o.awaitsClaimReply(&o.partitions[router.PartitionOf(r.Submission.JobID())]) {
+func (d *Dispatcher) deferUntilFenced(r Request) bool {
+	if !d.awaitsClaimReply(&d.partitions[router.PartitionOf(r.Submission.JobID())]) {
 		return false
 	}
-	o.deferRequest(r)
+	d.deferRequest(r)
 	return true
 }
 
 // deferRequest keeps a request of a served partition until the partition is resumed.
-func (o *Dispatcher) deferRequest(r Request) {
-	part := &o.partitions[router.PartitionOf(r.Submission.JobID())]
+func (d *Dispatcher) deferRequest(r Request) {
+	part := &d.partitions[router.PartitionOf(r.Submission.JobID())]
 	part.blocked = true
 	part.deferred = append(part.deferred, r)
 }
 
 // retryClaims claims again the partitions that a rival claimed with a higher term, when
 // their delay is over.
-func (o *Dispatcher) retryClaims(now time.Time) {
-	var again []router.Partition
-	for i := range o.partitions {
-		part := &o.partitions[i]
+func (d *Dispatcher) retryClaims(now time.Time) {
+	var toClaim []router.Partition
+	for i := range d.partitions {
+		part := &d.partitions[i]
 		if part.state == partitionClaiming && !part.claimRetryAt.IsZero() && !now.Before(part.claimRetryAt) {
-			again = append(again, router.Partition(i))
+			toClaim = append(toClaim, router.Partition(i))
 		}
 	}
-	o.claim(again)
+	d.claim(toClaim)
 }
 
 // relinquish gives p up to the entry that has claimed it or is to own it. Its callers
 // are told to submit there.
-func (o *Dispatcher) relinquish(p router.Partition) {
-	part := &o.partitions[p]
+func (d *Dispatcher) relinquish(p router.Partition) {
+	part := &d.partitions[p]
 	part.state = partitionNotOwned
-	o.dropForbids(p)
-	for _, j := range o.jobsOf(p) {
-		o.dropJob(j)
+	d.dropForbids(p)
+	for _, j := range d.jobsOf(p) {
+		d.dropJob(j)
 	}
-	for id := range o.recoveredJobs {
+	for id := range d.recoveredJobs {
 		if router.PartitionOf(id) == p {
-			delete(o.recoveredJobs, id)
+			delete(d.recoveredJobs, id)
 		}
 	}
-	parked := part.deferred
+	deferred := part.deferred
 	part.deferred = nil
-	for _, r := range parked {
-		o.replyMoved(r.Waiter, p, false)
+	for _, r := range deferred {
+		d.replyMoved(r.Waiter, p, false)
 	}
 }
 
 // dropJob stops tracking a job whose partition another entry owns now.
-func (o *Dispatcher) dropJob(j *job) {
-	o.queue.removeJob(j)
-	delete(o.jobs, j.id)
+func (d *Dispatcher) dropJob(j *job) {
+	d.queue.removeJob(j)
+	delete(d.jobs, j.id)
 	j.done = true
 	for _, w := range sortedWaiters(j) {
-		delete(o.waiters, w)
-		o.replyMoved(w, j.partition, true)
+		delete(d.waiters, w)
+		d.replyMoved(w, j.partition, true)
 	}
 	for ref, ids := range j.sentTasksByAgent() {
-		if a := o.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
+		if a := d.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
 			for _, t := range ids {
-				o.fleet.unassign(a, t)
+				d.fleet.unassign(a, t)
 			}
 		}
 	}
@@ -300,36 +300,36 @@
 
 // replyMoved directs a caller to the owner of p. admitted tells whether the job was
 // admitted here.
-func (o *Dispatcher) replyMoved(w Waiter, p router.Partition, admitted bool) {
-	o.reply(w, courier.Answer{State: courier.Moved, Owner: router.Owner(p, o.view), Admitted: admitted})
+func (d *Dispatcher) replyMoved(w Waiter, p router.Partition, admitted bool) {
+	d.reply(w, courier.Answer{State: courier.Moved, Owner: router.Owner(p, d.view), Admitted: admitted})
 }
 
 // relinquishTo gives p up to a higher term, and schedules another claim if this entry
 // should own it and is not stopping.
-func (o *Dispatcher) relinquishTo(p router.Partition, t courier.Term) {
-	if o.highestTerms[p].Less(t) {
-		o.highestTerms[p] = t
+func (d *Dispatcher) relinquishTo(p router.Partition, t courier.Term) {
+	if d.highestTerms[p].Less(t) {
+		d.highestTerms[p] = t
 	}
-	part := &o.partitions[p]
+	part := &d.partitions[p]
 	if part.state == partitionNotOwned || !part.term.Less(t) {
 		return
 	}
-	o.relinquish(p)
-	if !o.shouldOwn(p) || o.stopping {
+	d.relinquish(p)
+	if !d.shouldOwn(p) || d.stopping {
 		return
 	}
 	part.state = partitionClaiming
-	jitter := time.Duration(o.rng.Int64N(int64(ClaimRetryDelay)))
-	part.claimRetryAt = o.clock.Now().Add(ClaimRetryDelay + jitter)
+	jitter := time.Duration(d.rng.Int64N(int64(ClaimRetryDelay)))
+	part.claimRetryAt = d.clock.Now().Add(ClaimRetryDelay + jitter)
 }
 
 // HandleSuperseded handles an agent's message that another entry has claimed
 // partitions.
-func (o *Dispatcher) HandleSuperseded(s courier.Superseded) {
-	o.detectPause()
+func (d *Dispatcher) HandleSuperseded(s courier.Superseded) {
+	d.detectPause()
 	for _, p := range s.Partitions {
 		if p >= 0 && p < router.Partitions {
-			o.relinquishTo(p, s.Term)
+			d.relinquishTo(p, s.Term)
 		}
 	}
 }
--- a/dispatcher/queue.go
+++ b/dispatcher/queue.go
@@ -52,8 +52,8 @@
 }
 
 // Key implements Order.
-func (o VirtualFinish) Key(j QueuedJob) int64 {
-	return j.ArrivedNanos + int64(j.TasksLeft)*int64(o.PerTask)
+func (v VirtualFinish) Key(j QueuedJob) int64 {
+	return j.ArrivedNanos + int64(j.TasksLeft)*int64(v.PerTask)
 }
 
 // queue holds the jobs with waiting tasks in one heap for each service, so that a
--- a/dispatcher/roster.go
+++ b/dispatcher/roster.go
@@ -11,46 +11,46 @@
 
 // MergeRoster adds the agents that a peer uses. Those without a link here may have
 // records, so they count as unfenced until they answer a claim, and they count for as
-// long as they do at any peer. A complete roster (certain) makes this one complete,
-// provided that the peer gave it at or after asOf, a time of this clock, and this
-// process was not paused since.
-func (o *Dispatcher) MergeRoster(roster []courier.RosterAgent, certain bool, asOf time.Time) {
-	o.detectPause()
-	now := o.clock.Now()
+// long as they do at any peer. A complete roster makes this one complete, provided that
+// the peer gave it at or after asOf, a time of this clock, and this process was not
+// paused since.
+func (d *Dispatcher) MergeRoster(roster []courier.RosterAgent, complete bool, asOf time.Time) {
+	d.detectPause()
+	now := d.clock.Now()
 	for _, r := range roster {
 		ref := r.AgentRef
-		if a := o.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
+		if a := d.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
 			continue
 		}
-		old, ok := o.fleet.unreachable[ref]
-		if until := now.Add(UnreachableAgentRetention - r.Lapsed); until.After(old) {
-			o.fleet.unreachable[ref] = until
+		oldExpiry, known := d.fleet.unreachable[ref]
+		if expiresAt := now.Add(UnreachableAgentRetention - r.Lapsed); expiresAt.After(oldExpiry) {
+			d.fleet.unreachable[ref] = expiresAt
 		}
-		if !ok {
-			o.addUnfenced(ref)
+		if !known {
+			d.addUnfenced(ref)
 		}
 	}
-	if certain && !asOf.Before(o.resumedAt) {
-		o.SetRosterComplete()
+	if complete && !asOf.Before(d.resumedAt) {
+		d.SetRosterComplete()
 	}
 }
 
 // SetRosterComplete records that earlier owners used no agents other than those that
 // are known here or listed as unreachable.
-func (o *Dispatcher) SetRosterComplete() {
-	now := o.clock.Now()
-	if !o.rosterCompleteAt.After(now) {
+func (d *Dispatcher) SetRosterComplete() {
+	now := d.clock.Now()
+	if !d.rosterCompleteAt.After(now) {
 		return
 	}
-	o.rosterCompleteAt = now
-	o.finishClaims(now)
-	o.retryBlocked()
+	d.rosterCompleteAt = now
+	d.finishClaims(now)
+	d.retryBlocked()
 }
 
 // addUnfenced adds an agent to the unfenced ones of every partition owned here.
-func (o *Dispatcher) addUnfenced(ref courier.AgentRef) {
-	for p := range o.partitions {
-		if part := &o.partitions[p]; part.state != partitionNotOwned {
+func (d *Dispatcher) addUnfenced(ref courier.AgentRef) {
+	for p := range d.partitions {
+		if part := &d.partitions[p]; part.state != partitionNotOwned {
 			part.unfenced[ref] = struct{}{}
 		}
 	}
@@ -58,21 +58,21 @@
 
 // Roster lists the agents that may have records of tasks started from here, and reports
 // whether the list is complete.
-func (o *Dispatcher) Roster() ([]courier.RosterAgent, bool) {
+func (d *Dispatcher) Roster() ([]courier.RosterAgent, bool) {
 	var out []courier.RosterAgent
-	for _, a := range o.fleet.sorted() {
+	for _, a := range d.fleet.sorted() {
 		if a.inAllRosters {
 			out = append(out, courier.RosterAgent{AgentRef: a.ref})
 		}
 	}
-	now := o.clock.Now()
-	for ref, until := range o.fleet.unreachable {
-		if until.After(now) {
-			out = append(out, courier.RosterAgent{AgentRef: ref, Lapsed: UnreachableAgentRetention - until.Sub(now)})
+	now := d.clock.Now()
+	for ref, expiresAt := range d.fleet.unreachable {
+		if expiresAt.After(now) {
+			out = append(out, courier.RosterAgent{AgentRef: ref, Lapsed: UnreachableAgentRetention - expiresAt.Sub(now)})
 		}
 	}
 	slices.SortFunc(out, compareRefs)
-	return out, !o.rosterCompleteAt.After(now)
+	return out, !d.rosterCompleteAt.After(now)
 }
 
 func compareRefs(a, b courier.RosterAgent) int {
@@ -81,12 +81,12 @@
 
 // agentsWithRecords returns the agents that may have records: the known and the
 // unreachable ones.
-func (o *Dispatcher) agentsWithRecords() map[courier.AgentRef]struct{} {
-	out := make(map[courier.AgentRef]struct{}, len(o.fleet.agents)+len(o.fleet.unreachable))
-	for _, a := range o.fleet.agents {
+func (d *Dispatcher) agentsWithRecords() map[courier.AgentRef]struct{} {
+	out := make(map[courier.AgentRef]struct{}, len(d.fleet.agents)+len(d.fleet.unreachable))
+	for _, a := range d.fleet.agents {
 		out[a.ref] = struct{}{}
 	}
-	for ref := range o.fleet.unreachable {
+	for ref := range d.fleet.unreachable {
 		out[ref] = struct{}{}
 	}
 	return out
@@ -94,9 +94,9 @@
 
 // awaitsClaimReply reports whether an unfenced agent is known here, so that it may
 // still answer the claim.
-func (o *Dispatcher) awaitsClaimReply(part *partition) bool {
+func (d *Dispatcher) awaitsClaimReply(part *partition) bool {
 	for ref := range part.unfenced {
-		if a := o.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
+		if a := d.fleet.agents[ref.Agent]; a != nil && a.ref == ref {
 			return true
 		}
 	}
@@ -105,17 +105,17 @@
 
 // mayMissRecords reports whether tasks of p may have started whose records are not
 // known here. It drops the unfenced agents that no longer count.
-func (o *Dispatcher) mayMissRecords(p router.Partition) bool {
-	if o.rosterCompleteAt.After(o.clock.Now()) {
+func (d *Dispatcher) mayMissRecords(p router.Partition) bool {
+	if d.rosterCompleteAt.After(d.clock.Now()) {
 		return true
 	}
-	part := &o.partitions[p]
+	part := &d.partitions[p]
 	for ref := range part.unfenced {
-		a := o.fleet.agents[ref.Agent]
+		a := d.fleet.agents[ref.Agent]
 		if a != nil && a.ref == ref {
 			return true
 		}
-		if _, ok := o.fleet.unreachable[ref]; ok {
+		if _, ok := d.fleet.unreachable[ref]; ok {
 			return true
 		}
 		delete(part.unfenced, ref)
--- a/starter/claim.go
+++ b/starter/claim.go
@@ -22,7 +22,7 @@
 // started in them.
 func (l *Ledger) Claim(entry string, c courier.Claim) {
 	reply := courier.ClaimReply{Number: c.Number, Term: c.Term}
-	lost := make(map[string][]router.Partition)
+	superseded := make(map[string][]router.Partition)
 	for _, p := range c.Partitions {
 		if p < 0 || p >= router.Partitions {
 			continue
@@ -33,7 +33,7 @@
 			continue
 		}
 		if old.Holder != c.Term.Holder && old.Holder != "" {
-			lost[old.Holder] = append(lost[old.Holder], p)
+			superseded[old.Holder] = append(superseded[old.Holder], p)
 		}
 		l.terms[p] = c.Term
 		reply.Partitions = append(reply.Partitions, p)
@@ -42,8 +42,8 @@
 	reply.Forbidden = l.forbiddenIn(reply.Partitions)
 	reply.Load = l.load(entry)
 	l.send(entry, reply)
-	for _, holder := range slices.Sorted(maps.Keys(lost)) {
-		l.send(holder, courier.Superseded{Term: c.Term, Partitions: lost[holder]})
+	for _, holder := range slices.Sorted(maps.Keys(superseded)) {
+		l.send(holder, courier.Superseded{Term: c.Term, Partitions: superseded[holder]})
 	}
 }
 
--- a/starter/offer.go
+++ b/starter/offer.go
@@ -82,14 +82,14 @@
 func (l *Ledger) longestWaiting() string {
 	now := l.clock.Now()
 	var best string
-	var since time.Time
+	var dueAt time.Time
 	for id, e := range l.entries {
 		d := e.demand
 		if d.waiting <= 0 || !d.expiresAt.After(now) {
 			continue
 		}
-		if best == "" || d.dueAt.Before(since) || (d.dueAt.Equal(since) && id < best) {
-			best, since = id, d.dueAt
+		if best == "" || d.dueAt.Before(dueAt) || (d.dueAt.Equal(dueAt) && id < best) {
+			best, dueAt = id, d.dueAt
 		}
 	}
 	return best
--- a/starter/slot.go
+++ b/starter/slot.go
@@ -12,15 +12,15 @@
 	inUse []bool
 }
 
-// take takes a free slot and returns its number. It prefers the slots below n for which
-// owned is true. If all slots are in use, it adds one.
-func (s *slotSet) take(owned func(slot int) bool, n int) int {
+// take marks a free slot as in use and returns its number. It prefers the slots below n
+// for which preferred is true. If all slots are in use, it adds one.
+func (s *slotSet) take(preferred func(slot int) bool, n int) int {
 	s.grow(n)
 	fallback := -1
 	for i := range s.inUse {
 		switch {
 		case s.inUse[i]:
-		case i < n && owned(i):
+		case i < n && preferred(i):
 			s.inUse[i] = true
 			return i
 		case fallback < 0:
@@ -37,12 +37,12 @@
 
 func (s *slotSet) release(slot int) { s.inUse[slot] = false }
 
-// free counts the free slots below n for which owned is true.
-func (s *slotSet) free(owned func(slot int) bool, n int) int {
+// free counts the free slots below n for which preferred is true.
+func (s *slotSet) free(preferred func(slot int) bool, n int) int {
 	s.grow(n)
 	count := 0
 	for i := range n {
-		if !s.inUse[i] && owned(i) {
+		if !s.inUse[i] && preferred(i) {
 			count++
 		}
 	}
--- a/starter/start.go
+++ b/starter/start.go
@@ -9,10 +9,10 @@
 // record already is answered from it.
 func (l *Ledger) Start(entry string, s courier.Start) {
 	var refused []refusedStart
-	var known []courier.Record
+	var started []courier.Record
 	e := l.entries[entry]
 	current := e != nil && e.link == s.LinkNumber
-	slot, held := l.takeOffer(entry, s.Offer)
+	slot, offered := l.takeOffer(entry, s.Offer)
 	for _, t := range s.Tasks {
 		if current && t.Number <= e.lastNumber {
 			continue
@@ -22,21 +22,21 @@
 		}
 		p := router.PartitionOf(t.Task.Job)
 		if r := l.records[p][t.Task]; r != nil {
-			known = append(known, r.Record)
+			started = append(started, r.Record)
 			continue // A task that has started is never run again.
 		}
-		if reason := l.refuseReason(e, s, t, p, held); reason != "" {
+		if reason := l.refuseReason(e, s, t, p, offered); reason != "" {
 			refused = append(refused, refusedStart{t, reason, l.terms[p]})
 			continue
 		}
-		if !held {
+		if !offered {
 			slot = l.slots.take(l.preferredSlots(entry), l.upstream.Slots)
 		}
-		held = false
+		offered = false
 		l.recordStart(t, p, slot)
 	}
-	l.replyToStart(entry, refused, known)
-	if held {
+	l.replyToStart(entry, refused, started)
+	if offered {
 		l.slots.release(slot)
 		l.offerFree()
 	}
@@ -51,7 +51,7 @@
 
 // replyToStart reports the refused tasks and the records of the tasks that had started
 // before.
-func (l *Ledger) replyToStart(entry string, refused []refusedStart, known []courier.Record) {
+func (l *Ledger) replyToStart(entry string, refused []refusedStart, started []courier.Record) {
 	for _, r := range refused {
 		msg := courier.Refuse{Number: r.task.Number, Task: r.task.Task, Reason: r.reason, Load: l.load(entry)}
 		if r.reason == courier.RefusedStaleTerm {
@@ -59,13 +59,13 @@
 		}
 		l.send(entry, msg)
 	}
-	if len(known) > 0 {
-		l.send(entry, courier.Finished{Records: known, Load: l.load(entry)})
+	if len(started) > 0 {
+		l.send(entry, courier.Finished{Records: started, Load: l.load(entry)})
 	}
 }
 
 // refuseReason returns why t may not start, or "" if it may.
-func (l *Ledger) refuseReason(e *entryState, s courier.Start, t courier.StartTask, p router.Partition, held bool) courier.RefuseReason {
+func (l *Ledger) refuseReason(e *entryState, s courier.Start, t courier.StartTask, p router.Partition, offered bool) courier.RefuseReason {
 	now := l.clock.Now()
 	switch {
 	case e == nil || e.link != s.LinkNumber:
@@ -80,7 +80,7 @@
 		return courier.RefusedTakenOut
 	case !l.fresh(now) || s.BundleVersion < l.policy.BundleVersion:
 		return courier.RefusedNotFresh
-	case !held && l.freeSlots() <= 0:
+	case !offered && l.freeSlots() <= 0:
 		return courier.RefusedBusy
 	}
 	return ""
@@ -95,11 +95,11 @@
 		slot:      slot,
 	}
 	l.running++
-	until := l.confirmedAt.Add(FreshnessLimit)
-	if t.Deadline.Before(until) {
-		until = t.Deadline
+	expiresAt := l.confirmedAt.Add(FreshnessLimit)
+	if t.Deadline.Before(expiresAt) {
+		expiresAt = t.Deadline
 	}
-	l.effects = append(l.effects, Run{Task: t, ExpiresAt: until})
+	l.effects = append(l.effects, Run{Task: t, ExpiresAt: expiresAt})
 }
 
 // WithdrawStart reverts the start of a task that the upstream is known not to have run.
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -154,10 +154,10 @@
 }
 
 // NewLedger returns a Ledger without records.
-func NewLedger(clock clockwork.Clock, self Identity) *Ledger {
+func NewLedger(clock clockwork.Clock, identity Identity) *Ledger {
 	l := &Ledger{
 		clock:     clock,
-		identity:  self,
+		identity:  identity,
 		startedAt: clock.Now(),
 		entries:   make(map[string]*entryState),
 		offers:    make(map[uint64]offer),
--- a/starter/starter_test.go
+++ b/starter/starter_test.go
@@ -14,15 +14,15 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-const entry = "entry-1"
+const testEntry = "entry-1"
 
-var term = courier.Term{Number: 1, Holder: entry}
+var testTerm = courier.Term{Number: 1, Holder: testEntry}
 
-// newReadyLedger returns a ledger that would start tasks of entry-1.
+// newReadyLedger returns a ledger that starts tasks of entry-1.
 func newReadyLedger(clock clockwork.Clock, slots int) *Ledger {
 	l := NewLedger(clock, Identity{Agent: "agent-1", Incarnation: "a", DataCentre: "wien"})
 	l.SetUpstream(Upstream{Slots: slots, Services: []string{"quote"}})
-	l.LinkUp(entry, 1)
+	l.LinkUp(testEntry, 1)
 	l.HandleAnnounceReply(courier.AnnounceReply{
 		Fresh: true, BundleVersion: 1, Stamp: clock.Since(l.startedAt), Policy: &courier.AgentPolicy{BundleVersion: 1},
 	})
@@ -30,22 +30,25 @@
 	for p := range router.Partitions {
 		all = append(all, router.Partition(p))
 	}
-	l.Claim(entry, courier.Claim{Term: term, Partitions: all})
+	l.Claim(testEntry, courier.Claim{Term: testTerm, Partitions: all})
 	l.TakeEffects()
 	return l
 }
 
-func start(clock clockwork.Clock, number uint64) courier.Start {
+// newStart returns a Start message with one task, whose number is also its place on the
+// link.
+func newStart(clock clockwork.Clock, number uint64) courier.Start {
 	return courier.Start{LinkNumber: 1, BundleVersion: 1, Tasks: []courier.StartTask{{
 		Number:   number,
 		Task:     courier.TaskID{Job: fmt.Sprintf("team/job-%d", number)},
 		Deadline: clock.Now().Add(time.Minute),
-		Term:     term,
+		Term:     testTerm,
 		Payload:  json.RawMessage(`{"Millis":100}`),
 	}}}
 }
 
-// startOutcome tells what a start led to: "run", a refusal, or nothing.
+// startOutcome returns the effect of a Start message: "run", the reason of a refusal,
+// or "" for neither.
 func startOutcome(l *Ledger) string {
 	out := ""
 	for _, e := range l.TakeEffects() {
@@ -70,8 +73,8 @@
 		{"ready", func(*Ledger, *clockwork.FakeClock, *courier.Start) {}, "run"},
 		{"lower term", func(_ *Ledger, _ *clockwork.FakeClock, s *courier.Start) { s.Tasks[0].Term.Number = 0 }, "StaleTerm"},
 		{"other holder", func(_ *Ledger, _ *clockwork.FakeClock, s *courier.Start) { s.Tasks[0].Term.Holder = "entry-2" }, "StaleTerm"},
-		{"old link", func(l *Ledger, _ *clockwork.FakeClock, _ *courier.Start) { l.LinkUp(entry, 2) }, "StaleLink"},
-		{"number seen", func(_ *Ledger, _ *clockwork.FakeClock, s *courier.Start) { s.Tasks[0].Number = 0 }, ""},
+		{"old link", func(l *Ledger, _ *clockwork.FakeClock, _ *courier.Start) { l.LinkUp(testEntry, 2) }, "StaleLink"},
+		{"number already handled", func(_ *Ledger, _ *clockwork.FakeClock, s *courier.Start) { s.Tasks[0].Number = 0 }, ""},
 		{"deadline passed", func(_ *Ledger, c *clockwork.FakeClock, s *courier.Start) { s.Tasks[0].Deadline = c.Now() }, "DeadlinePassed"},
 		{"draining", func(l *Ledger, _ *clockwork.FakeClock, _ *courier.Start) { l.SetDraining() }, "Draining"},
 		{"upstream leaving", func(l *Ledger, _ *clockwork.FakeClock, _ *courier.Start) {
@@ -87,18 +90,18 @@
 			s.BundleVersion = 2
 		}, "TakenOut"},
 		{"no free slot", func(l *Ledger, c *clockwork.FakeClock, s *courier.Start) {
-			l.Start(entry, start(c, 1))
+			l.Start(testEntry, newStart(c, 1))
 			l.TakeEffects()
-			*s = start(c, 2)
+			*s = newStart(c, 2)
 		}, "Busy"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			l := newReadyLedger(clock, 1)
-			s := start(clock, 1)
+			s := newStart(clock, 1)
 			tt.change(l, clock, &s)
-			l.Start(entry, s)
+			l.Start(testEntry, s)
 			require.Equal(t, tt.want, startOutcome(l))
 		})
 	}
@@ -107,21 +110,21 @@
 func TestStartOnANewLinkIsAnsweredFromTheRecord(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := newReadyLedger(clock, 1)
-	s := start(clock, 1)
-	l.Start(entry, s)
+	s := newStart(clock, 1)
+	l.Start(testEntry, s)
 	require.Equal(t, "run", startOutcome(l))
 	l.Finish(courier.Record{Task: s.Tasks[0].Task, Outcome: courier.Succeeded, Result: json.RawMessage(`1`)})
-	l.LinkUp(entry, 2)
+	l.LinkUp(testEntry, 2)
 	l.TakeEffects()
 	s.LinkNumber = 2
-	l.Start(entry, s)
+	l.Start(testEntry, s)
 	sent := l.TakeEffects()
 	require.Len(t, sent, 1)
 	f := sent[0].(Send).Msg.(courier.Finished)
 	require.Equal(t, courier.Succeeded, f.Records[0].Outcome)
 }
 
-func TestStartLapsesWithItsConfirmationOrItsDeadline(t *testing.T) {
+func TestStartExpiresWithItsConfirmationOrItsDeadline(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		deadline time.Duration
@@ -134,9 +137,9 @@
 			clock := clockwork.NewFakeClock()
 			l := newReadyLedger(clock, 1)
 			clock.Advance(time.Second)
-			s := start(clock, 1)
+			s := newStart(clock, 1)
 			s.Tasks[0].Deadline = clock.Now().Add(tt.deadline)
-			l.Start(entry, s)
+			l.Start(testEntry, s)
 			require.Equal(t, clock.Now().Add(tt.want), l.TakeEffects()[0].(Run).ExpiresAt)
 		})
 	}
@@ -154,35 +157,35 @@
 }
 
 // BenchmarkStart measures a task from its start to its acknowledgement.
-func BenchmarkStart(bm *testing.B) {
+func BenchmarkStart(b *testing.B) {
 	clock := clockwork.NewFakeClock()
 	l := newReadyLedger(clock, 8)
-	for i := range bm.N {
+	for i := range b.N {
 		l.runOne(clock, uint64(i+1))
 	}
 }
 
-// runOne starts, ends and acknowledges one task.
+// runOne starts, finishes and acknowledges one task.
 func (l *Ledger) runOne(clock clockwork.Clock, number uint64) {
-	s := start(clock, number)
-	l.Start(entry, s)
+	s := newStart(clock, number)
+	l.Start(testEntry, s)
 	l.Finish(courier.Record{Task: s.Tasks[0].Task, Outcome: courier.Succeeded, Result: json.RawMessage(`"a result of some bytes"`)})
 	l.Acknowledge(courier.Acked{Tasks: []courier.TaskID{s.Tasks[0].Task}})
 	l.TakeEffects()
 }
 
-// BenchmarkMemory measures what a ledger keeps for a task that has ended.
-func BenchmarkMemory(bm *testing.B) {
+// BenchmarkMemory measures the memory that a ledger keeps for a task that has ended.
+func BenchmarkMemory(b *testing.B) {
 	clock := clockwork.NewFakeClock()
 	l := newReadyLedger(clock, 8)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	for i := range bm.N {
+	for i := range b.N {
 		l.runOne(clock, uint64(i+1))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	bm.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(bm.N), "bytes/task")
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(b.N), "bytes/task")
 	runtime.KeepAlive(l)
 }
