--- a/dispatcher/job.go
+++ b/dispatcher/job.go
@@ -95,7 +95,7 @@
 	return i
 }
 
-// resetTask makes a sent task wait again after it was refused.
+// resetTask makes a sent task wait again, after it is known that it has not started.
 func (j *job) resetTask(i int) {
 	j.tasks[i] = task{}
 	j.waitingTasks++
--- a/dispatcher/outcome.go
+++ b/dispatcher/outcome.go
@@ -101,8 +101,9 @@
 	return j
 }
 
-// retryRefused requeues a refused task. A refusal by the upstream spends a retry of the
-// budget; if there is none, the job is aborted.
+// retryRefused requeues a refused task. A refusal by the upstream also counts as a
+// failure of the agent and spends a retry of the budget; if there is none, the job is
+// aborted.
 func (d *Dispatcher) retryRefused(a *agent, j *job, i int, reason courier.RefuseReason) {
 	if reason != courier.RefusedByUpstream {
 		d.requeue(j, i)
--- a/dispatcher/submit.go
+++ b/dispatcher/submit.go
@@ -301,7 +301,7 @@
 	}
 }
 
-// refuse answers NotRun to a submission of which nothing has started. after is the
+// refuse answers NotRun to a submission of which nothing has started. retryAfter is the
 // delay after which the caller may retry.
 func (d *Dispatcher) refuse(r Request, reason courier.Reason, detail string, retryAfter time.Duration) {
 	answer := courier.Answer{
--- a/starter/claim.go
+++ b/starter/claim.go
@@ -9,7 +9,8 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// raiseTerms raises the terms of the partitions to the given ones, where these are higher.
+// raiseTerms raises the terms of the partitions to the given ones, where these are
+// higher.
 func (l *Ledger) raiseTerms(terms []courier.Term) {
 	for p, t := range terms {
 		if p < len(l.terms) && l.terms[p].Less(t) {
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -103,7 +103,8 @@
 type entryState struct {
 	// link is the number of the current link. Start messages of other links are
 	// refused, and Forbid messages are ignored.
-	link       uint64
+	link uint64
+	// lastNumber is the number of the last task handled on the link.
 	lastNumber uint64
 	demand     demand
 }
@@ -147,8 +148,10 @@
 	// confirmedAt is the latest time, by this clock, at which policy is known to have
 	// been the newest one.
 	confirmedAt time.Time
+	// resultBytes is the size of all kept results.
 	resultBytes int
-	nextExpiry  time.Time
+	// nextExpiry is when expired records are looked for next.
+	nextExpiry time.Time
 
 	effects []Effect
 }
@@ -206,8 +209,8 @@
 // BundleVersion returns the version of the policy in force.
 func (l *Ledger) BundleVersion() uint64 { return l.policy.BundleVersion }
 
-// LinkUp registers a new link to an entry. Messages of the old link are refused from
-// now on.
+// LinkUp registers a new link to an entry. Start messages of the old link are refused
+// from now on.
 func (l *Ledger) LinkUp(entry string, link uint64) {
 	l.entries[entry] = &entryState{link: link}
 }
@@ -295,6 +298,7 @@
 	return slices.Contains(l.policy.OutDataCentres, l.identity.DataCentre)
 }
 
+// fresh reports whether the policy was confirmed within FreshnessLimit.
 func (l *Ledger) fresh(now time.Time) bool {
 	return l.policy.BundleVersion > 0 && now.Before(l.confirmedAt.Add(FreshnessLimit))
 }
