--- a/starter/claim.go
+++ b/starter/claim.go
@@ -9,6 +9,8 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
+// raiseTerms raises the terms of the partitions to the given ones, where these are
+// higher.
 func (l *Ledger) raiseTerms(terms []courier.Term) {
 	for p, t := range terms {
 		if p < len(l.terms) && l.terms[p].Less(t) {
@@ -17,11 +19,11 @@
 	}
 }
 
-// Claim fences the partitions of c against lower terms and reports what was
+// Claim fences the partitions of c against lower terms, and reports the tasks that were
 // started in them.
 func (l *Ledger) Claim(entry string, c courier.Claim) {
 	reply := courier.ClaimReply{Number: c.Number, Term: c.Term}
-	lost := make(map[string][]router.Partition)
+	superseded := make(map[string][]router.Partition)
 	for _, p := range c.Partitions {
 		if p < 0 || p >= router.Partitions {
 			continue
@@ -32,7 +34,7 @@
 			continue
 		}
 		if old.Holder != c.Term.Holder && old.Holder != "" {
-			lost[old.Holder] = append(lost[old.Holder], p)
+			superseded[old.Holder] = append(superseded[old.Holder], p)
 		}
 		l.terms[p] = c.Term
 		reply.Partitions = append(reply.Partitions, p)
@@ -41,11 +43,12 @@
 	reply.Forbidden = l.forbiddenIn(reply.Partitions)
 	reply.Load = l.load(entry)
 	l.send(entry, reply)
-	for _, holder := range slices.Sorted(maps.Keys(lost)) {
-		l.send(holder, courier.Superseded{Term: c.Term, Partitions: lost[holder]})
+	for _, holder := range slices.Sorted(maps.Keys(superseded)) {
+		l.send(holder, courier.Superseded{Term: c.Term, Partitions: superseded[holder]})
 	}
 }
 
+// withRefused adds a refused partition and its term to m, which may be nil.
 func withRefused(m map[router.Partition]courier.Term, p router.Partition, t courier.Term) map[router.Partition]courier.Term {
 	if m == nil {
 		m = make(map[router.Partition]courier.Term)
@@ -54,6 +57,7 @@
 	return m
 }
 
+// appendRecords appends the records of a partition, by job and index.
 func (l *Ledger) appendRecords(out []courier.Record, p router.Partition) []courier.Record {
 	first := len(out)
 	for _, r := range l.records[p] {
--- a/starter/slot.go
+++ b/starter/slot.go
@@ -7,20 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slotSet tells which slots of an upstream are taken, by number.
+// slotSet records which slots of an upstream are in use, by slot number.
 type slotSet struct {
 	inUse []bool
 }
 
-// take takes a free slot below n and returns its number. It prefers the slots
-// for which owned is true.
-func (s *slotSet) take(owned func(slot int) bool, n int) int {
+// take marks a free slot as in use and returns its number. It prefers the slots below n
+// for which preferred is true. If all slots are in use, it adds one.
+func (s *slotSet) take(preferred func(slot int) bool, n int) int {
 	s.grow(n)
 	fallback := -1
 	for i := range s.inUse {
 		switch {
 		case s.inUse[i]:
-		case i < n && owned(i):
+		case i < n && preferred(i):
 			s.inUse[i] = true
 			return i
 		case fallback < 0:
@@ -37,12 +37,12 @@
 
 func (s *slotSet) release(slot int) { s.inUse[slot] = false }
 
-// free counts the free slots below n for which owned is true.
-func (s *slotSet) free(owned func(slot int) bool, n int) int {
+// free counts the free slots below n for which preferred is true.
+func (s *slotSet) free(preferred func(slot int) bool, n int) int {
 	s.grow(n)
 	count := 0
 	for i := range n {
-		if !s.inUse[i] && owned(i) {
+		if !s.inUse[i] && preferred(i) {
 			count++
 		}
 	}
@@ -55,9 +55,10 @@
 	}
 }
 
-// preferredSlots returns which slots an entry uses before the other entries do. The
-// slots are dealt out in turn over the linked entries, so that owners that
-// choose from old reports seldom choose the same slot.
+// preferredSlots returns a function that reports whether an entry uses a slot before
+// the other entries do. The slots are distributed in turn over the linked entries, so
+// that owners that choose from old reports seldom choose the same slot. The agent's
+// name decides which entry is first.
 func (l *Ledger) preferredSlots(entry string) func(slot int) bool {
 	names := slices.Sorted(maps.Keys(l.entries))
 	i := slices.Index(names, entry)
--- a/starter/start.go
+++ b/starter/start.go
@@ -5,13 +5,14 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// Start starts the tasks that may start and refuses the others.
+// Start starts the tasks that may start, and refuses the others. A task that has a
+// record already is answered from it.
 func (l *Ledger) Start(entry string, s courier.Start) {
 	var refused []refusedStart
-	var known []courier.Record
+	var started []courier.Record
 	e := l.entries[entry]
 	current := e != nil && e.link == s.LinkNumber
-	slot, held := l.takeOffer(entry, s.Offer)
+	slot, offered := l.takeOffer(entry, s.Offer)
 	for _, t := range s.Tasks {
 		if current && t.Number <= e.lastNumber {
 			continue
@@ -21,34 +22,36 @@
 		}
 		p := router.PartitionOf(t.Task.Job)
 		if r := l.records[p][t.Task]; r != nil {
-			known = append(known, r.Record)
-			continue // The record answers for it: a start is never run twice.
+			started = append(started, r.Record)
+			continue // A task that has started is never run again.
 		}
-		if reason := l.refuseReason(e, s, t, p, held); reason != "" {
+		if reason := l.refuseReason(e, s, t, p, offered); reason != "" {
 			refused = append(refused, refusedStart{t, reason, l.terms[p]})
 			continue
 		}
-		if !held {
+		if !offered {
 			slot = l.slots.take(l.preferredSlots(entry), l.upstream.Slots)
 		}
-		held = false
+		offered = false
 		l.recordStart(t, p, slot)
 	}
-	l.replyToStart(entry, refused, known)
-	if held {
+	l.replyToStart(entry, refused, started)
+	if offered {
 		l.slots.release(slot)
 		l.offerFree()
 	}
 }
 
-// refusedStart is a task of a Start with the reason that it may not start.
+// refusedStart is a task of a Start message that may not start, and the reason.
 type refusedStart struct {
 	task   courier.StartTask
 	reason courier.RefuseReason
 	term   courier.Term
 }
 
-func (l *Ledger) replyToStart(entry string, refused []refusedStart, known []courier.Record) {
+// replyToStart reports the refused tasks and the records of the tasks that had started
+// before.
+func (l *Ledger) replyToStart(entry string, refused []refusedStart, started []courier.Record) {
 	for _, r := range refused {
 		msg := courier.Refuse{Number: r.task.Number, Task: r.task.Task, Reason: r.reason, Load: l.load(entry)}
 		if r.reason == courier.RefusedStaleTerm {
@@ -56,13 +59,13 @@
 		}
 		l.send(entry, msg)
 	}
-	if len(known) > 0 {
-		l.send(entry, courier.Finished{Records: known, Load: l.load(entry)})
+	if len(started) > 0 {
+		l.send(entry, courier.Finished{Records: started, Load: l.load(entry)})
 	}
 }
 
-// refuseReason returns why t may not start, or "".
-func (l *Ledger) refuseReason(e *entryState, s courier.Start, t courier.StartTask, p router.Partition, held bool) courier.RefuseReason {
+// refuseReason returns why t may not start, or "" if it may.
+func (l *Ledger) refuseReason(e *entryState, s courier.Start, t courier.StartTask, p router.Partition, offered bool) courier.RefuseReason {
 	now := l.clock.Now()
 	switch {
 	case e == nil || e.link != s.LinkNumber:
@@ -77,12 +80,13 @@
 		return courier.RefusedTakenOut
 	case !l.fresh(now) || s.BundleVersion < l.policy.BundleVersion:
 		return courier.RefusedNotFresh
-	case !held && l.freeSlots() <= 0:
+	case !offered && l.freeSlots() <= 0:
 		return courier.RefusedBusy
 	}
 	return ""
 }
 
+// recordStart records the start of a task in a slot and adds the effect that runs it.
 func (l *Ledger) recordStart(t courier.StartTask, p router.Partition, slot int) {
 	l.records[p][t.Task] = &record{
 		Record:    courier.Record{Task: t.Task, Digest: t.Digest, Outcome: courier.Running},
@@ -91,15 +95,15 @@
 		slot:      slot,
 	}
 	l.running++
-	until := l.confirmedAt.Add(FreshnessLimit)
-	if t.Deadline.Before(until) {
-		until = t.Deadline
+	expiresAt := l.confirmedAt.Add(FreshnessLimit)
+	if t.Deadline.Before(expiresAt) {
+		expiresAt = t.Deadline
 	}
-	l.effects = append(l.effects, Run{Task: t, ExpiresAt: until})
+	l.effects = append(l.effects, Run{Task: t, ExpiresAt: expiresAt})
 }
 
-// WithdrawStart takes back a start that the upstream positively did not run. The
-// task leaves the record, since it may start elsewhere.
+// WithdrawStart reverts the start of a task that the upstream is known not to have run.
+// The record is deleted, since the task may start elsewhere.
 func (l *Ledger) WithdrawStart(id courier.TaskID) {
 	p := router.PartitionOf(id.Job)
 	r := l.records[p][id]
@@ -119,8 +123,8 @@
 	})
 }
 
-// Finish notes the end of a running task and reports it to the entry that
-// owns the task's partition now. The first outcome stays.
+// Finish records the outcome of a running task and reports it to the entry that owns
+// the task's partition now. Only the first outcome counts.
 func (l *Ledger) Finish(rec courier.Record) {
 	p := router.PartitionOf(rec.Task.Job)
 	r := l.records[p][rec.Task]
@@ -134,11 +138,13 @@
 	l.resultBytes += len(rec.Result)
 	holder := l.terms[p].Holder
 	id := l.piggybackOffer(holder)
-	l.offerFree() // Before the report, which must not count slots just offered.
+	l.offerFree() // The load reported below must not count the slots offered here.
 	l.send(holder, courier.Finished{Records: []courier.Record{r.Record}, Offer: id, Load: l.load(holder)})
 }
 
-// Acknowledge notes that the owner has the results of tasks.
+// Acknowledge records that the owner has received the results of tasks. While the
+// results take more than AckedResultBytesLimit, acknowledged ones are dropped and their
+// outcomes become Lost.
 func (l *Ledger) Acknowledge(a courier.Acked) {
 	for _, id := range a.Tasks {
 		r := l.records[router.PartitionOf(id.Job)][id]
@@ -154,7 +160,7 @@
 	}
 }
 
-// Stop asks the upstream to stop the running ones of tasks.
+// Stop stops those of the tasks that are running on the upstream.
 func (l *Ledger) Stop(s courier.Stop) {
 	for _, id := range s.Tasks {
 		r := l.records[router.PartitionOf(id.Job)][id]
