--- a/agent/actor.go
+++ b/agent/actor.go
@@ -15,15 +15,15 @@
 
 // The messages of the ledger's actor.
 type (
-	// tick asks for a look at what has lapsed.
+	// tick triggers the periodic work, such as the check of timeouts.
 	tick struct{}
 	// drain begins a planned stop.
 	drain struct{}
-	// idleQuery asks whether the ledger is idle.
+	// idleQuery queries whether the ledger is idle.
 	idleQuery struct{}
-	// dumpQuery asks for a starter.Dump.
+	// dumpQuery queries a starter.Dump.
 	dumpQuery struct{}
-	// linkOpened tells of a new link to an entry.
+	// linkOpened reports a new link to an entry.
 	linkOpened struct {
 		link   *courier.Link
 		number uint64
@@ -33,36 +33,36 @@
 		link *courier.Link
 		msg  any
 	}
-	// linkClosed tells that a link has ended.
+	// linkClosed reports that a link was closed.
 	linkClosed struct{ link *courier.Link }
 	// upstreamAnnounced carries the upstream's announcement.
 	upstreamAnnounced struct{ announcement worker.Announcement }
-	// taskDone carries the end of a task.
+	// taskDone reports the end of a task, or that it was not started.
 	taskDone struct {
 		record     courier.Record
 		notStarted bool
 	}
 )
 
-// entryLink is one open link as the actor sees it.
+// entryLink is the actor's state of one open link.
 type entryLink struct {
 	link   *courier.Link
 	number uint64
-	// entry is empty until the entry has answered the first announcement.
+	// entry is empty until the entry has answered the first heartbeat.
 	entry string
 }
 
-// ledgerActor owns the ledger.
+// ledgerActor is the actor that owns the ledger.
 type ledgerActor struct {
 	agent    *Agent
 	ledger   *starter.Ledger
 	links    map[*courier.Link]*entryLink
 	byEntry  map[string]*entryLink
 	upstream worker.Announcement
-	// upstreamSeenAt is when the upstream last announced itself.
+	// upstreamSeenAt is when the last announcement of the upstream arrived.
 	upstreamSeenAt  time.Time
 	lastHeartbeatAt time.Time
-	// messagesSent counts the messages to entries, by their type.
+	// messagesSent counts the messages to entries by type.
 	messagesSent map[reflect.Type]*metrics.Counter
 }
 
@@ -121,7 +121,7 @@
 	now := s.agent.deps.Clock.Now()
 	s.ledger.Tick()
 	if s.upstream.Slots > 0 && now.Sub(s.upstreamSeenAt) > UpstreamTimeout {
-		s.agent.deps.Log.Warn("upstream lapsed")
+		s.agent.deps.Log.Warn("upstream timed out")
 		s.setUpstream(worker.Announcement{})
 	}
 	if now.Sub(s.lastHeartbeatAt) >= HeartbeatInterval {
@@ -171,7 +171,7 @@
 		return
 	}
 	if l.entry == "" || s.byEntry[l.entry] != l {
-		return // A link that another one of the same entry has replaced.
+		return // A newer link to the same entry has replaced this one.
 	}
 	switch msg := m.msg.(type) {
 	case *courier.Claim:
@@ -191,8 +191,8 @@
 	}
 }
 
-// handleAnnounceReply takes an entry's answer to an announcement. The first one on a link
-// names the entry; an older link to the same entry is closed.
+// handleAnnounceReply handles an entry's answer to a heartbeat. The first one on a link
+// identifies the entry; an older link to the same entry is then closed.
 func (s *ledgerActor) handleAnnounceReply(l *entryLink, r courier.AnnounceReply) {
 	if l.entry == "" {
 		l.entry = r.Entry.ID
@@ -232,7 +232,8 @@
 	s.ledger.Finish(m.record)
 }
 
-// applyEffects carries out what the ledger decided.
+// applyEffects sends the messages, and starts and stops the tasks, that the ledger has
+// decided on.
 func (s *ledgerActor) applyEffects() {
 	for _, e := range s.ledger.TakeEffects() {
 		switch e := e.(type) {
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is the process beside each upstream. It takes the upstream's
-// announcements, keeps links to the entries, and lets a starter.Ledger decide
-// which tasks start. One actor owns the ledger; links, the runner of tasks and
-// the HTTP interface send it typed messages through its bounded mailbox.
+// Package agent implements the process that runs beside each upstream. It receives the
+// upstream's announcements, keeps links to the entries, and starts the tasks that a
+// starter.Ledger admits. One actor owns the ledger; the links, the runner of tasks and the
+// HTTP API send it typed messages through its bounded mailbox.
 package agent
 
 import (
@@ -21,31 +21,32 @@
 )
 
 const (
-	// HeartbeatInterval is the time between two announcements to an entry.
+	// HeartbeatInterval is the interval between heartbeats to an entry.
 	HeartbeatInterval = 500 * time.Millisecond
-	// TickInterval is the time between two looks at what has lapsed.
+	// TickInterval is the interval between checks for expired state and due dials.
 	TickInterval = 100 * time.Millisecond
 	// UpstreamTimeout is how long an upstream counts as present after its last
 	// announcement.
 	UpstreamTimeout = 2 * time.Second
-	// DrainTimeout bounds the wait of a planned stop.
+	// DrainTimeout limits how long a planned stop waits for running tasks.
 	DrainTimeout = 65 * time.Second
-	// drainPollInterval is the time between two looks at whether a drain is over.
+	// drainPollInterval is the interval between checks whether a drain is complete.
 	drainPollInterval = 20 * time.Millisecond
-	// mailboxSize bounds the messages that wait for the actor.
+	// mailboxSize is the maximum number of messages queued for the actor.
 	mailboxSize = 4096
-	// askTimeout bounds the wait for the actor's answer to a question.
+	// askTimeout limits the wait for the actor's answer to a query.
 	askTimeout = 2 * time.Second
 )
 
-// Config describes one agent.
+// Config holds the settings of one agent.
 type Config struct {
 	ID         string
 	DataCentre string
 	Rack       string
-	// Listen is where the upstream and operators reach the agent.
+	// Listen is the address at which the upstream and operators reach the agent.
 	Listen string
-	// Entries lists link addresses of entries. Others are learned.
+	// Entries lists the link addresses of some entries. The agent learns those of the
+	// others from these.
 	Entries []string
 }
 
@@ -62,7 +63,7 @@
 	stop     chan struct{}
 }
 
-// NewAgent returns an agent that listens already.
+// NewAgent returns an agent that listens on cfg.Listen, but does not serve yet.
 func NewAgent(deps provider.Deps, cfg Config) (*Agent, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -87,8 +88,8 @@
 	return a, nil
 }
 
-// Run serves until ctx ends, then drains: running tasks finish and their
-// results reach the owners before the links close.
+// Run serves until ctx ends, then drains: running tasks finish and their results reach
+// the owners before the links close, within DrainTimeout.
 func (a *Agent) Run(ctx context.Context) error {
 	props := actor.PropsFromProducer(
 		func() actor.Actor { return newLedgerActor(a) },
@@ -111,7 +112,8 @@
 	return err
 }
 
-// drainOnShutdown waits for the planned stop and then for an idle ledger.
+// drainAfter begins a planned stop when ctx ends, and returns when the ledger is idle or
+// DrainTimeout has passed. It returns early if inner ends first.
 func (a *Agent) drainAfter(ctx, inner context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -156,5 +158,5 @@
 	a.links.linkClosed(l)
 }
 
-// Addr returns where the upstream and operators reach the agent.
+// Addr returns the address at which the upstream and operators reach the agent.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
--- a/agent/error.go
+++ b/agent/error.go
@@ -7,11 +7,11 @@
 
 // The kinds of errors.
 const (
-	// Unusable means that a setting names something that cannot be used.
+	// Unusable means that a setting refers to something that cannot be used.
 	Unusable Kind = "Unusable"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
--- a/agent/http.go
+++ b/agent/http.go
@@ -10,7 +10,7 @@
 	"github.com/pomeloferry/pomeloferry/worker"
 )
 
-// handler returns the interface for the upstream and for operators.
+// handler returns the HTTP API for the upstream and for operators.
 func (a *Agent) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /announce", a.serveAnnounce)
@@ -38,5 +38,5 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Dump returns the state of the ledger, for operators.
+// Dump returns the state of the ledger for operators.
 func (a *Agent) Dump() (any, error) { return a.ask(dumpQuery{}) }
--- a/agent/link.go
+++ b/agent/link.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// minRedialDelay and maxRedialDelay bound the pause before a link is opened
-	// again; the pause doubles with each failure and is jittered.
+	// redialBaseDelay and redialMaxDelay bound the delay before a link is dialled again;
+	// the delay doubles with each failure and is jittered.
 	redialBaseDelay = 50 * time.Millisecond
 	redialMaxDelay  = 2 * time.Second
-	// evictAfter drops an address that nobody has named for so long.
+	// addressTTL is how long an address is kept after an entry last advertised it.
 	addressTTL = time.Minute
 )
 
-// address is one place where an entry may be reached.
+// address is a link address of an entry.
 type address struct {
 	addr       string
 	configured bool
-	// lastAdvertisedAt is when an entry last named the address.
+	// lastAdvertisedAt is when an entry last listed the address.
 	lastAdvertisedAt time.Time
 	link             *courier.Link
-	// entry is the entry last found there.
+	// entry is the entry that last answered there, or that the address was listed for.
 	entry      string
 	dialing    bool
 	failures   int
 	nextDialAt time.Time
 }
 
-// linkSet keeps one link open to each known entry.
+// linkSet keeps one link to each known entry open.
 type linkSet struct {
 	agent *Agent
 
 	mu        sync.Mutex
 	addresses map[string]*address
-	// number counts the links of this incarnation.
+	// number is the number of the last link of this incarnation.
 	number uint64
 }
 
@@ -51,7 +51,7 @@
 	return s
 }
 
-// run dials what is due until ctx ends, and then closes all links.
+// run dials due addresses until ctx ends, and then closes all links.
 func (s *linkSet) run(ctx context.Context) error {
 	t := s.agent.deps.Clock.NewTicker(TickInterval)
 	defer t.Stop()
@@ -88,8 +88,7 @@
 	return out
 }
 
-// linkedElsewhere reports whether the entry last found at a has a link
-// through another address.
+// linkedElsewhere reports whether the entry at a has a link through another address.
 func (s *linkSet) linkedElsewhere(a *address) bool {
 	if a.entry == "" {
 		return false
@@ -109,7 +108,8 @@
 	}
 }
 
-// recordDial notes the result of a dial and numbers the link.
+// recordDial records the result of a dial and returns the number of the new link, or
+// false if the dial failed.
 func (s *linkSet) recordDial(a *address, link *courier.Link, err error) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 	a.nextDialAt = s.agent.deps.Clock.Now().Add(pause/2 + jitter)
 }
 
-// setEntry notes which entry answers on a link.
+// setEntry records which entry answers on a link.
 func (s *linkSet) setEntry(l *courier.Link, e courier.EntryInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// addAddresses adds the link addresses of entries that another entry has named.
+// addAddresses adds the link addresses of entries that an entry has advertised.
 func (s *linkSet) addAddresses(entries []courier.EntryInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/runner.go
+++ b/agent/runner.go
@@ -19,21 +19,21 @@
 
 const (
 	// resultGrace is how long past the task's deadline the runner waits for the
-	// upstream before it gives the task up as lost.
+	// upstream's result before it records the task as lost.
 	resultGrace = 5 * time.Second
-	// stopTimeout bounds the call that stops a task.
+	// stopTimeout limits the call that stops a task.
 	stopTimeout = 2 * time.Second
 )
 
-// upstreamTarget is the upstream as the runner reaches it.
+// upstreamTarget is the address of the upstream and the client for calls to it.
 type upstreamTarget struct {
 	address     string
 	connections int
 	client      *http.Client
 }
 
-// runner calls the upstream, one goroutine for each running task. The ledger
-// bounds their number by the upstream's slots.
+// runner calls the upstream, with one goroutine for each running task. The ledger limits
+// their number to the upstream's slots.
 type runner struct {
 	deps   provider.Deps
 	post   func(any)
@@ -46,7 +46,7 @@
 	return r
 }
 
-// setUpstream directs later tasks to address over at most n connections.
+// setUpstream makes later calls go to address, over at most n connections.
 func (r *runner) setUpstream(address string, n int) {
 	old := r.target.Load()
 	if old.address == address && old.connections == n {
@@ -56,8 +56,8 @@
 	old.client.CloseIdleConnections()
 }
 
-// newClient returns a client of at most n connections. It follows no redirect:
-// the upstream that answers by one may have started the task.
+// newClient returns a client with at most n connections. It does not follow redirects,
+// since the upstream that answers with one may have started the task.
 func newClient(n int) *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{MaxConnsPerHost: n, MaxIdleConnsPerHost: n},
@@ -65,7 +65,7 @@
 	}
 }
 
-// start carries out s and posts the end of its task.
+// start runs the task of s and posts its end.
 func (r *runner) start(s starter.Run) {
 	go func() { r.post(r.run(s)) }()
 }
@@ -101,7 +101,8 @@
 	return done
 }
 
-// dialFailed reports whether err means that no byte of the call was sent.
+// dialFailed reports whether err means that the connection failed, so that no byte of the
+// call was sent.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
@@ -120,13 +121,13 @@
 	}()
 }
 
-// errExpired means that a call lapsed before its body was sent, without which
-// the upstream can do nothing.
-var errExpired = errors.New("lapsed before it was sent")
+// errExpired means that a call expired before its body was sent. The upstream does nothing
+// without the body.
+var errExpired = errors.New("call expired before it was sent")
 
-// callBody is the body of a call. It is no type that the client knows, so that
-// the client cannot send it again by itself, and it gives out nothing if the
-// call has lapsed by the time it is sent.
+// callBody is the body of a call. Since it is none of the types that http.NewRequest
+// recognises, the client cannot replay it by itself. It returns no data if the call has
+// expired by the time it is sent.
 type callBody struct {
 	reader  *bytes.Reader
 	expired func() bool
@@ -144,12 +145,12 @@
 	t := r.target.Load()
 	body, err := json.Marshal(req)
 	if err != nil {
-		return errors.Wrap(err, "encode")
+		return errors.Wrap(err, "encode request")
 	}
 	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.address+path,
 		&callBody{reader: bytes.NewReader(body), expired: lapsed})
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create request")
 	}
 	hr.ContentLength = int64(len(body))
 	resp, err := t.client.Do(hr)
@@ -164,7 +165,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(resp.Body).Decode(reply); err != nil {
-		return errors.Wrap(err, "decode")
+		return errors.Wrap(err, "decode response")
 	}
 	return nil
 }
--- a/confirmer/confirmer.go
+++ b/confirmer/confirmer.go
@@ -1,12 +1,11 @@
-// Package confirmer keeps, at one entry, which configuration bundle is in
-// force, and since when it is known that no newer one has been accepted.
+// Package confirmer tracks, at one entry, which configuration bundle is in force, and the
+// last time at which it is known that no newer one had been accepted.
 //
-// A bundle is accepted when the platform's store holds it and a majority of
-// the registered entries, the voters, have put it in force. An entry confirms
-// its bundle by reading the store. While the store is out of reach it confirms
-// it by hearing from a majority of the voters, none of which has a newer one.
-// Two majorities share a voter, so no entry confirms an old bundle after a new
-// one has been accepted.
+// A bundle is accepted when the platform's store holds it and a majority of the
+// registered entries, the voters, have put it in force. An entry confirms its bundle by
+// reading the store. While the store is unreachable, it confirms the bundle by heartbeats
+// from a majority of the voters, none of which has a newer one. Two majorities share a
+// voter, so no entry confirms an old bundle after a new one has been accepted.
 //
 // A Confirmer is not safe for concurrent use.
 package confirmer
@@ -21,22 +20,22 @@
 )
 
 const (
-	// WitnessTTL is how long after its last read of the store an entry still
-	// counts as a witness for others. A voter that has not written to the
-	// store for longer than VoterTimeout can confirm nothing any more.
+	// WitnessTTL is how long after its last read of the store an entry still counts as
+	// a witness for others.
 	WitnessTTL = 30 * time.Minute
-	// VoterTimeout is WitnessTTL and a margin for clocks that differ.
+	// VoterTimeout is the time since its last write to the store after which a voter
+	// cannot confirm any bundle: WitnessTTL and a margin for clock differences.
 	VoterTimeout = WitnessTTL + time.Minute
 )
 
-// Voters is the list of registered entries, as the store holds it.
+// Voters is the list of registered entries as it is kept in the store.
 type Voters struct {
 	// Version rises by one with each change.
 	Version uint64
 	Entries []string
-	// Previous holds the entries before the last change, until a majority of
-	// both lists know of it. Until then a majority of both is needed, so that
-	// lists that follow each other always overlap.
+	// Previous holds the entries before the last change until a majority of both lists
+	// have the change in force. Until then a majority of both lists is required, so that
+	// the majorities of consecutive lists always overlap.
 	Previous []string `json:",omitempty"`
 }
 
@@ -45,7 +44,8 @@
 	return Voters{Version: v.Version + 1, Entries: v.Entries}
 }
 
-// WithEntries returns the successor of v with other entries.
+// WithEntries returns the successor of v with the given entries; those of v become the
+// previous ones.
 func (v Voters) WithEntries(entries []string) Voters {
 	list := slices.Clone(entries)
 	slices.Sort(list)
@@ -68,27 +68,27 @@
 	return 2*n > len(list)
 }
 
-// Attestation is what another entry has said in a heartbeat.
+// Attestation is what another entry stated about its bundle in a heartbeat.
 type Attestation struct {
-	// AsOf is a time of this entry's clock before which the word was given
-	// at the latest; it comes from a stamp that the other one echoed.
+	// AsOf is a time of this entry's clock at or after which the attestation was made.
+	// It comes from a timestamp that the other entry echoed.
 	AsOf time.Time
-	// Witness means that the other one read the store within WitnessTTL.
+	// Witness means that the other entry has read the store within WitnessTTL.
 	Witness       bool
 	BundleVersion uint64
 	VotersVersion uint64
 }
 
-// Confirmer is the aggregate of one entry's configuration.
+// Confirmer holds the configuration of one entry.
 type Confirmer struct {
 	clock clockwork.Clock
 	self  string
-	// signed and bundle are in force; the version never falls.
+	// signed and bundle are in force; their version never decreases.
 	signed approver.Signed
 	bundle approver.Bundle
-	// voters is the newest known list; its version never falls.
+	// voters is the newest known list; its version never decreases.
 	voters Voters
-	// storeReadAt is when the last read of the store that succeeded began.
+	// storeReadAt is when the last successful read of the store began.
 	storeReadAt  time.Time
 	attestations map[string]Attestation
 }
@@ -98,16 +98,16 @@
 	return &Confirmer{clock: clock, self: self, attestations: make(map[string]Attestation)}
 }
 
-// Bundle returns the bundle in force; its version is zero when there is none.
+// Bundle returns the bundle in force; its version is 0 if there is none.
 func (c *Confirmer) Bundle() approver.Bundle { return c.bundle }
 
-// Signed returns the bundle in force as it was signed.
+// Signed returns the signed form of the bundle in force.
 func (c *Confirmer) Signed() approver.Signed { return c.signed }
 
 // Voters returns the newest known list of registered entries.
 func (c *Confirmer) Voters() Voters { return c.voters }
 
-// HandleStoreRead takes what a read of the store that began at a time returned.
+// HandleStoreRead handles the result of a read of the store that began at the time at.
 func (c *Confirmer) HandleStoreRead(at time.Time, s approver.Signed, b approver.Bundle, v Voters) {
 	c.Adopt(s, b)
 	c.AdoptVoters(v)
@@ -116,8 +116,8 @@
 	}
 }
 
-// Adopt puts a bundle in force unless the present one is as new. It reports
-// whether it did.
+// Adopt puts a bundle in force if it is newer than the current one, and reports whether
+// it did.
 func (c *Confirmer) Adopt(s approver.Signed, b approver.Bundle) bool {
 	if b.Version <= c.bundle.Version {
 		return false
@@ -127,23 +127,23 @@
 	return true
 }
 
-// AdoptVoters takes over a newer list of registered entries.
+// AdoptVoters replaces the list of registered entries if v is newer.
 func (c *Confirmer) AdoptVoters(v Voters) {
 	if v.Version > c.voters.Version {
 		c.voters = v
 	}
 }
 
-// SetAttestation takes another entry's word.
+// SetAttestation records the latest attestation of another entry.
 func (c *Confirmer) SetAttestation(entry string, w Attestation) { c.attestations[entry] = w }
 
-// IsWitness reports whether this entry's word counts for others.
+// IsWitness reports whether attestations of this entry count for others.
 func (c *Confirmer) IsWitness() bool {
 	return !c.storeReadAt.IsZero() && c.clock.Since(c.storeReadAt) < WitnessTTL
 }
 
-// ConfirmedAt returns the latest time at which the bundle in force is known to
-// have been the newest accepted one. It is zero when that is not known.
+// ConfirmedAt returns the latest time at which the bundle in force is known to have been
+// the newest accepted one, or the zero time if it has never been confirmed.
 func (c *Confirmer) ConfirmedAt() time.Time {
 	if c.bundle.Version == 0 {
 		return time.Time{}
@@ -155,8 +155,8 @@
 	return at
 }
 
-// quorumConfirmedAt returns the time up to which a majority of the voters vouches for
-// the bundle.
+// quorumConfirmedAt returns the latest time for which a majority of the voters, and of
+// the previous voters if there are any, attest that the bundle was the newest one.
 func (c *Confirmer) quorumConfirmedAt() time.Time {
 	if len(c.voters.Entries) == 0 {
 		return time.Time{}
@@ -171,7 +171,8 @@
 	return at
 }
 
-// majorityConfirmedAt returns the latest time for which more than half of list vouch.
+// majorityConfirmedAt returns the latest time for which more than half of list attest
+// that the bundle was the newest one.
 func (c *Confirmer) majorityConfirmedAt(list []string) time.Time {
 	times := make([]time.Time, len(list))
 	for i, id := range list {
@@ -181,7 +182,8 @@
 	return times[len(times)/2]
 }
 
-// attestedAt returns the time for which one voter vouches, or zero.
+// attestedAt returns the time for which one voter attests that the bundle was the newest
+// one, or the zero time.
 func (c *Confirmer) attestedAt(id string) time.Time {
 	if id == c.self {
 		if c.IsWitness() {
--- a/courier/courier.go
+++ b/courier/courier.go
@@ -1,8 +1,8 @@
-// Package courier carries typed messages between the processes of the system.
-// Messages travel as JSON-RPC notifications over one TCP connection, a Link.
-// A Link delivers in order and at most once. When it breaks, or stays silent
-// for longer than IdleTimeout, it closes for good, and the owner of the
-// connection opens a new one.
+// Package courier transports typed messages between the processes of the system.
+// Messages are sent as JSON-RPC notifications over one TCP connection, a Link. A Link
+// delivers in order and at most once. When the connection fails, or nothing arrives for
+// longer than IdleTimeout, the Link closes for good, and the process that dialled it opens
+// a new one.
 package courier
 
 import (
@@ -18,26 +18,26 @@
 )
 
 const (
-	// IdleTimeout closes a link on which nothing arrived for so long. Both
-	// sides send a heartbeat several times in this span.
+	// IdleTimeout is the time without an incoming message after which a link is closed.
+	// Both sides send several heartbeats in this time.
 	IdleTimeout = 1500 * time.Millisecond
-	// DialTimeout bounds the opening of a link.
+	// DialTimeout limits the time to open a link.
 	DialTimeout = 500 * time.Millisecond
-	// OutboxSize is the number of messages that wait for a slow receiver
-	// before the link is closed.
+	// OutboxSize is the maximum number of messages queued for a slow receiver; the link
+	// is closed when it is exceeded.
 	OutboxSize = 8192
 )
 
-// Handler receives what arrives on a link. Its methods are called from one
-// goroutine of the link, in order.
+// Handler receives the messages of a link. Its methods are called from one goroutine of
+// the link, in order.
 type Handler interface {
-	// Receive takes one message, a pointer to a type of this package.
+	// Receive handles one message, a pointer to a message type of this package.
 	Receive(l *Link, msg any)
 	// Closed is called once, after the last Receive.
 	Closed(l *Link)
 }
 
-// messageTypes maps the method of a notification to its message type.
+// messageTypes maps the method name of a notification to its message type.
 var messageTypes = typesByName(
 	Announce{}, AnnounceReply{}, Claim{}, ClaimReply{}, Superseded{}, Start{},
 	Refuse{}, Finished{}, Acked{}, Demand{}, Offer{}, Decline{}, Stop{},
@@ -60,7 +60,7 @@
 	handler Handler
 }
 
-// NewLink starts a link over socket. The link closes socket in the end.
+// NewLink starts a link over socket. Closing the link closes socket.
 func NewLink(ctx context.Context, socket net.Conn, h Handler) *Link {
 	l := &Link{handler: h}
 	l.Sender = NewSender(func() {
@@ -105,8 +105,8 @@
 	}
 }
 
-// notify sends msg as one string, since the JSON-RPC library reorders the keys
-// of objects in params, and payloads have to arrive unchanged.
+// notify sends msg as a JSON string, since the JSON-RPC library reorders the keys of
+// objects in params, and payloads have to arrive unchanged.
 func (l *Link) notify(ctx context.Context, msg any) error {
 	var raw strings.Builder
 	e := json.NewEncoder(&raw)
@@ -149,7 +149,7 @@
 // Handle implements jsonrpc2.Handler.
 func (f handlerFunc) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) { f(ctx, c, r) }
 
-// discardLogger drops the library's notes on closed connections.
+// discardLogger discards the library's messages about closed connections.
 type discardLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
--- a/courier/message.go
+++ b/courier/message.go
@@ -24,15 +24,15 @@
 	return t.Holder < u.Holder
 }
 
-// TaskID identifies one task of one submission for good.
+// TaskID identifies one task of one submission, across resubmissions.
 type TaskID struct {
 	// Job is the identity of the submission: team, a slash, and key.
 	Job string
-	// Index is the task's place in the submission, from 0.
+	// Index is the task's position in the submission, from 0.
 	Index int
 }
 
-// Outcome tells how a started task ended.
+// Outcome is the outcome of a started task.
 type Outcome string
 
 // The outcomes of a started task.
@@ -43,13 +43,13 @@
 	Succeeded Outcome = "Succeeded"
 	// Errored means that the upstream ran the task and reported an error.
 	Errored Outcome = "Errored"
-	// Lost means that the task started and nobody can tell how it ended.
+	// Lost means that the task started and its outcome cannot be determined.
 	Lost Outcome = "Lost"
 	// Stopped means that the task started and was stopped by a cancellation.
 	Stopped Outcome = "Stopped"
 )
 
-// Record is what an agent knows about one task that it has started.
+// Record is an agent's record of one task that it has started.
 type Record struct {
 	Task    TaskID
 	Digest  uint64
@@ -57,11 +57,11 @@
 	Result  json.RawMessage `json:",omitempty"`
 }
 
-// RefuseReason is the reason why an agent did not start a task. A refused task has
-// not started and cannot start from that message any more.
+// RefuseReason is the reason why an agent did not start a task. A refused task has not
+// started, and that message can no longer start it.
 type RefuseReason string
 
-// The reasons of an agent's refusal.
+// The reasons why agents do not start tasks.
 const (
 	RefusedBusy           RefuseReason = "Busy"
 	RefusedDraining       RefuseReason = "Draining"
@@ -73,27 +73,28 @@
 	RefusedByUpstream     RefuseReason = "NotStartedByUpstream"
 )
 
-// EntryInfo names an entry and where other processes reach it.
+// EntryInfo identifies an entry and the address at which other processes reach it.
 type EntryInfo struct {
 	ID string
 	// Link is the host and port that agents and other entries connect to.
 	Link string
 }
 
-// Load is an agent's report of its slots. Every message from an agent to an
-// entry carries one, so that owners learn of free slots without asking.
+// Load is an agent's report of its slots. Messages from an agent to an entry carry one,
+// so that owners learn of free slots without a query.
 type Load struct {
-	// Free counts the slots that any owner may start into now; Mine counts
-	// those among them that other owners use only when theirs are taken.
+	// Free counts the available slots, in which any owner may start a task now; Mine
+	// counts the preferred ones among them, which other owners use only when theirs are
+	// taken.
 	Free int
 	Mine int
-	// Seen is the Number of the last task of this link's Start messages that
-	// was handled. An owner subtracts what it sent since from Free.
+	// Seen is the Number of the last task of this link's Start messages that the agent
+	// has processed. An owner subtracts the tasks that it has sent since from Free.
 	Seen uint64
 }
 
-// Announce is an agent's heartbeat to an entry. The first one on a link makes
-// the agent known.
+// Announce is an agent's heartbeat to an entry. The first one on a link introduces the
+// agent.
 type Announce struct {
 	Agent       string
 	Incarnation string
@@ -101,17 +102,17 @@
 	Rack        string
 	Slots       int
 	Services    []string
-	// Draining means that nothing may start now; Stopping, that this
-	// incarnation will start nothing any more.
+	// Draining means that no task may start now; Stopping, that this incarnation will
+	// not start any task again.
 	Draining bool
 	Stopping bool `json:",omitempty"`
 	// LinkNumber identifies this link among all links of the incarnation.
 	LinkNumber uint64
 	// Acked lists the entries that have this incarnation in their roster.
 	Acked []string
-	// BundleVersion is the version that the agent works under.
+	// BundleVersion is the version in force at the agent.
 	BundleVersion uint64
-	// Stamp is the agent's own clock, as the time since its start.
+	// Stamp is the agent's timestamp, as the time since its start.
 	Stamp time.Duration
 	Load  Load
 }
@@ -119,7 +120,7 @@
 // AgentPolicy is the part of a configuration bundle that agents need.
 type AgentPolicy struct {
 	BundleVersion uint64
-	// OutDataCentres lists the data centres where nothing may start.
+	// OutDataCentres lists the data centres in which no task may start.
 	OutDataCentres []string
 }
 
@@ -127,24 +128,24 @@
 type AnnounceReply struct {
 	Entry   EntryInfo
 	Entries []EntryInfo
-	// Stamp is the Stamp of the Announce that this answers.
+	// Stamp echoes the Stamp of the Announce that this message answers.
 	Stamp time.Duration
-	// Fresh tells whether the entry could confirm its bundle version at all.
+	// Fresh reports whether the entry has confirmed its bundle version at all.
 	Fresh bool
-	// Age is how long before the receipt of the Announce the entry last
-	// confirmed that no newer bundle was accepted.
+	// Age is the time from the entry's last confirmation that no newer bundle had been
+	// accepted to the receipt of the Announce.
 	Age time.Duration
 	// BundleVersion is the version that was confirmed.
 	BundleVersion uint64
-	// Policy is set when the agent's version differs.
+	// Policy is set when the agent's version is older.
 	Policy *AgentPolicy `json:",omitempty"`
-	// Terms holds the highest term known for each partition, on the first
-	// answer of a link, so that a restarted agent refuses old owners.
+	// Terms holds the highest term known for each partition, in the first reply on a
+	// link, so that a restarted agent refuses old owners.
 	Terms []Term `json:",omitempty"`
 }
 
-// Claim asks an agent to refuse lower terms for some partitions, and to
-// report what it has started in them.
+// Claim asks an agent to refuse lower terms for some partitions, and to report the tasks
+// that it has started in them.
 type Claim struct {
 	// Number rises by one with each claim on the link.
 	Number     uint64
@@ -152,22 +153,22 @@
 	Partitions []router.Partition
 }
 
-// ClaimReply answers Claim. Partitions where the agent knows a higher term are
-// in Refused with that term; the others are fenced.
+// ClaimReply answers Claim. Partitions for which the agent knows a higher term are in
+// Refused with that term; the others are fenced.
 type ClaimReply struct {
 	Number     uint64
 	Term       Term
 	Partitions []router.Partition
 	Refused    map[router.Partition]Term `json:",omitempty"`
 	Records    []Record                  `json:",omitempty"`
-	// Forbidden lists the attempts that were answered NotRun.
+	// Forbidden lists the forbidden attempts, which were answered NotRun.
 	Forbidden []Forbidden `json:",omitempty"`
 	Load      Load
 }
 
-// Forbid asks an agent to remember that the attempts at a job up to Attempt
-// are answered NotRun. One agent is enough: an entry that claims the partition
-// later learns of it, or knows that it could not ask that agent.
+// Forbid asks an agent to record that the attempts of a job up to Attempt are answered
+// NotRun. One agent is enough: an entry that claims the partition later either learns of
+// it, or knows that it could not query that agent.
 type Forbid struct {
 	LinkNumber uint64
 	Term       Term
@@ -176,7 +177,7 @@
 	Deadline   time.Time
 }
 
-// Forbidden answers Forbid. It comes only when the agent will remember.
+// Forbidden answers Forbid. It is sent only if the agent has recorded the attempt.
 type Forbidden struct {
 	Job     string
 	Attempt int
@@ -190,8 +191,8 @@
 
 // StartTask asks for one task to be started.
 type StartTask struct {
-	// Number rises by one with each task sent on the link, from 1. An agent
-	// drops numbers that it has seen, so that a doubled message does nothing.
+	// Number rises by one with each task sent on the link, from 1. An agent ignores
+	// numbers that it has processed, so that a duplicated message has no effect.
 	Number   uint64
 	Task     TaskID
 	Digest   uint64
@@ -203,22 +204,22 @@
 
 // Start asks an agent to start tasks into free slots, or to refuse them.
 type Start struct {
-	// LinkNumber is the LinkNumber of the Announce on the same link. An agent
-	// refuses other links, so that a message left in a buffer starts nothing.
+	// LinkNumber is the LinkNumber of the Announce on the same link. An agent refuses
+	// other link numbers, so that a message left in a buffer starts no task.
 	LinkNumber    uint64
 	BundleVersion uint64
-	// Offer is the offered slot that the first task uses, or 0.
+	// Offer is the number of the offer whose slot the first task uses, or 0.
 	Offer uint64 `json:",omitempty"`
 	Tasks []StartTask
 }
 
-// Refuse reports a task of a Start that was not started.
+// Refuse reports that a task of a Start message was not started.
 type Refuse struct {
 	// Number is the Number of the refused StartTask.
 	Number uint64
 	Task   TaskID
 	Reason RefuseReason
-	// Term is the higher term when Reason is RefusedStaleTerm.
+	// Term is the higher term, if Reason is RefusedStaleTerm.
 	Term Term
 	Load Load
 }
@@ -226,12 +227,13 @@
 // Finished reports tasks that have ended.
 type Finished struct {
 	Records []Record
-	// Offer is a slot held for the receiver for a short time, or 0.
+	// Offer is the number of an offer of a slot, held for the receiver for a short time,
+	// or 0.
 	Offer uint64 `json:",omitempty"`
 	Load  Load
 }
 
-// Acked tells an agent that the results of tasks have arrived.
+// Acked tells an agent that the records of ended tasks have arrived.
 type Acked struct {
 	Tasks []TaskID
 }
@@ -240,8 +242,9 @@
 type Demand struct {
 	// Waiting counts the tasks. Zero withdraws the demand.
 	Waiting int
-	// Age is how long ago the first of them was due, by its owner's order. It
-	// is below zero when that is yet to come. The highest Age goes first.
+	// Age is the time since the first of them was due, by its owner's order; it is
+	// negative if the task is not due yet. The demand with the highest Age is served
+	// first.
 	Age time.Duration
 }
 
@@ -251,7 +254,7 @@
 	Load  Load
 }
 
-// Decline gives an offered slot back unused.
+// Decline returns an offered slot unused.
 type Decline struct {
 	Offer uint64
 }
--- a/courier/outbox.go
+++ b/courier/outbox.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Outbox is a bounded queue of messages to send. It holds memory only for what
-// is queued, since most links are idle most of the time.
+// Outbox is a bounded queue of messages to send. It allocates memory only for queued
+// messages, since most links are idle most of the time.
 type Outbox struct {
-	// Ready holds a token while messages are queued.
+	// Ready can be received from while messages are queued.
 	Ready chan struct{}
 
 	mu   sync.Mutex
@@ -15,7 +15,7 @@
 // NewOutbox returns an empty queue.
 func NewOutbox() *Outbox { return &Outbox{Ready: make(chan struct{}, 1)} }
 
-// Put queues msg and reports whether there was room.
+// Put queues msg and reports whether the queue had space for it.
 func (o *Outbox) Put(msg any) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/courier/peer.go
+++ b/courier/peer.go
@@ -12,35 +12,34 @@
 	Incarnation string
 	// Ready means that the entry owns partitions.
 	Ready bool
-	// Leaving asks the others to take over the entry's partitions.
+	// Leaving means that the others take over the entry's partitions.
 	Leaving bool
-	// RosterCertain tells that the roster holds every agent that may keep
-	// records of tasks that are not past their deadline.
+	// RosterCertain means that the roster is complete: it lists every agent that may
+	// keep records of tasks that are not past their deadline.
 	RosterCertain bool
-	// Roster lists agent incarnations that may hold such records.
+	// Roster lists agent incarnations that may keep such records.
 	Roster []RosterAgent
-	// Entries lists the entries that the sender knows.
+	// Entries lists the entries that are alive according to the sender.
 	Entries []EntryInfo
 	// BundleVersion is the version in force at the sender.
 	BundleVersion uint64
-	// Bundle is the signed bundle, when the receiver is known to lack it.
+	// Bundle is the signed bundle, if the receiver is not known to have it.
 	Bundle json.RawMessage `json:",omitempty"`
 	// VotersVersion is the version of the list of registered entries.
 	VotersVersion uint64
-	// Voters is that list, when the receiver is known to lack it.
+	// Voters is that list, if the receiver is not known to have it.
 	Voters json.RawMessage `json:",omitempty"`
-	// Witness means that the sender's word on the bundle counts.
+	// Witness means that the sender's attestation of the bundle counts.
 	Witness bool
-	// Stamp is the sender's own clock, as the time since its start; Echo is
-	// the last Stamp of the receiver's that has arrived. Echo dates what the
-	// sender says by the receiver's clock, if the stamp is of the incarnation
-	// EchoOf.
+	// Stamp is the sender's timestamp, as the time since its start; Echo is the last
+	// Stamp received from the receiver, sent by its incarnation EchoOf. Echo dates this
+	// heartbeat by the receiver's clock if EchoOf is the receiver's present incarnation.
 	Stamp  time.Duration
 	Echo   time.Duration
 	EchoOf string `json:",omitempty"`
 }
 
-// EchoFor returns the echoed stamp, or zero when it is not of incarnation.
+// EchoFor returns the echoed timestamp, or zero if another incarnation sent it.
 func (h PeerHello) EchoFor(incarnation string) time.Duration {
 	if h.EchoOf != incarnation {
 		return 0
@@ -48,7 +47,7 @@
 	return h.Echo
 }
 
-// AgentRef names one incarnation of an agent.
+// AgentRef identifies one incarnation of an agent.
 type AgentRef struct {
 	Agent       string
 	Incarnation string
@@ -57,32 +56,32 @@
 // RosterAgent is an agent in a roster.
 type RosterAgent struct {
 	AgentRef
-	// Lapsed is how much has passed of the time for which an agent matters
-	// that was lost; it is zero for one in use.
+	// Lapsed is how much of its retention time has passed for an unreachable agent; it
+	// is zero for an agent in use.
 	Lapsed time.Duration `json:",omitempty"`
 }
 
-// Relay passes a caller's submission to the entry that owns it.
+// Relay forwards a caller's submission to the entry that owns its partition.
 type Relay struct {
-	// ID pairs the RelayReply with the Relay on this link.
+	// ID matches the RelayReply to the Relay on this link.
 	ID         uint64
 	Submission Submission
-	// Resent marks a copy that may not be the first one sent to an owner.
+	// Resent means that the submission may have been sent to an owner before.
 	Resent bool
 }
 
-// RelayReply carries the answer back.
+// RelayReply returns the answer to a Relay or a RelayQuery.
 type RelayReply struct {
 	ID     uint64
 	Answer Answer
 }
 
-// RelayLeave tells the owner that the caller of a Relay has left.
+// RelayLeave tells the owner that the caller of a Relay has disconnected.
 type RelayLeave struct {
 	ID uint64
 }
 
-// RelayQuery asks the owner for the state of a job, or cancels the job.
+// RelayQuery queries the owner for the state of a job, or cancels the job.
 type RelayQuery struct {
 	ID     uint64
 	Job    string
--- a/courier/sender.go
+++ b/courier/sender.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Sender is the sending side of a link: the messages that wait, and the link's
-// end. Both kinds of links are built on it.
+// Sender is the sending side of a link: its queued messages and its closing. Both kinds
+// of links are built on it.
 type Sender struct {
 	outbox *Outbox
 	closed chan struct{}
 	once   sync.Once
-	// onClose closes what the link is made of.
+	// onClose closes the underlying connection.
 	onClose func()
 }
 
-// NewSender returns a sender of a link that end closes.
+// NewSender returns the sender of a link whose connection is closed by onClose.
 func NewSender(end func()) *Sender {
 	return &Sender{outbox: NewOutbox(), closed: make(chan struct{}), onClose: end}
 }
 
-// Send queues msg, a value of a message type. It never blocks: a link whose
-// outbox is full is closed, since its receiver has stopped reading.
+// Send queues msg, a value of a message type. It never blocks: a link whose outbox is
+// full is closed, since its peer has stopped reading.
 func (s *Sender) Send(msg any) {
 	if !s.outbox.Put(msg) {
 		s.Close()
 	}
 }
 
-// NextBatch waits for messages and returns all that are queued, in order. It returns
-// false when the link has ended.
+// NextBatch waits for messages and returns all queued ones in order. It returns false
+// when the link is closed.
 func (s *Sender) NextBatch() ([]any, bool) {
 	select {
 	case <-s.closed:
@@ -40,7 +40,7 @@
 	}
 }
 
-// Close ends the link. Messages still queued are dropped.
+// Close closes the link. Messages that are still queued are dropped.
 func (s *Sender) Close() {
 	s.once.Do(func() {
 		close(s.closed)
@@ -48,10 +48,10 @@
 	})
 }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the link is closed.
 func (s *Sender) Done() <-chan struct{} { return s.closed }
 
-// IsClosed reports whether the link has ended.
+// IsClosed reports whether the link is closed.
 func (s *Sender) IsClosed() bool {
 	select {
 	case <-s.closed:
@@ -61,7 +61,7 @@
 	}
 }
 
-// TimeoutConn ends reads and writes that wait longer than Limit.
+// TimeoutConn is a connection whose reads and writes fail after Timeout.
 type TimeoutConn struct {
 	net.Conn
 	Timeout time.Duration
--- a/receiver/agents.go
+++ b/receiver/agents.go
@@ -4,11 +4,11 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// agentLink is a link on which an agent has announced itself.
+// agentLink is the state of a link on which an agent has sent a heartbeat.
 type agentLink struct {
 	name   string
 	number uint64
-	// bundleVersion is the version that the agent works under.
+	// bundleVersion is the version in force at the agent.
 	bundleVersion uint64
 }
 
@@ -29,8 +29,8 @@
 	}
 }
 
-// handleAnnounce takes an agent's heartbeat and answers it. The answer goes out
-// before anything else on a new link, since it names this entry.
+// handleAnnounce handles an agent's heartbeat and answers it. On a new link, the answer is
+// sent before any other message, since it identifies this entry.
 func (c *core) handleAnnounce(l link, an courier.Announce) {
 	known, ok := c.agents[l]
 	reply := c.announceReply(an)
--- a/receiver/bundle.go
+++ b/receiver/bundle.go
@@ -9,14 +9,15 @@
 	"github.com/pomeloferry/pomeloferry/starter"
 )
 
-// handleBundleRead takes what was in the store.
+// handleBundleRead handles a read of the bundle and the voters from the store.
 func (c *core) handleBundleRead(m bundleRead) {
 	old := c.confirmer.Bundle().Version
 	c.confirmer.HandleStoreRead(m.at, m.signed, m.bundle, m.voters)
 	c.applyBundle(old, "store")
 }
 
-// applyBundle logs a bundle newer than version old, and tells the owner.
+// applyBundle logs the bundle in force if it is newer than version old, and passes it to
+// the dispatcher.
 func (c *core) applyBundle(old uint64, source string) {
 	if b := c.confirmer.Bundle(); b.Version != old {
 		c.deps.BundleVersion.Store(b.Version)
@@ -29,8 +30,8 @@
 	c.dispatcher.SetBundle(c.confirmer.Bundle(), c.confirmer.ConfirmedAt().Add(starter.FreshnessLimit))
 }
 
-// adoptFromPeer takes over a newer bundle and a newer list of voters. The
-// bundle's signature is checked again, since peers are not trusted with it.
+// adoptFromPeer adopts a newer bundle and a newer list of voters from a heartbeat. It
+// verifies the bundle's signature, since peers are not trusted to have done so.
 func (c *core) adoptFromPeer(h courier.PeerHello) {
 	var voters confirmer.Voters
 	if len(h.Voters) > 0 && json.Unmarshal(h.Voters, &voters) == nil {
@@ -48,11 +49,11 @@
 		}
 	}
 	if err != nil {
-		c.deps.Log.WithError(err).WithField("from", h.Entry.ID).Error("bundle refused")
+		c.deps.Log.WithError(err).WithField("from", h.Entry.ID).Error("bundle rejected")
 	}
 }
 
-// registration returns what the entry writes about itself.
+// registration returns the registration of this entry.
 func (c *core) registration() Registration {
 	reg := Registration{
 		Entry:         c.info,
--- a/receiver/core.go
+++ b/receiver/core.go
@@ -17,53 +17,53 @@
 
 // The messages of the core actor.
 type (
-	// tick asks for a look at what has come due.
+	// tick triggers the periodic work.
 	tick struct{}
 	// drain begins a planned stop.
 	drain struct{}
-	// idleQuery asks whether every job here is finished.
+	// idleQuery queries whether every job here has finished.
 	idleQuery struct{}
-	// dumpQuery asks for a Dump.
+	// dumpQuery queries a Dump.
 	dumpQuery struct{}
-	// heartbeatQuery asks for the heartbeat to send to another entry, whose
-	// name may not be known yet.
+	// heartbeatQuery queries the heartbeat to send to another entry, whose ID is empty
+	// if it is not known yet.
 	heartbeatQuery struct{ to string }
-	// registrationQuery asks for the Registration to write.
+	// registrationQuery queries the Registration to write.
 	registrationQuery struct{}
 	// linkMessage carries a message from an accepted link.
 	linkMessage struct {
 		link link
 		msg  any
 	}
-	// linkClosed tells that an accepted link has ended.
+	// linkClosed reports that an accepted link was closed.
 	linkClosed struct{ link link }
 	// peerHeartbeat carries the heartbeat of another entry.
 	peerHeartbeat struct{ hello courier.PeerHello }
 	// entriesRead carries the entries registered in the store.
 	entriesRead struct {
 		entries []courier.EntryInfo
-		// noEarlierEntries means that no entry ran here before within the record
-		// horizon.
+		// noEarlierEntries means that no entry has run within RecordRetention before this
+		// one started.
 		noEarlierEntries bool
 	}
-	// bundleRead carries what was in the store at a time.
+	// bundleRead carries the result of a read of the store that began at the time at.
 	bundleRead struct {
 		signed approver.Signed
 		bundle approver.Bundle
 		voters confirmer.Voters
 		at     time.Time
 	}
-	// submitRequest carries a request; answer is called once, unless the caller
-	// leaves. It must not block.
+	// submitRequest carries a request. answer is called once, unless the caller
+	// disconnects first. It must not block.
 	submitRequest struct {
 		request dispatcher.Request
 		answer  func(courier.Answer)
-		// opened gets the waiter, for a later leave.
+		// opened receives the waiter, which a later callerLeft needs.
 		opened func(dispatcher.Waiter)
 	}
-	// callerLeft tells that a caller has gone.
+	// callerLeft reports that a caller has disconnected.
 	callerLeft struct{ waiter dispatcher.Waiter }
-	// jobQuery asks for the state of a job, or cancels it.
+	// jobQuery queries the state of a job, or cancels it.
 	jobQuery struct {
 		job    string
 		cancel bool
@@ -71,30 +71,30 @@
 	}
 )
 
-// link is the core's view of a courier.Link.
+// link is the part of courier.Link that the core uses.
 type link interface {
 	Send(msg any)
 	Close()
 }
 
-// core owns the dispatcher and the view of the entries. It handles one message
-// at a time, without input or output but through the links.
+// core is the actor that owns the dispatcher and the view of the entries. It handles one
+// message at a time; its only input and output are messages and links.
 type core struct {
 	deps        provider.Deps
 	cfg         Config
 	info        courier.EntryInfo
 	incarnation string
-	// onKnownEntries is told which other entries are known.
+	// onKnownEntries is called with the other known entries.
 	onKnownEntries func([]courier.EntryInfo)
 
 	dispatcher  *dispatcher.Dispatcher
 	registrar   *registrar.Registrar
 	agents      map[link]agentLink
 	linkByAgent map[string]link
-	// answerFuncs holds what to do with the answer for each waiter.
+	// answerFuncs holds the function to call with the answer, by waiter.
 	answerFuncs map[dispatcher.Waiter]func(courier.Answer)
 	relays      map[relayKey]dispatcher.Waiter
-	// lastWaiter numbers waiters; 0 means none.
+	// lastWaiter is the number of the last waiter; 0 stands for no waiter.
 	lastWaiter dispatcher.Waiter
 
 	confirmer *confirmer.Confirmer
@@ -130,7 +130,7 @@
 	}
 }
 
-// handle takes one message, and returns the answer if it is a question.
+// handle handles one message and returns the answer if the message is a query.
 func (c *core) handle(msg any) any {
 	defer c.applyEffects()
 	switch m := msg.(type) {
@@ -204,7 +204,7 @@
 	return c.dispatcher.State(job)
 }
 
-// receive takes a message from an accepted link.
+// receive handles a message from an accepted link.
 func (c *core) receive(l link, msg any) {
 	switch m := msg.(type) {
 	case *courier.Announce:
@@ -225,7 +225,7 @@
 	}
 }
 
-// handlePeerHello takes the heartbeat of another entry.
+// handlePeerHello handles the heartbeat of another entry.
 func (c *core) handlePeerHello(h courier.PeerHello) {
 	c.registrar.HandleHeartbeat(h)
 	c.registrar.AddEntries(h.Entries)
@@ -243,9 +243,9 @@
 	c.applyBundle(old, h.Entry.ID)
 }
 
-// peerHello returns the heartbeat for another entry. The roster in it is complete
-// for its receiver once the receiver's own heartbeat has arrived here: from
-// then on an agent is used only when the receiver knows it.
+// peerHello returns the heartbeat for another entry. Its roster is complete for the
+// receiver once a heartbeat of the receiver has arrived here: from then on, an agent is
+// used only if the receiver knows it.
 func (c *core) peerHello(to string) courier.PeerHello {
 	roster, certain := c.dispatcher.Roster()
 	echo := c.registrar.Echo(to)
@@ -273,8 +273,8 @@
 	return h
 }
 
-// handleLinkClosed notes the end of an accepted link. The jobs relayed over it go on,
-// since their entry asks again over a new link.
+// handleLinkClosed handles the closing of an accepted link. The jobs relayed over it
+// continue, since the entry that relayed them relays them again over a new link.
 func (c *core) handleLinkClosed(l link) {
 	a, ok := c.agents[l]
 	if ok {
@@ -293,7 +293,7 @@
 	}
 }
 
-// applyEffects carries out what the owner decided.
+// applyEffects sends the messages and the answers that the dispatcher has decided on.
 func (c *core) applyEffects() {
 	for _, e := range c.dispatcher.TakeEffects() {
 		switch e := e.(type) {
--- a/receiver/dump.go
+++ b/receiver/dump.go
@@ -12,15 +12,15 @@
 	"github.com/pomeloferry/pomeloferry/dispatcher"
 )
 
-// Dump is an entry's state as operators see it.
+// Dump is the state of an entry for operators.
 type Dump struct {
 	Entry         courier.EntryInfo
 	DataCentre    string
 	Incarnation   string
 	Leaving       bool
 	BundleVersion uint64
-	// ConfirmedAge is the time since the bundle was last known to be the
-	// newest one.
+	// ConfirmedAge is the time since the bundle was last confirmed as the newest
+	// accepted one.
 	ConfirmedAge time.Duration
 	Voters       confirmer.Voters
 	View         []string
@@ -44,8 +44,8 @@
 	}
 }
 
-// writeCounts writes the owner's totals in the form of /metrics. The cost of
-// every start is filed under the bundle version in force.
+// writeCounts writes the dispatcher's counts in the format of /metrics. The totals are
+// labelled with the bundle version in force.
 func writeCounts(w io.Writer, d Dump) {
 	v := reflect.ValueOf(d.Owner.Counts)
 	for i := range v.NumField() {
--- a/receiver/error.go
+++ b/receiver/error.go
@@ -7,15 +7,17 @@
 
 // The kinds of errors.
 const (
-	// Unusable means that a setting names something that cannot be used.
+	// Unusable means that a setting refers to something that cannot be used, or that the
+	// actor did not answer.
 	Unusable Kind = "Unusable"
-	// Invalid means that a request is wrong.
+	// Invalid means that data of the store cannot be decoded, verified or encoded.
 	Invalid Kind = "Invalid"
-	// Disconnected means that a link ended before an answer came.
+	// Disconnected means that there is no link, or that it was closed before an answer
+	// arrived.
 	Disconnected Kind = "Disconnected"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
--- a/receiver/http.go
+++ b/receiver/http.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	// MaxBodyBytes bounds the body of a submission.
+	// MaxBodyBytes limits the size of a submission's body.
 	MaxBodyBytes = 4 << 20
-	// maxKeyBytes bounds the length of a key.
+	// maxKeyBytes limits the length of a key and of a team's name.
 	maxKeyBytes = 128
-	// queryTimeout bounds the answer to a question about a job.
+	// queryTimeout limits the time to answer a query or a cancellation of a job.
 	queryTimeout = 3 * time.Second
 )
 
-// Problem is the body of an answer to a bad request.
+// Problem is the body of the response to an invalid request.
 type Problem struct {
-	// Field is the part of the request at fault.
+	// Field is the invalid field of the request, or "body".
 	Field string
-	// Detail says what was found and what is allowed.
+	// Detail states what was found and what is allowed.
 	Detail string
 }
 
-// handler returns the interface for callers and operators.
+// handler returns the HTTP API for callers and operators.
 func (r *Receiver) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/jobs", r.serveSubmit)
@@ -82,7 +82,7 @@
 	}).Log(level, "answered")
 }
 
-// parse reads a submission and returns what is wrong with it, if anything.
+// parse decodes and validates a submission. It returns the first problem found, or nil.
 func (r *Receiver) parse(body interface{ Read([]byte) (int, error) }) (courier.Submission, *Problem) {
 	var s courier.Submission
 	d := json.NewDecoder(body)
@@ -101,7 +101,7 @@
 	return &Problem{Field: "body", Detail: "no submission in JSON: " + err.Error()}
 }
 
-// checkSubmission returns what is wrong with s at a time, or nil.
+// checkSubmission validates s at the time now. It returns the first problem found, or nil.
 func checkSubmission(s courier.Submission, now time.Time) *Problem {
 	problem := func(field, format string, args ...any) *Problem {
 		return &Problem{Field: field, Detail: fmt.Sprintf(format, args...)}
@@ -148,7 +148,7 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// statusOf maps an answer to its HTTP status.
+// statusOf returns the HTTP status of an answer.
 func statusOf(a courier.Answer) int {
 	switch {
 	case a.State == courier.Complete:
@@ -179,7 +179,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Dump returns the state of the entry, for operators.
+// Dump returns the state of the entry for operators.
 func (r *Receiver) Dump() (any, error) {
 	answer, err := r.ask(dumpQuery{})
 	if err != nil {
--- a/receiver/peer.go
+++ b/receiver/peer.go
@@ -12,25 +12,25 @@
 	"github.com/pomeloferry/pomeloferry/registrar"
 )
 
-// redialDelay is the pause before a link to another entry is opened again.
+// redialDelay is the delay before a link to another entry is dialled again.
 const redialDelay = 100 * time.Millisecond
 
 // peer is another entry, reached over a link that this entry opens.
 type peer struct {
 	set    *peerSet
 	target string
-	// stop ends the link and its goroutine.
+	// stop ends the goroutine, which closes the link.
 	stop context.CancelFunc
 
 	mu   sync.Mutex
 	id   string
 	link *courier.Link
-	// pending holds the relayed requests without an answer, by their ID.
+	// pending holds the answer channels of the unanswered requests by ID.
 	pending map[uint64]chan courier.Answer
 	lastID  uint64
 }
 
-// peerSet keeps a link open to each known entry.
+// peerSet keeps a link to each known entry open.
 type peerSet struct {
 	receiver *Receiver
 
@@ -43,7 +43,7 @@
 	return &peerSet{receiver: r, peers: make(map[string]*peer)}
 }
 
-// run keeps the links until ctx ends.
+// run keeps links to the peers open until ctx ends.
 func (s *peerSet) run(ctx context.Context) error {
 	s.mu.Lock()
 	s.ctx = ctx
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// setEntries adds the link addresses of entries and drops those no longer known.
-// Those named in the settings stay.
+// setEntries adds the link addresses of entries and removes those that are no longer
+// known, except for the ones in the settings.
 func (s *peerSet) setEntries(entries []courier.EntryInfo) {
 	known := make(map[string]bool, len(entries))
 	for _, e := range entries {
@@ -85,7 +85,7 @@
 	go p.run(ctx)
 }
 
-// linkedPeer returns a peer with an open link to the entry called id, or nil.
+// linkedPeer returns a peer with an open link to the entry id, or nil.
 func (s *peerSet) linkedPeer(id string) *peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +103,7 @@
 	return p.id == id && p.link != nil
 }
 
-// run keeps the link open and sends heartbeats, until ctx ends.
+// run keeps the link open and sends heartbeats until ctx ends.
 func (p *peer) run(ctx context.Context) {
 	clock := p.set.receiver.deps.Clock
 	for ctx.Err() == nil {
@@ -120,7 +120,7 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats until the link or ctx ends.
+// sendHeartbeats sends heartbeats until the link is closed or ctx ends.
 func (p *peer) sendHeartbeats(ctx context.Context, link *courier.Link) {
 	clock := p.set.receiver.deps.Clock
 	for {
@@ -137,7 +137,7 @@
 	}
 }
 
-// entry returns the name of the entry, or "" before its first heartbeat.
+// entry returns the ID of the entry, or "" if it is not known yet.
 func (p *peer) entry() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +172,7 @@
 	}
 }
 
-// Closed implements courier.Handler. Requests without an answer fail.
+// Closed implements courier.Handler. Unanswered requests fail.
 func (p *peer) Closed(l *courier.Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,8 +185,8 @@
 	}
 }
 
-// sendRequest numbers a request and sends it with send. It fails when there is no
-// link, and then nothing has been sent.
+// sendRequest assigns an ID to a request and sends it by calling send. It fails if there is
+// no link, in which case nothing has been sent.
 func (p *peer) sendRequest(send func(l *courier.Link, id uint64)) (uint64, chan courier.Answer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,13 +200,13 @@
 	return p.lastID, answer, nil
 }
 
-// awaitAnswer waits for the answer. When ctx ends first, the owner is told that the
-// caller has left.
+// awaitAnswer waits for the answer. If ctx ends first, it tells the owner that the caller
+// has disconnected.
 func (p *peer) awaitAnswer(ctx context.Context, id uint64, answer chan courier.Answer) (courier.Answer, error) {
 	select {
 	case a, ok := <-answer:
 		if !ok {
-			return courier.Answer{}, &Error{Op: "relay", Kind: Disconnected, Err: errors.Errorf("link to %s ended", p.target)}
+			return courier.Answer{}, &Error{Op: "relay", Kind: Disconnected, Err: errors.Errorf("link to %s closed", p.target)}
 		}
 		return a, nil
 	case <-ctx.Done():
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -1,7 +1,7 @@
-// Package receiver is the entry process. It takes callers' requests over HTTP,
-// passes each to the entry that owns it, and, for the submissions owned here,
-// lets a dispatcher.Owner decide. One actor owns the dispatcher and the view
-// of the other entries; everything else sends it typed messages through its
+// Package receiver implements the entry process. It accepts callers' requests over HTTP,
+// forwards each to the entry that owns its partition, and applies the decisions of a
+// dispatcher.Dispatcher on the submissions owned here. One actor owns the dispatcher and
+// the view of the other entries; everything else sends it typed messages through its
 // bounded mailbox.
 package receiver
 
@@ -24,20 +24,20 @@
 )
 
 const (
-	// TickInterval is the time between two looks at what has come due.
+	// TickInterval is the interval between checks for due work.
 	TickInterval = 20 * time.Millisecond
-	// StopAcceptDelay is how long a stopping entry still takes connections, so
-	// that the balancer can turn away from it.
+	// StopAcceptDelay is how long an entry in a planned stop still accepts connections,
+	// so that the balancer can stop sending requests to it.
 	StopAcceptDelay = time.Second
-	// DrainTimeout bounds the wait of a planned stop.
+	// DrainTimeout limits how long a planned stop waits for requests in flight.
 	DrainTimeout = 65 * time.Second
-	// mailboxSize bounds the messages that wait for the actor.
+	// mailboxSize is the maximum number of messages queued for the actor.
 	mailboxSize = 16384
-	// askTimeout bounds the wait for the actor's answer to a question.
+	// askTimeout limits the wait for the actor's answer to a query.
 	askTimeout = 2 * time.Second
 )
 
-// Store is what an entry needs of the platform's key-value service.
+// Store is the part of the platform's key-value service that an entry uses.
 type Store interface {
 	Get(ctx context.Context, key string) (keeper.Pair, error)
 	List(ctx context.Context, prefix string) ([]keeper.Pair, error)
@@ -45,21 +45,22 @@
 	CompareAndSwap(ctx context.Context, key string, revision int64, value []byte, also ...keeper.Pair) (bool, error)
 }
 
-// Config describes one entry.
+// Config holds the settings of one entry.
 type Config struct {
 	ID         string
 	DataCentre string
-	// Listen is where callers and operators reach the entry.
+	// Listen is the address at which callers and operators reach the entry.
 	Listen string
-	// Link is where agents and other entries reach it.
+	// Link is the address at which agents and other entries reach it.
 	Link string
-	// Peers lists link addresses of other entries. Others are learned.
+	// Peers lists the link addresses of some other entries. Those of the others are
+	// learned from the store and from these.
 	Peers []string
-	// Trust names who may approve bundles.
+	// Trust maps those who may approve bundles to their public keys.
 	Trust approver.Trust
-	// Seed makes random choices repeatable.
+	// Seed is the seed of random choices, which makes them repeatable.
 	Seed uint64
-	// Placement and Order choose the policies; nil means the defaults.
+	// Placement and Order are the policies; nil selects the defaults.
 	Placement dispatcher.Placement
 	Order     dispatcher.Order
 }
@@ -75,11 +76,12 @@
 	system   *actor.ActorSystem
 	pid      *actor.PID
 	peers    *peerSet
-	// handling counts the submissions being handled.
+	// handling is the number of submissions in flight.
 	handling atomic.Int64
 }
 
-// NewReceiver returns an entry that listens already.
+// NewReceiver returns an entry that listens on cfg.Listen and cfg.Link, but does not serve
+// yet.
 func NewReceiver(deps provider.Deps, cfg Config, store Store) (*Receiver, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -103,8 +105,8 @@
 	return r, nil
 }
 
-// Run serves until ctx ends, then hands its partitions over and stops when
-// every request in flight has its answer.
+// Run serves until ctx ends, then hands its partitions over and returns when every
+// request in flight has been answered, or after DrainTimeout.
 func (r *Receiver) Run(ctx context.Context) error {
 	props := actor.PropsFromProducer(
 		func() actor.Actor { return newCore(r.deps, r.cfg, r.self, r.peers.setEntries) },
@@ -132,14 +134,15 @@
 	return err
 }
 
-// Addr returns where callers reach the entry.
+// Addr returns the address at which callers reach the entry.
 func (r *Receiver) Addr() string { return r.listener.Addr().String() }
 
-// LinkAddr returns where agents and other entries reach the entry.
+// LinkAddr returns the address at which agents and other entries reach the entry.
 func (r *Receiver) LinkAddr() string { return r.self.Link }
 
-// drainOnShutdown waits for the planned stop, gives the partitions to the other
-// entries and waits until every request has been answered.
+// drainAfter begins a planned stop when ctx ends: it hands the partitions over to the
+// other entries, waits until every request has been answered, and registers this entry as
+// stopped. It returns early if inner ends first.
 func (r *Receiver) drainAfter(ctx, inner context.Context, front *announcer.GracefulServer, f *storePoller) error {
 	select {
 	case <-ctx.Done():
@@ -152,16 +155,16 @@
 	limit, cancel := context.WithTimeout(inner, DrainTimeout)
 	defer cancel()
 	if left := front.Drain(limit); left > 0 {
-		r.deps.Log.WithField("in_flight", left).Warn("requests cut off by the drain limit")
+		r.deps.Log.WithField("in_flight", left).Warn("requests aborted at the drain timeout")
 	}
 	r.awaitIdle(limit)
 	if err := f.writeRegistration(limit, true); err != nil {
-		r.deps.Log.WithError(err).Warn("departure not registered")
+		r.deps.Log.WithError(err).Warn("planned stop not registered")
 	}
 	return nil
 }
 
-// awaitIdle waits until no job is unfinished here, or ctx ends.
+// awaitIdle waits until every job here has finished, or ctx ends.
 func (r *Receiver) awaitIdle(ctx context.Context) {
 	for ctx.Err() == nil {
 		answer, err := r.ask(idleQuery{})
--- a/receiver/relay.go
+++ b/receiver/relay.go
@@ -4,7 +4,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// relayKey names a relayed request of another entry.
+// relayKey identifies a request that another entry has relayed.
 type relayKey struct {
 	link link
 	id   uint64
--- a/receiver/route.go
+++ b/receiver/route.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// routeRetryDelay is the pause before a request is routed again.
+	// routeRetryDelay is the delay before a request is routed again.
 	routeRetryDelay = 20 * time.Millisecond
-	// ownerAnswerGrace is how long past the deadline the owner's answer is awaited.
+	// ownerAnswerGrace is how long past the deadline an entry waits for the owner's
+	// answer.
 	ownerAnswerGrace = 250 * time.Millisecond
 )
 
-// newRequest returns s as a request to its owner.
+// newRequest returns the request to the owner for submission s.
 func newRequest(s courier.Submission, resent bool, w dispatcher.Waiter) dispatcher.Request {
 	return dispatcher.Request{Submission: s, Digest: digest(s), Resent: resent, Waiter: w}
 }
 
-// digest hashes what a resubmission must repeat.
+// digest returns a hash of the fields that a resubmission has to repeat.
 func digest(s courier.Submission) uint64 {
 	s.Attempt = 0
 	raw, err := json.Marshal(s)
@@ -33,8 +34,8 @@
 	return xxhash.Sum64(raw)
 }
 
-// route brings s to its owner, wherever that moves, and returns the final
-// answer. It gives up a little after the deadline, or when ctx ends.
+// route sends s to its owner, again whenever the owner changes, and returns the final
+// answer. It stops ownerAnswerGrace after the deadline, or when ctx ends.
 func (r *Receiver) route(ctx context.Context, s courier.Submission) courier.Answer {
 	limit, cancel := context.WithDeadline(ctx, s.Deadline.Add(ownerAnswerGrace))
 	defer cancel()
@@ -55,8 +56,8 @@
 	}
 }
 
-// routeOnce asks the entry that should own s. It reports whether anything was
-// sent to it.
+// routeOnce sends s to the entry that should own it, and reports whether anything was
+// sent.
 func (r *Receiver) routeOnce(ctx context.Context, s courier.Submission, resent bool) (courier.Answer, bool, error) {
 	a, err := r.submitHere(ctx, s, resent)
 	if err != nil || a.State != courier.Moved || a.Admitted {
@@ -76,7 +77,7 @@
 	return a, true, err
 }
 
-// submitHere offers s to the owner in this process.
+// submitHere submits s to the dispatcher of this process.
 func (r *Receiver) submitHere(ctx context.Context, s courier.Submission, resent bool) (courier.Answer, error) {
 	answer := make(chan courier.Answer, 1)
 	opened := make(chan dispatcher.Waiter, 1)
@@ -94,7 +95,7 @@
 	}
 }
 
-// noOwnerAnswer is the answer when no owner gave one in time.
+// noOwnerAnswer returns the answer to a submission that no owner has answered in time.
 func noOwnerAnswer(entry string, s courier.Submission, admitted bool) courier.Answer {
 	a := courier.Answer{Job: s.JobID(), Entry: entry, Reason: courier.ReasonDeadline}
 	if s.Attempt == 1 && !admitted {
@@ -111,7 +112,8 @@
 	return a
 }
 
-// routeQuery asks the owner for the state of a job, or cancels the job.
+// routeQuery queries the owner for the state of a job, or cancels the job. It retries
+// until ctx ends.
 func (r *Receiver) routeQuery(ctx context.Context, job string, cancel bool) (courier.Answer, error) {
 	for {
 		a, err := r.queryOnce(ctx, job, cancel)
--- a/receiver/store.go
+++ b/receiver/store.go
@@ -19,51 +19,53 @@
 	BundleKey = "pomeloferry/bundle"
 	// VotersKey is the key of the list of registered entries.
 	VotersKey = "pomeloferry/voters"
-	// EntriesPrefix begins the keys of what entries write about themselves.
+	// EntriesPrefix is the prefix of the keys of the registrations.
 	EntriesPrefix = "pomeloferry/entries/"
-	// bundlePollInterval is the mean time between two reads of the bundle.
+	// bundlePollInterval is the mean interval between reads of the bundle.
 	bundlePollInterval = 500 * time.Millisecond
-	// registerInterval is the mean time between two registrations.
+	// registerInterval is the mean interval between registrations.
 	registerInterval = 2 * time.Second
-	// registrationTTL is how long an entry is silent in the store before the
-	// others take it off the list of voters.
+	// registrationTTL is the time since an entry's last write to the store after which
+	// the others remove it from the list of voters.
 	registrationTTL = 20 * time.Second
 )
 
-// Registration is what an entry writes about itself.
+// Registration is the state that an entry writes about itself into the store.
 type Registration struct {
 	Entry       courier.EntryInfo
 	Incarnation string
 	DataCentre  string
-	// BundleVersion and VotersVersion are in force at the entry.
+	// BundleVersion and VotersVersion are the versions in force at the entry.
 	BundleVersion uint64
 	VotersVersion uint64
-	// Agents counts the agents linked to the entry; AgentsInForce counts
-	// those that work under BundleVersion.
+	// Agents counts the agents linked to the entry; AgentsInForce counts those among
+	// them that have BundleVersion in force.
 	Agents        int
 	AgentsInForce int
 	// SeenAt is when the entry wrote this.
 	SeenAt time.Time
-	// Left means that the entry has stopped as planned.
+	// Left means that the entry has completed a planned stop.
 	Left bool
 }
 
-// WroteWithin reports whether the entry wrote within the span before now.
+// WroteWithin reports whether the entry has not stopped and wrote the registration within
+// span before now.
 func (g Registration) WroteWithin(now time.Time, span time.Duration) bool {
 	return !g.Left && now.Sub(g.SeenAt) < span
 }
 
-// storePoller reads the store for one entry and writes what concerns it.
+// storePoller polls the store for one entry, and writes its registration and the list of
+// voters.
 type storePoller struct {
 	receiver *Receiver
-	// registrationsRead is set by the first read of the registrations. Nothing is
-	// written before, since that read looks for entries of earlier starts.
+	// registrationsRead is set by the first read of the registrations. No registration
+	// is written before, since that read looks for entries that ran earlier.
 	registrationsRead atomic.Bool
-	// registeredVersion is the last bundle version read from the store.
+	// registeredVersion is the last bundle version that was registered at once.
 	registeredVersion uint64
 }
 
-// pollBundle reads the bundle and the voters again and again until ctx ends.
+// pollBundle reads the bundle and the voters periodically until ctx ends.
 func (f *storePoller) pollBundle(ctx context.Context) error {
 	return f.poll(ctx, bundlePollInterval, func() error {
 		began := f.receiver.deps.Clock.Now()
@@ -79,8 +81,8 @@
 	})
 }
 
-// handleBundle posts what was read. A new version is registered at once, since
-// its acceptance waits for that.
+// handleBundle verifies and posts the bundle and the voters that were read. A new bundle
+// version is registered at once, since its acceptance depends on that.
 func (f *storePoller) handleBundle(ctx context.Context, began time.Time, bundle, voters keeper.Pair) error {
 	msg := bundleRead{at: began}
 	if err := parseVoters(voters, &msg.voters); err != nil {
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// pollRegistrations writes this entry into the store, reads the others and keeps the
-// list of voters, until ctx ends.
+// pollRegistrations periodically reads the registrations, writes the one of this entry
+// and updates the list of voters, until ctx ends.
 func (f *storePoller) pollRegistrations(ctx context.Context) error {
 	return f.poll(ctx, registerInterval, func() error {
 		list, err := f.readEntries(ctx)
@@ -149,9 +151,9 @@
 	return list, nil
 }
 
-// noRecentRun reports whether no entry of list can have run within the record
-// horizon. One that has not left may run on without the store until its word
-// lapses.
+// noRecentRun reports whether no entry of list can have run within RecordRetention. An
+// entry without a planned stop may have run without the store for up to VoterTimeout
+// after its last write.
 func noRecentRun(list []Registration, now time.Time) bool {
 	return !slices.ContainsFunc(list, func(reg Registration) bool {
 		if reg.Left {
@@ -161,7 +163,7 @@
 	})
 }
 
-// ReadRegistrations returns what the entries have written about themselves.
+// ReadRegistrations returns the registrations of the entries.
 func ReadRegistrations(ctx context.Context, store Store) ([]Registration, error) {
 	pairs, err := store.List(ctx, EntriesPrefix)
 	if err != nil {
@@ -178,7 +180,7 @@
 	return list, nil
 }
 
-// writeRegistration registers this entry with what is in force here.
+// writeRegistration writes the registration of this entry; left marks it as stopped.
 func (f *storePoller) writeRegistration(ctx context.Context, left bool) error {
 	answer, err := f.receiver.ask(registrationQuery{})
 	if err != nil {
@@ -193,9 +195,9 @@
 	return f.receiver.store.Put(ctx, EntriesPrefix+f.receiver.cfg.ID, raw)
 }
 
-// updateVoters adds this entry to the list of voters and takes silent ones off
-// it, one change at a time: a change waits until a majority of the last two
-// lists have the last one in force.
+// updateVoters adds this entry to the list of voters and removes entries that no longer
+// write to the store, one change at a time: a change waits until majorities of the last
+// two lists have the last one in force.
 func (f *storePoller) updateVoters(ctx context.Context, list []Registration) error {
 	p, err := f.receiver.store.Get(ctx, VotersKey)
 	if err != nil {
@@ -211,14 +213,14 @@
 	}
 	raw, err := json.Marshal(next)
 	if err != nil {
-		return &Error{Op: "keep voters", Kind: Invalid, Err: err}
+		return &Error{Op: "update voters", Kind: Invalid, Err: err}
 	}
 	_, err = f.receiver.store.CompareAndSwap(ctx, VotersKey, p.Revision, raw)
 	return err
 }
 
-// VotersAccepted reports whether a majority of both lists of v know v, or can confirm
-// nothing any more.
+// VotersAccepted reports whether, in both lists of v, a majority of the entries have v in
+// force or can no longer confirm any bundle.
 func VotersAccepted(v confirmer.Voters, list []Registration, now time.Time) bool {
 	if v.Version == 0 {
 		return true
@@ -229,8 +231,8 @@
 	})
 }
 
-// BundleAccepted reports whether a majority of the voters have a bundle version in
-// force, or can confirm no other any more.
+// BundleAccepted reports whether a majority of the voters have a bundle version in force
+// or can no longer confirm any bundle.
 func BundleAccepted(version uint64, v confirmer.Voters, list []Registration, now time.Time) bool {
 	return len(v.Entries) > 0 && v.Majority(func(id string) bool {
 		reg, ok := findRegistration(list, id)
@@ -247,7 +249,7 @@
 	return Registration{}, false
 }
 
-// nextVoters returns the list that is to follow v, if any is.
+// nextVoters returns the list that replaces v, or false if v does not change now.
 func nextVoters(v confirmer.Voters, list []Registration, self string, now time.Time) (confirmer.Voters, bool) {
 	if !VotersAccepted(v, list, now) {
 		return v, false
@@ -262,7 +264,8 @@
 	return v.WithEntries(wanted), true
 }
 
-// wantedVoters returns the list as it should be, in order.
+// wantedVoters returns the sorted list that v is to be changed to: self and the entries
+// of v that still write to the store.
 func wantedVoters(v confirmer.Voters, list []Registration, self string, now time.Time) []string {
 	var out []string
 	for _, id := range v.Entries {
@@ -276,8 +279,8 @@
 	return out
 }
 
-// poll calls fn with jittered pauses until ctx ends. The first failure after
-// a success is logged, and so is the first success after a failure.
+// poll calls fn at a jittered interval until ctx ends. It logs the first failure after a
+// success and the first success after a failure.
 func (f *storePoller) poll(ctx context.Context, interval time.Duration, fn func() error) error {
 	log := f.receiver.deps.Log
 	failing := false
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -1,7 +1,7 @@
-// Package registrar keeps, at one entry, which other entries exist, which are
-// alive, and which of them own partitions. Entries hear of each other through
-// the platform's store and through each other; whether one is alive is decided
-// by its heartbeats alone.
+// Package registrar tracks, at one entry, which other entries exist, which are alive,
+// and which of them own partitions. Entries learn of each other from the platform's
+// store and from other entries; whether an entry is alive is decided by its heartbeats
+// alone.
 //
 // A Registrar is not safe for concurrent use.
 package registrar
@@ -17,19 +17,20 @@
 )
 
 const (
-	// HeartbeatInterval is the time between two heartbeats to an entry.
+	// HeartbeatInterval is the interval between heartbeats to another entry.
 	HeartbeatInterval = 500 * time.Millisecond
 	// AliveTimeout is how long an entry counts as alive after its last heartbeat.
 	AliveTimeout = 2 * time.Second
-	// MayRunTimeout is how long an entry that is silent here counts as one that may
-	// still be running, after the store or another entry last named it.
+	// MayRunTimeout is how long an entry without heartbeats counts as one that may still
+	// be running, after the store or another entry last advertised it.
 	MayRunTimeout = 6 * time.Second
-	// PauseThreshold is the longest gap between two calls that is no pause of this
-	// process.
+	// PauseThreshold is the gap between two calls above which this process counts as
+	// having been paused.
 	PauseThreshold = AliveTimeout / 2
-	// JoinDelay is how long a new entry listens before it owns partitions.
+	// JoinDelay is how long a new entry collects heartbeats before it owns partitions.
 	JoinDelay = time.Second
-	// AddressTTL drops the address of an entry that nobody has heard of.
+	// AddressTTL is how long the address of an entry is kept after its last heartbeat
+	// and its last advertisement.
 	AddressTTL = time.Minute
 )
 
@@ -38,25 +39,25 @@
 	info    courier.EntryInfo
 	ready   bool
 	leaving bool
-	// stamp is the last stamp received, from incarnation; the next heartbeat
-	// echoes it.
+	// stamp is the last timestamp received, sent by incarnation; the next heartbeat to
+	// the entry echoes it.
 	stamp         time.Duration
 	incarnation   string
 	bundleVersion uint64
 	votersVersion uint64
-	// lastHeartbeatAt is when the last heartbeat came; named is when the address was
-	// last given by the store or by another entry.
+	// lastHeartbeatAt is when the last heartbeat arrived; lastAdvertisedAt is when the
+	// store or an entry last listed the address.
 	lastHeartbeatAt  time.Time
 	lastAdvertisedAt time.Time
 }
 
-// Registrar is the aggregate of one entry's view of the others.
+// Registrar holds one entry's view of the other entries.
 type Registrar struct {
 	clock     clockwork.Clock
 	self      courier.EntryInfo
 	startedAt time.Time
-	// lastRunNumber is when the registrar last ran; a longer gap than PauseThreshold
-	// means that it could hear nobody meanwhile.
+	// lastCallAt is when the registrar was last called; a gap longer than
+	// PauseThreshold means that no heartbeat could be received in the meantime.
 	lastCallAt time.Time
 	leaving    bool
 	members    map[string]*member
@@ -74,8 +75,8 @@
 	}
 }
 
-// discountPause leaves the time that this process was paused out of the silence of the
-// others.
+// discountPause does not count the time in which this process was paused as time
+// without heartbeats from the others.
 func (g *Registrar) discountPause() {
 	now := g.clock.Now()
 	gap := now.Sub(g.lastCallAt)
@@ -91,10 +92,10 @@
 	}
 }
 
-// BeginShutdown takes this entry out of the view for good.
+// SetLeaving removes this entry from the view for good.
 func (g *Registrar) SetLeaving() { g.leaving = true }
 
-// Leaving reports whether this entry is leaving.
+// Leaving reports whether the planned stop of this entry has begun.
 func (g *Registrar) Leaving() bool { return g.leaving }
 
 // Ready reports whether this entry owns partitions.
@@ -102,7 +103,7 @@
 	return !g.leaving && g.clock.Since(g.startedAt) >= JoinDelay
 }
 
-// AddEntries notes that other entries exist.
+// AddEntries records that entries exist and have just been advertised.
 func (g *Registrar) AddEntries(entries []courier.EntryInfo) {
 	g.discountPause()
 	for _, e := range entries {
@@ -119,7 +120,7 @@
 	}
 }
 
-// HandleHeartbeat takes a heartbeat.
+// HandleHeartbeat records a heartbeat of another entry.
 func (g *Registrar) HandleHeartbeat(h courier.PeerHello) {
 	if h.Entry.ID == g.self.ID {
 		return
@@ -135,14 +136,14 @@
 	m.lastHeartbeatAt = g.clock.Now()
 }
 
-// Stamp returns this entry's clock as heartbeats carry it.
+// Stamp returns the current timestamp for heartbeats: the time since this entry started.
 func (g *Registrar) Stamp() time.Duration { return g.clock.Since(g.startedAt) }
 
-// StampTime returns the time of this entry's clock that a stamp stands for.
+// StampTime converts a timestamp of this entry to a time of its clock.
 func (g *Registrar) StampTime(stamp time.Duration) time.Time { return g.startedAt.Add(stamp) }
 
-// Echo is what the last heartbeat received from another entry said: its stamp,
-// the incarnation that sent it, and the versions in force there.
+// Echo holds the contents of the last heartbeat received from another entry: its
+// timestamp, the incarnation that sent it, and the versions in force there.
 type Echo struct {
 	Stamp         time.Duration
 	Incarnation   string
@@ -159,7 +160,7 @@
 	return Echo{m.stamp, m.incarnation, m.bundleVersion, m.votersVersion}
 }
 
-// Tick forgets entries that nobody has heard of for long.
+// Tick evicts entries without a heartbeat or an advertisement within AddressTTL.
 func (g *Registrar) Tick() {
 	g.discountPause()
 	now := g.clock.Now()
@@ -174,7 +175,7 @@
 	return g.clock.Since(m.lastHeartbeatAt) < AliveTimeout
 }
 
-// View returns the entries that own partitions, in order.
+// View returns the IDs of the entries that own partitions, sorted.
 func (g *Registrar) View() []string {
 	g.discountPause()
 	var out []string
@@ -190,14 +191,15 @@
 	return out
 }
 
-// ownsExclusively reports whether m may be running out of reach of this entry: it has
-// been heard here, has not said that it leaves, and is still being named.
+// mayRun reports whether m may be running although it cannot be reached from here: a
+// heartbeat of it has arrived, it has not announced a planned stop, and it is still being
+// advertised.
 func (g *Registrar) mayRun(m *member) bool {
 	return !m.lastHeartbeatAt.IsZero() && !m.leaving && g.clock.Since(m.lastAdvertisedAt) < MayRunTimeout
 }
 
-// Peers returns the other entries that are alive or may be, in order. A
-// leaving one is among them only while it still runs.
+// Peers returns the IDs of the other entries that are alive or may be running, sorted. A
+// leaving entry is included only while it is alive.
 func (g *Registrar) Peers() []string {
 	g.discountPause()
 	var out []string
@@ -210,7 +212,8 @@
 	return out
 }
 
-// KnownEntries returns the other entries that have been named, in order.
+// KnownEntries returns the other entries that have been advertised and not evicted,
+// sorted by ID.
 func (g *Registrar) KnownEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
 	for _, m := range g.members {
@@ -220,7 +223,8 @@
 	return out
 }
 
-// AliveEntries returns this entry, unless it is leaving, and the live others.
+// AliveEntries returns this entry and the others that are alive, without leaving ones,
+// sorted by ID.
 func (g *Registrar) AliveEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
 	if !g.leaving {
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,6 @@
-// Package router maps job identities to partitions and partitions to entries.
-// Every process computes the same map from the same set of entries, so that no
-// message is needed to agree on it.
+// Package router maps job identities to partitions, and partitions to entries. Every
+// process computes the same mapping from the same set of entries, so that no message is
+// needed to agree on it.
 package router
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Partitions is the number of ranges that the job identities are split into.
-// Ownership, terms and take-overs are kept per partition.
+// Partitions is the number of hash partitions of the job identities. Ownership, terms and
+// takeovers apply to whole partitions.
 const Partitions = 64
 
-// Partition numbers one range of job identities, from 0 to Partitions-1.
+// Partition is the number of a partition, from 0 to Partitions-1.
 type Partition int
 
 // PartitionOf returns the partition of a job identity.
@@ -21,9 +21,9 @@
 	return Partition(xxhash.Sum64String(job) % Partitions)
 }
 
-// Owner returns the entry with the highest rendezvous weight for p, so that a
-// change of one entry moves only the partitions of that entry. It returns ""
-// when entries is empty.
+// Owner returns the entry that owns p: the one with the highest rendezvous weight, so
+// that adding or removing an entry moves only the partitions of that entry. It returns ""
+// if entries is empty.
 func Owner(p Partition, entries []string) string {
 	var best string
 	var bestWeight uint64
