--- a/agent/actor.go
+++ b/agent/actor.go
@@ -54,11 +54,11 @@
 
 // ledgerActor is the actor that owns the ledger.
 type ledgerActor struct {
-	agent    *Agent
-	ledger   *starter.Ledger
-	links    map[*courier.Link]*entryLink
-	byEntry  map[string]*entryLink
-	upstream worker.Announcement
+	agent       *Agent
+	ledger      *starter.Ledger
+	links       map[*courier.Link]*entryLink
+	linkByEntry map[string]*entryLink
+	upstream    worker.Announcement
 	// upstreamSeenAt is when the last announcement of the upstream arrived.
 	upstreamSeenAt  time.Time
 	lastHeartbeatAt time.Time
@@ -71,12 +71,12 @@
 		agent:        a,
 		ledger:       starter.NewLedger(a.deps.Clock, a.identity),
 		links:        make(map[*courier.Link]*entryLink),
-		byEntry:      make(map[string]*entryLink),
+		linkByEntry:  make(map[string]*entryLink),
 		messagesSent: make(map[reflect.Type]*metrics.Counter),
 	}
 }
 
-func (s *ledgerActor) count(msg any) {
+func (s *ledgerActor) countSent(msg any) {
 	t := reflect.TypeOf(msg)
 	c := s.messagesSent[t]
 	if c == nil {
@@ -139,7 +139,7 @@
 func (s *ledgerActor) announce(l *entryLink) {
 	msg := s.ledger.Announce(l.entry)
 	msg.LinkNumber = l.number
-	for id := range s.byEntry {
+	for id := range s.linkByEntry {
 		msg.Acked = append(msg.Acked, id)
 	}
 	l.link.Send(msg)
@@ -170,7 +170,7 @@
 		s.handleAnnounceReply(l, *r)
 		return
 	}
-	if l.entry == "" || s.byEntry[l.entry] != l {
+	if l.entry == "" || s.linkByEntry[l.entry] != l {
 		return // A newer link to the same entry has replaced this one.
 	}
 	switch msg := m.msg.(type) {
@@ -196,11 +196,11 @@
 func (s *ledgerActor) handleAnnounceReply(l *entryLink, r courier.AnnounceReply) {
 	if l.entry == "" {
 		l.entry = r.Entry.ID
-		if old := s.byEntry[l.entry]; old != nil {
+		if old := s.linkByEntry[l.entry]; old != nil {
 			s.close(old.link)
 			old.link.Close()
 		}
-		s.byEntry[l.entry] = l
+		s.linkByEntry[l.entry] = l
 		s.ledger.LinkUp(l.entry, l.number)
 		s.agent.links.setEntry(l.link, r.Entry)
 		s.ledger.HandleAnnounceReply(r)
@@ -218,8 +218,8 @@
 		return
 	}
 	delete(s.links, link)
-	if l.entry != "" && s.byEntry[l.entry] == l {
-		delete(s.byEntry, l.entry)
+	if l.entry != "" && s.linkByEntry[l.entry] == l {
+		delete(s.linkByEntry, l.entry)
 		s.ledger.LinkDown(l.entry, l.number)
 	}
 }
@@ -238,8 +238,8 @@
 	for _, e := range s.ledger.TakeEffects() {
 		switch e := e.(type) {
 		case starter.Send:
-			s.count(e.Msg)
-			if l := s.byEntry[e.To]; l != nil {
+			s.countSent(e.Msg)
+			if l := s.linkByEntry[e.To]; l != nil {
 				l.link.Send(e.Msg)
 			}
 		case starter.Run:
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -102,7 +102,7 @@
 	server := &http.Server{Handler: a.handler(), ReadHeaderTimeout: 5 * time.Second}
 
 	var g run.Group
-	g.Add(func() error { return a.drainAfter(ctx, inner) }, func(error) { cancel() })
+	g.Add(func() error { return a.drainOnShutdown(ctx, inner) }, func(error) { cancel() })
 	g.Add(func() error { return server.Serve(a.listener) }, func(error) { _ = server.Close() })
 	g.Add(func() error { return a.tick(inner) }, func(error) { cancel() })
 	g.Add(func() error { return a.links.run(inner) }, func(error) { cancel() })
@@ -112,9 +112,9 @@
 	return err
 }
 
-// drainAfter begins a planned stop when ctx ends, and returns when the ledger is idle or
+// drainOnShutdown begins a planned stop when ctx ends, and returns when the ledger is idle or
 // DrainTimeout has passed. It returns early if inner ends first.
-func (a *Agent) drainAfter(ctx, inner context.Context) error {
+func (a *Agent) drainOnShutdown(ctx, inner context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-inner.Done():
@@ -122,14 +122,14 @@
 	}
 	a.deps.Log.Info("agent draining")
 	a.post(drain{})
-	limit := a.deps.Clock.After(DrainTimeout)
+	timeout := a.deps.Clock.After(DrainTimeout)
 	for {
 		answer, err := a.ask(idleQuery{})
 		if idle, ok := answer.(bool); err == nil && ok && idle {
 			return nil
 		}
 		select {
-		case <-limit:
+		case <-timeout:
 			return nil
 		case <-a.deps.Clock.After(drainPollInterval):
 		}
--- a/agent/link.go
+++ b/agent/link.go
@@ -45,8 +45,8 @@
 
 func newLinkSet(a *Agent) *linkSet {
 	s := &linkSet{agent: a, addresses: make(map[string]*address)}
-	for _, target := range a.cfg.Entries {
-		s.addresses[target] = &address{addr: target, configured: true}
+	for _, addr := range a.cfg.Entries {
+		s.addresses[addr] = &address{addr: addr, configured: true}
 	}
 	return s
 }
@@ -124,10 +124,10 @@
 }
 
 func (s *linkSet) backOff(a *address) {
-	pause := min(redialBaseDelay<<min(a.failures, 10), redialMaxDelay)
+	delay := min(redialBaseDelay<<min(a.failures, 10), redialMaxDelay)
 	a.failures++
-	jitter := time.Duration(rand.Int64N(int64(pause)))
-	a.nextDialAt = s.agent.deps.Clock.Now().Add(pause/2 + jitter)
+	jitter := time.Duration(rand.Int64N(int64(delay)))
+	a.nextDialAt = s.agent.deps.Clock.Now().Add(delay/2 + jitter)
 }
 
 // setEntry records which entry answers on a link.
--- a/agent/runner.go
+++ b/agent/runner.go
@@ -76,13 +76,13 @@
 	ctx, cancel := context.WithDeadline(context.Background(), t.Deadline.Add(resultGrace))
 	defer cancel()
 	var result worker.RunResult
-	lapsed := func() bool { return !r.deps.Clock.Now().Before(s.ExpiresAt) }
+	expired := func() bool { return !r.deps.Clock.Now().Before(s.ExpiresAt) }
 	err := r.call(ctx, "/run", worker.RunRequest{
 		Job:     t.Task.Job,
 		Index:   t.Task.Index,
 		Service: t.Service,
 		Payload: t.Payload,
-	}, lapsed, &result)
+	}, expired, &result)
 	switch {
 	case dialFailed(err), errors.Is(err, errExpired):
 		done.notStarted = true
@@ -141,14 +141,14 @@
 	return b.reader.Read(p)
 }
 
-func (r *runner) call(ctx context.Context, path string, req worker.RunRequest, lapsed func() bool, reply any) error {
+func (r *runner) call(ctx context.Context, path string, req worker.RunRequest, expired func() bool, reply any) error {
 	t := r.target.Load()
 	body, err := json.Marshal(req)
 	if err != nil {
 		return errors.Wrap(err, "encode request")
 	}
 	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.address+path,
-		&callBody{reader: bytes.NewReader(body), expired: lapsed})
+		&callBody{reader: bytes.NewReader(body), expired: expired})
 	if err != nil {
 		return errors.Wrap(err, "create request")
 	}
--- a/confirmer/confirmer.go
+++ b/confirmer/confirmer.go
@@ -108,11 +108,11 @@
 func (c *Confirmer) Voters() Voters { return c.voters }
 
 // HandleStoreRead handles the result of a read of the store that began at the time at.
-func (c *Confirmer) HandleStoreRead(at time.Time, s approver.Signed, b approver.Bundle, v Voters) {
+func (c *Confirmer) HandleStoreRead(beganAt time.Time, s approver.Signed, b approver.Bundle, v Voters) {
 	c.Adopt(s, b)
 	c.AdoptVoters(v)
-	if b.Version == c.bundle.Version && at.After(c.storeReadAt) {
-		c.storeReadAt = at
+	if b.Version == c.bundle.Version && beganAt.After(c.storeReadAt) {
+		c.storeReadAt = beganAt
 	}
 }
 
@@ -135,7 +135,7 @@
 }
 
 // SetAttestation records the latest attestation of another entry.
-func (c *Confirmer) SetAttestation(entry string, w Attestation) { c.attestations[entry] = w }
+func (c *Confirmer) SetAttestation(entry string, a Attestation) { c.attestations[entry] = a }
 
 // IsWitness reports whether attestations of this entry count for others.
 func (c *Confirmer) IsWitness() bool {
@@ -191,9 +191,9 @@
 		}
 		return time.Time{}
 	}
-	w := c.attestations[id]
-	if !w.Witness || w.BundleVersion > c.bundle.Version || w.VotersVersion > c.voters.Version {
+	a := c.attestations[id]
+	if !a.Witness || a.BundleVersion > c.bundle.Version || a.VotersVersion > c.voters.Version {
 		return time.Time{}
 	}
-	return w.AsOf
+	return a.AsOf
 }
--- a/courier/sender.go
+++ b/courier/sender.go
@@ -17,8 +17,8 @@
 }
 
 // NewSender returns the sender of a link whose connection is closed by onClose.
-func NewSender(end func()) *Sender {
-	return &Sender{outbox: NewOutbox(), closed: make(chan struct{}), onClose: end}
+func NewSender(onClose func()) *Sender {
+	return &Sender{outbox: NewOutbox(), closed: make(chan struct{}), onClose: onClose}
 }
 
 // Send queues msg, a value of a message type. It never blocks: a link whose outbox is
--- a/receiver/agents.go
+++ b/receiver/agents.go
@@ -32,13 +32,13 @@
 // handleAnnounce handles an agent's heartbeat and answers it. On a new link, the answer is
 // sent before any other message, since it identifies this entry.
 func (c *core) handleAnnounce(l link, an courier.Announce) {
-	known, ok := c.agents[l]
+	known, ok := c.agentLinks[l]
 	reply := c.announceReply(an)
 	if !ok {
 		reply.Terms = c.dispatcher.Terms()
 	}
 	l.Send(reply)
-	c.agents[l] = agentLink{name: an.Agent, number: an.LinkNumber, bundleVersion: an.BundleVersion}
+	c.agentLinks[l] = agentLink{name: an.Agent, number: an.LinkNumber, bundleVersion: an.BundleVersion}
 	if ok {
 		if known.number == an.LinkNumber {
 			c.dispatcher.AgentHeartbeat(an)
@@ -46,7 +46,7 @@
 		return
 	}
 	if old := c.linkByAgent[an.Agent]; old != nil {
-		delete(c.agents, old)
+		delete(c.agentLinks, old)
 		old.Close()
 	}
 	c.linkByAgent[an.Agent] = l
@@ -57,7 +57,7 @@
 	confirmed := c.confirmer.ConfirmedAt()
 	bundle := c.confirmer.Bundle()
 	reply := courier.AnnounceReply{
-		Entry:         c.info,
+		Entry:         c.self,
 		Entries:       c.registrar.AliveEntries(),
 		Stamp:         an.Stamp,
 		Fresh:         !confirmed.IsZero(),
--- a/receiver/bundle.go
+++ b/receiver/bundle.go
@@ -12,7 +12,7 @@
 // handleBundleRead handles a read of the bundle and the voters from the store.
 func (c *core) handleBundleRead(m bundleRead) {
 	old := c.confirmer.Bundle().Version
-	c.confirmer.HandleStoreRead(m.at, m.signed, m.bundle, m.voters)
+	c.confirmer.HandleStoreRead(m.beganAt, m.signed, m.bundle, m.voters)
 	c.applyBundle(old, "store")
 }
 
@@ -56,15 +56,15 @@
 // registration returns the registration of this entry.
 func (c *core) registration() Registration {
 	reg := Registration{
-		Entry:         c.info,
+		Entry:         c.self,
 		Incarnation:   c.incarnation,
 		DataCentre:    c.cfg.DataCentre,
 		BundleVersion: c.confirmer.Bundle().Version,
 		VotersVersion: c.confirmer.Voters().Version,
-		Agents:        len(c.agents),
+		Agents:        len(c.agentLinks),
 		SeenAt:        c.deps.Clock.Now(),
 	}
-	for _, a := range c.agents {
+	for _, a := range c.agentLinks {
 		if a.bundleVersion == reg.BundleVersion {
 			reg.AgentsInForce++
 		}
--- a/receiver/core.go
+++ b/receiver/core.go
@@ -48,18 +48,18 @@
 	}
 	// bundleRead carries the result of a read of the store that began at the time at.
 	bundleRead struct {
-		signed approver.Signed
-		bundle approver.Bundle
-		voters confirmer.Voters
-		at     time.Time
+		signed  approver.Signed
+		bundle  approver.Bundle
+		voters  confirmer.Voters
+		beganAt time.Time
 	}
 	// submitRequest carries a request. answer is called once, unless the caller
 	// disconnects first. It must not block.
 	submitRequest struct {
 		request dispatcher.Request
 		answer  func(courier.Answer)
-		// opened receives the waiter, which a later callerLeft needs.
-		opened func(dispatcher.Waiter)
+		// onWaiter receives the waiter, which a later callerLeft needs.
+		onWaiter func(dispatcher.Waiter)
 	}
 	// callerLeft reports that a caller has disconnected.
 	callerLeft struct{ waiter dispatcher.Waiter }
@@ -82,14 +82,14 @@
 type core struct {
 	deps        provider.Deps
 	cfg         Config
-	info        courier.EntryInfo
+	self        courier.EntryInfo
 	incarnation string
 	// onKnownEntries is called with the other known entries.
 	onKnownEntries func([]courier.EntryInfo)
 
 	dispatcher  *dispatcher.Dispatcher
 	registrar   *registrar.Registrar
-	agents      map[link]agentLink
+	agentLinks  map[link]agentLink
 	linkByAgent map[string]link
 	// answerFuncs holds the function to call with the answer, by waiter.
 	answerFuncs map[dispatcher.Waiter]func(courier.Answer)
@@ -100,8 +100,8 @@
 	confirmer *confirmer.Confirmer
 }
 
-func newCore(deps provider.Deps, cfg Config, info courier.EntryInfo, learn func([]courier.EntryInfo)) *core {
-	owner := dispatcher.NewDispatcher(deps.Clock, dispatcher.Config{
+func newCore(deps provider.Deps, cfg Config, self courier.EntryInfo, onKnownEntries func([]courier.EntryInfo)) *core {
+	d := dispatcher.NewDispatcher(deps.Clock, dispatcher.Config{
 		Entry:     cfg.ID,
 		Seed:      cfg.Seed,
 		Placement: cfg.Placement,
@@ -110,13 +110,13 @@
 	return &core{
 		deps:           deps,
 		cfg:            cfg,
-		info:           info,
+		self:           self,
 		incarnation:    uuid.NewString(),
-		onKnownEntries: learn,
-		dispatcher:     owner,
-		registrar:      registrar.NewRegistrar(deps.Clock, info),
-		confirmer:      confirmer.NewConfirmer(deps.Clock, info.ID),
-		agents:         make(map[link]agentLink),
+		onKnownEntries: onKnownEntries,
+		dispatcher:     d,
+		registrar:      registrar.NewRegistrar(deps.Clock, self),
+		confirmer:      confirmer.NewConfirmer(deps.Clock, self.ID),
+		agentLinks:     make(map[link]agentLink),
 		linkByAgent:    make(map[string]link),
 		answerFuncs:    make(map[dispatcher.Waiter]func(courier.Answer)),
 		relays:         make(map[relayKey]dispatcher.Waiter),
@@ -186,7 +186,7 @@
 
 func (c *core) submit(m submitRequest) {
 	w := c.newWaiter(m.answer)
-	m.opened(w)
+	m.onWaiter(w)
 	m.request.Waiter = w
 	c.dispatcher.Submit(m.request)
 }
@@ -219,7 +219,7 @@
 	case *courier.RelayQuery:
 		l.Send(courier.RelayReply{ID: m.ID, Answer: c.query(m.Job, m.Cancel)})
 	default:
-		if a, ok := c.agents[l]; ok {
+		if a, ok := c.agentLinks[l]; ok {
 			c.receiveFromAgent(a, msg)
 		}
 	}
@@ -250,7 +250,7 @@
 	roster, certain := c.dispatcher.Roster()
 	echo := c.registrar.Echo(to)
 	h := courier.PeerHello{
-		Entry:         c.info,
+		Entry:         c.self,
 		Incarnation:   c.incarnation,
 		Ready:         c.registrar.Ready(),
 		Leaving:       c.registrar.Leaving(),
@@ -276,9 +276,9 @@
 // handleLinkClosed handles the closing of an accepted link. The jobs relayed over it
 // continue, since the entry that relayed them relays them again over a new link.
 func (c *core) handleLinkClosed(l link) {
-	a, ok := c.agents[l]
+	a, ok := c.agentLinks[l]
 	if ok {
-		delete(c.agents, l)
+		delete(c.agentLinks, l)
 		if c.linkByAgent[a.name] == l {
 			delete(c.linkByAgent, a.name)
 			c.dispatcher.AgentLinkDown(a.name, a.number)
--- a/receiver/dump.go
+++ b/receiver/dump.go
@@ -31,7 +31,7 @@
 
 func (c *core) dump() Dump {
 	return Dump{
-		Entry:         c.info,
+		Entry:         c.self,
 		DataCentre:    c.cfg.DataCentre,
 		Incarnation:   c.incarnation,
 		Leaving:       c.registrar.Leaving(),
--- a/receiver/echo_test.go
+++ b/receiver/echo_test.go
@@ -23,7 +23,7 @@
 	}
 	read := func(c *core) {
 		c.handle(bundleRead{
-			bundle: simBundle(), at: clock.Now(),
+			bundle: simBundle(), beganAt: clock.Now(),
 			voters: confirmer.Voters{Version: 1, Entries: []string{"entry-1", "entry-2", "entry-3"}},
 		})
 	}
--- a/receiver/fault_test.go
+++ b/receiver/fault_test.go
@@ -26,59 +26,59 @@
 // fault is a fault between the two processes of a step.
 type fault struct {
 	name   string
-	inject func(w *simulation, from, to *process)
+	inject func(sim *simulation, from, to *process)
 	// harmless means that every job still has to complete.
 	harmless bool
 }
 
 var faults = []fault{
-	{"kill sender", func(w *simulation, from, _ *process) { w.kill(from) }, false},
-	{"kill receiver", func(w *simulation, _, to *process) { w.kill(to) }, false},
-	{"restart sender", func(w *simulation, from, _ *process) { w.restartProcess(from) }, false},
-	{"restart receiver", func(w *simulation, _, to *process) { w.restartProcess(to) }, false},
-	{"freeze sender", func(w *simulation, from, _ *process) { w.pause(from, 8*time.Second) }, true},
-	{"freeze receiver", func(w *simulation, _, to *process) { w.pause(to, 8*time.Second) }, true},
-	{"freeze short", func(w *simulation, _, to *process) { w.pause(to, 1200*time.Millisecond) }, true},
-	{"silent one way", func(w *simulation, from, to *process) { w.dropMessages(from, to, true, false) }, true},
-	{"silent other way", func(w *simulation, from, to *process) { w.dropMessages(from, to, false, true) }, true},
-	{"silent both ways", func(w *simulation, from, to *process) { w.dropMessages(from, to, true, true) }, true},
-	{"cut off for 8 s", func(w *simulation, from, to *process) { w.disconnect(from, to, 8*time.Second) }, true},
-	{"isolate sender", func(w *simulation, from, _ *process) { w.isolate(from, 8*time.Second) }, true},
-	{"isolate receiver", func(w *simulation, _, to *process) { w.isolate(to, 8*time.Second) }, true},
-	{"late", func(w *simulation, from, to *process) { w.delayMessages(from, to, 900*time.Millisecond) }, true},
-	{"very late", func(w *simulation, from, to *process) { w.delayMessages(from, to, 4*time.Second) }, true},
-	{"doubled", func(w *simulation, from, to *process) { w.duplicateMessages(from, to) }, true},
-	{"store down", func(w *simulation, _, _ *process) { w.store.down = true }, true},
-	{"store cut from sender", func(w *simulation, from, _ *process) { w.store.unreachableFrom[from.name] = true }, true},
-	{"stop as planned", func(w *simulation, from, to *process) { w.drainProcesses(from, to) }, true},
-	{"upstream leaves", func(w *simulation, from, to *process) { w.eachAgent(from, to, (*simAgent).announceLeaving) }, true},
-	{"upstream dies", func(w *simulation, from, to *process) {
-		w.eachAgent(from, to, func(a *simAgent) { a.upstreamDead = true })
+	{"kill sender", func(sim *simulation, from, _ *process) { sim.kill(from) }, false},
+	{"kill receiver", func(sim *simulation, _, to *process) { sim.kill(to) }, false},
+	{"restart sender", func(sim *simulation, from, _ *process) { sim.restartProcess(from) }, false},
+	{"restart receiver", func(sim *simulation, _, to *process) { sim.restartProcess(to) }, false},
+	{"freeze sender", func(sim *simulation, from, _ *process) { sim.pause(from, 8*time.Second) }, true},
+	{"freeze receiver", func(sim *simulation, _, to *process) { sim.pause(to, 8*time.Second) }, true},
+	{"freeze short", func(sim *simulation, _, to *process) { sim.pause(to, 1200*time.Millisecond) }, true},
+	{"silent one way", func(sim *simulation, from, to *process) { sim.dropMessages(from, to, true, false) }, true},
+	{"silent other way", func(sim *simulation, from, to *process) { sim.dropMessages(from, to, false, true) }, true},
+	{"silent both ways", func(sim *simulation, from, to *process) { sim.dropMessages(from, to, true, true) }, true},
+	{"cut off for 8 s", func(sim *simulation, from, to *process) { sim.disconnect(from, to, 8*time.Second) }, true},
+	{"isolate sender", func(sim *simulation, from, _ *process) { sim.isolate(from, 8*time.Second) }, true},
+	{"isolate receiver", func(sim *simulation, _, to *process) { sim.isolate(to, 8*time.Second) }, true},
+	{"late", func(sim *simulation, from, to *process) { sim.delayMessages(from, to, 900*time.Millisecond) }, true},
+	{"very late", func(sim *simulation, from, to *process) { sim.delayMessages(from, to, 4*time.Second) }, true},
+	{"doubled", func(sim *simulation, from, to *process) { sim.duplicateMessages(from, to) }, true},
+	{"store down", func(sim *simulation, _, _ *process) { sim.store.down = true }, true},
+	{"store cut from sender", func(sim *simulation, from, _ *process) { sim.store.unreachableFrom[from.name] = true }, true},
+	{"stop as planned", func(sim *simulation, from, to *process) { sim.drainProcesses(from, to) }, true},
+	{"upstream leaves", func(sim *simulation, from, to *process) { sim.eachAgent(from, to, (*simAgent).announceLeaving) }, true},
+	{"upstream dies", func(sim *simulation, from, to *process) {
+		sim.eachAgent(from, to, func(a *simAgent) { a.upstreamDead = true })
 	}, false},
-	{"upstream fails all", func(w *simulation, from, to *process) {
-		w.eachAgent(from, to, func(a *simAgent) { a.failAll = true })
+	{"upstream fails all", func(sim *simulation, from, to *process) {
+		sim.eachAgent(from, to, func(a *simAgent) { a.failAll = true })
 	}, false},
-	{"new entry", func(w *simulation, _, _ *process) { w.addEntry(fmt.Sprintf("entry-%d", len(w.entries)+1)) }, true},
-	{"resubmission", func(w *simulation, _, _ *process) {
-		for _, c := range w.callers {
-			w.after(0, c.resubmit)
+	{"new entry", func(sim *simulation, _, _ *process) { sim.addEntry(fmt.Sprintf("entry-%d", len(sim.entries)+1)) }, true},
+	{"resubmission", func(sim *simulation, _, _ *process) {
+		for _, c := range sim.callers {
+			sim.after(0, c.resubmit)
 		}
 	}, false},
 }
 
-func (w *simulation) restartProcess(p *process) {
-	for _, a := range w.agents {
+func (sim *simulation) restartProcess(p *process) {
+	for _, a := range sim.agents {
 		if a.proc == p {
-			a.restart(len(w.agents))
+			a.restart(len(sim.agents))
 			return
 		}
 	}
-	w.kill(p)
-	w.after(500*time.Millisecond, func() { w.addEntry(p.name) })
+	sim.kill(p)
+	sim.after(500*time.Millisecond, func() { sim.addEntry(p.name) })
 }
 
-func (w *simulation) eachConn(from, to *process, f func(near, far *simConnEnd)) {
-	for _, x := range w.conns {
+func (sim *simulation) eachConn(from, to *process, f func(near, far *simConnEnd)) {
+	for _, x := range sim.conns {
 		switch {
 		case x.a.owner == from && x.b.owner == to:
 			f(x.a, x.b)
@@ -88,59 +88,59 @@
 	}
 }
 
-func (w *simulation) dropMessages(from, to *process, there, back bool) {
-	w.eachConn(from, to, func(near, far *simConnEnd) {
+func (sim *simulation) dropMessages(from, to *process, there, back bool) {
+	sim.eachConn(from, to, func(near, far *simConnEnd) {
 		near.dropSent = near.dropSent || there
 		far.dropSent = far.dropSent || back
 	})
 }
 
-func (w *simulation) delayMessages(from, to *process, d time.Duration) {
-	w.eachConn(from, to, func(near, _ *simConnEnd) { near.sendDelay = d })
+func (sim *simulation) delayMessages(from, to *process, d time.Duration) {
+	sim.eachConn(from, to, func(near, _ *simConnEnd) { near.sendDelay = d })
 }
 
-func (w *simulation) duplicateMessages(from, to *process) {
-	w.eachConn(from, to, func(near, _ *simConnEnd) { near.duplicateSent = true })
+func (sim *simulation) duplicateMessages(from, to *process) {
+	sim.eachConn(from, to, func(near, _ *simConnEnd) { near.duplicateSent = true })
 }
 
-func (w *simulation) disconnect(from, to *process, d time.Duration) {
+func (sim *simulation) disconnect(from, to *process, d time.Duration) {
 	pairs := [][2]string{{from.name, to.name}, {to.name, from.name}}
 	for _, p := range pairs {
-		w.blocked[p] = true
+		sim.blocked[p] = true
 	}
-	w.after(d, func() {
+	sim.after(d, func() {
 		for _, p := range pairs {
-			delete(w.blocked, p)
+			delete(sim.blocked, p)
 		}
 	})
 }
 
 // isolate cuts an entry off from the other entries and the store.
-func (w *simulation) isolate(p *process, d time.Duration) {
-	w.store.unreachableFrom[p.name] = true
-	for _, e := range w.entries {
+func (sim *simulation) isolate(p *process, d time.Duration) {
+	sim.store.unreachableFrom[p.name] = true
+	for _, e := range sim.entries {
 		if e.proc != p {
-			w.disconnect(p, e.proc, d)
+			sim.disconnect(p, e.proc, d)
 		}
 	}
-	w.after(d, func() { delete(w.store.unreachableFrom, p.name) })
+	sim.after(d, func() { delete(sim.store.unreachableFrom, p.name) })
 }
 
 // drainProcesses begins a planned stop of the entries among the processes.
-func (w *simulation) drainProcesses(list ...*process) {
-	for _, e := range w.entries {
+func (sim *simulation) drainProcesses(list ...*process) {
+	for _, e := range sim.entries {
 		for _, p := range list {
 			if e.proc == p {
-				w.after(0, func() { p.exec(func() { e.core.handle(drain{}) }) })
+				sim.after(0, func() { p.exec(func() { e.core.handle(drain{}) }) })
 				return
 			}
 		}
 	}
-	w.eachAgent(list[0], list[0], func(a *simAgent) { a.ledger.SetDraining() })
+	sim.eachAgent(list[0], list[0], func(a *simAgent) { a.ledger.SetDraining() })
 }
 
-func (w *simulation) eachAgent(from, to *process, f func(*simAgent)) {
-	for _, a := range w.agents {
+func (sim *simulation) eachAgent(from, to *process, f func(*simAgent)) {
+	for _, a := range sim.agents {
 		if a.proc == from || a.proc == to {
 			f(a)
 		}
@@ -155,15 +155,15 @@
 }
 
 // injectAt sets the world up so that each strike happens once.
-func (w *simulation) injectAt(strikes ...scheduledFault) {
+func (sim *simulation) injectAt(scheduled ...scheduledFault) {
 	seen := make(map[string]int)
-	done := make([]bool, len(strikes))
-	w.onStep = func(step string, from, to *process) {
+	done := make([]bool, len(scheduled))
+	sim.onStep = func(step string, from, to *process) {
 		seen[step]++
-		for i, s := range strikes {
+		for i, s := range scheduled {
 			if !done[i] && s.step == step && seen[step] >= s.n {
 				done[i] = true
-				s.fault.inject(w, from, to)
+				s.fault.inject(sim, from, to)
 			}
 		}
 	}
@@ -171,28 +171,28 @@
 
 // runFaultSimulation runs jobs through the given faults, with resubmissions, and
 // returns the world at the end.
-func runFaultSimulation(t *testing.T, seed uint64, strikes ...scheduledFault) *simulation {
-	w := newSimulation(t, seed, 3, 3, 2)
-	w.injectAt(strikes...)
+func runFaultSimulation(t *testing.T, seed uint64, scheduled ...scheduledFault) *simulation {
+	sim := newSimulation(t, seed, 3, 3, 2)
+	sim.injectAt(scheduled...)
 	for i := range 4 {
-		w.submit(fmt.Sprintf("job-%d", i), i, 1+5*i, 150+50*i, 25*time.Second)
-		w.run(40 * time.Millisecond)
+		sim.submit(fmt.Sprintf("job-%d", i), i, 1+5*i, 150+50*i, 25*time.Second)
+		sim.run(40 * time.Millisecond)
 	}
 	for range 3 {
-		w.run(4 * time.Second)
-		for _, c := range w.callers {
+		sim.run(4 * time.Second)
+		for _, c := range sim.callers {
 			if c.open {
 				c.resubmit()
 			}
 		}
 	}
-	w.run(25 * time.Second)
-	return w
+	sim.run(25 * time.Second)
+	return sim
 }
 
-func (w *simulation) completed() int {
+func (sim *simulation) completed() int {
 	n := 0
-	for _, c := range w.callers {
+	for _, c := range sim.callers {
 		if len(c.answers) > 0 && c.last().State == courier.Complete {
 			n++
 		}
@@ -201,14 +201,14 @@
 }
 
 func TestSimulationCompletesJobs(t *testing.T) {
-	w := newSimulation(t, 1, 3, 3, 4)
+	sim := newSimulation(t, 1, 3, 3, 4)
 	for i := range 9 {
-		w.submit(fmt.Sprintf("job-%d", i), i, 1+i*3, 100, 20*time.Second)
+		sim.submit(fmt.Sprintf("job-%d", i), i, 1+i*3, 100, 20*time.Second)
 	}
-	w.run(20 * time.Second)
-	w.check()
-	for _, c := range w.callers {
-		require.Equal(t, courier.Complete, c.last().State, "%s: %+v", c.sub.JobID(), c.last())
+	sim.run(20 * time.Second)
+	sim.check()
+	for _, c := range sim.callers {
+		require.Equal(t, courier.Complete, c.last().State, "%s: %+v", c.submission.JobID(), c.last())
 	}
 }
 
@@ -221,15 +221,15 @@
 				for n := 1; n <= 9; n += 4 {
 					t.Run(fmt.Sprintf("%s %d", step, n), func(t *testing.T) {
 						t.Parallel()
-						w := runFaultSimulation(t, uint64(n), scheduledFault{step, n, f})
-						w.check()
-						for _, c := range w.callers {
+						sim := runFaultSimulation(t, uint64(n), scheduledFault{step, n, f})
+						sim.check()
+						for _, c := range sim.callers {
 							if f.harmless {
 								require.Equal(t, courier.Complete, c.last().State, "%+v", c.last())
 							}
 						}
-						done.Add(int64(w.completed()))
-						all.Add(int64(len(w.callers)))
+						done.Add(int64(sim.completed()))
+						all.Add(int64(len(sim.callers)))
 					})
 				}
 			}
@@ -242,16 +242,16 @@
 func TestFaultPairs(t *testing.T) {
 	for seed := range *faultPairs {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		var strikes []scheduledFault
+		var scheduled []scheduledFault
 		name := fmt.Sprintf("seed %d", seed)
 		for range 2 {
 			s := scheduledFault{faultSteps[rng.IntN(len(faultSteps))], 1 + rng.IntN(20), faults[rng.IntN(len(faults))]}
-			strikes = append(strikes, s)
+			scheduled = append(scheduled, s)
 			name += fmt.Sprintf(", %s at %s %d", s.fault.name, s.step, s.n)
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runFaultSimulation(t, seed, strikes...).check()
+			runFaultSimulation(t, seed, scheduled...).check()
 		})
 	}
 }
--- a/receiver/http.go
+++ b/receiver/http.go
@@ -52,23 +52,23 @@
 }
 
 func (r *Receiver) serveSubmit(w http.ResponseWriter, req *http.Request) {
-	r.handling.Add(1)
-	defer r.handling.Add(-1)
+	r.inFlight.Add(1)
+	defer r.inFlight.Add(-1)
 	s, p := r.parse(http.MaxBytesReader(w, req.Body, MaxBodyBytes))
 	if p != nil {
 		writeProblem(w, *p)
 		return
 	}
-	began := r.deps.Clock.Now()
+	start := r.deps.Clock.Now()
 	a := r.route(req.Context(), s)
-	r.logAnswer(a, r.deps.Clock.Since(began))
+	r.logAnswer(a, r.deps.Clock.Since(start))
 	writeAnswer(w, a)
 }
 
-func (r *Receiver) logAnswer(a courier.Answer, took time.Duration) {
+func (r *Receiver) logAnswer(a courier.Answer, elapsed time.Duration) {
 	r.deps.Metrics.GetOrCreateCounter(fmt.Sprintf(
 		`pomeloferry_answers_total{state=%q,reason=%q,bundle_version="%d"}`, a.State, a.Reason, a.BundleVersion)).Inc()
-	r.deps.Metrics.GetOrCreateHistogram(`pomeloferry_answer_seconds`).Update(took.Seconds())
+	r.deps.Metrics.GetOrCreateHistogram(`pomeloferry_answer_seconds`).Update(elapsed.Seconds())
 	level := logrus.InfoLevel
 	if a.State == courier.Complete {
 		level = logrus.DebugLevel
@@ -78,7 +78,7 @@
 		"state":          a.State,
 		"reason":         a.Reason,
 		"bundle_version": a.BundleVersion,
-		"millis":         took.Milliseconds(),
+		"millis":         elapsed.Milliseconds(),
 	}).Log(level, "answered")
 }
 
@@ -106,7 +106,7 @@
 	problem := func(field, format string, args ...any) *Problem {
 		return &Problem{Field: field, Detail: fmt.Sprintf(format, args...)}
 	}
-	longest := approver.MaxDeadlineMillis * time.Millisecond
+	maxDeadline := approver.MaxDeadlineMillis * time.Millisecond
 	switch {
 	case !validName(s.Team):
 		return problem("Team", "found %q, allowed 1 to %d characters without a slash", s.Team, maxKeyBytes)
@@ -122,8 +122,8 @@
 		return problem("Deadline", "found none, allowed a time in RFC 3339 form")
 	case !s.Deadline.After(now):
 		return problem("Deadline", "found %s, which has passed; nothing was started by this request", s.Deadline.Format(time.RFC3339Nano))
-	case s.Deadline.Sub(now) > longest:
-		return problem("Deadline", "found %s ahead, allowed %s", s.Deadline.Sub(now).Round(time.Millisecond), longest)
+	case s.Deadline.Sub(now) > maxDeadline:
+		return problem("Deadline", "found %s ahead, allowed %s", s.Deadline.Sub(now).Round(time.Millisecond), maxDeadline)
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	dump := answer.(Dump)
-	dump.Requests = r.handling.Load()
+	dump.Requests = r.inFlight.Load()
 	return dump, nil
 }
 
--- a/receiver/model_test.go
+++ b/receiver/model_test.go
@@ -53,69 +53,69 @@
 // first is open, and TestKeysAreLinearisable judges that.
 func TestAnswersMatchTheReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), 3, 3, 3)
+		sim := newSimulation(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), 3, 3, 3)
 		model := &referenceModel{tasks: make(map[string]int)}
-		var wanted []courier.State
+		var expected []courier.State
 		last := make(map[string]*caller)
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
 			key := fmt.Sprintf("key-%d", rapid.IntRange(0, 3).Draw(t, "key"))
 			tasks := rapid.IntRange(1, 4).Draw(t, "tasks")
-			w.runUntilAnswered(last[key])
+			sim.runUntilAnswered(last[key])
 			_, used := model.tasks[key]
-			wanted = append(wanted, model.submit(key, tasks))
-			c := w.newCaller(key, rapid.IntRange(0, 2).Draw(t, "entry"), tasks)
+			expected = append(expected, model.submit(key, tasks))
+			c := sim.newCaller(key, rapid.IntRange(0, 2).Draw(t, "entry"), tasks)
 			if used {
-				c.sub.Attempt = 2
+				c.submission.Attempt = 2
 			}
 			c.send()
 			last[key] = c
-			w.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
-			w.injectHarmlessFault(rapid.IntRange(0, 5).Draw(t, "fault"), rapid.IntRange(0, 2).Draw(t, "target"))
+			sim.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
+			sim.injectHarmlessFault(rapid.IntRange(0, 5).Draw(t, "fault"), rapid.IntRange(0, 2).Draw(t, "target"))
 		}
-		w.run(40 * time.Second)
-		require.Empty(t, w.violations)
-		for i, c := range w.callers {
-			require.Equal(t, wanted[i], c.last().State, "step %d: %+v", i, c.last())
+		sim.run(40 * time.Second)
+		require.Empty(t, sim.violations)
+		for i, c := range sim.callers {
+			require.Equal(t, expected[i], c.last().State, "step %d: %+v", i, c.last())
 		}
 	})
 }
 
 // runUntilAnswered lets the world go on until a caller has its answer.
-func (w *simulation) runUntilAnswered(c *caller) {
+func (sim *simulation) runUntilAnswered(c *caller) {
 	for range 100 {
 		if c == nil || len(c.answers) > 0 {
 			return
 		}
-		w.run(100 * time.Millisecond)
+		sim.run(100 * time.Millisecond)
 	}
 }
 
 // newCaller returns a caller that has not sent its job yet. All jobs of a world
 // have the same deadline, since a body includes it.
-func (w *simulation) newCaller(key string, entry, tasks int) *caller {
-	c := &caller{world: w, entry: entry, sub: courier.Submission{
+func (sim *simulation) newCaller(key string, entry, tasks int) *caller {
+	c := &caller{sim: sim, entry: entry, submission: courier.Submission{
 		Team: "team", Key: key, Service: "quote", Attempt: 1, Detached: true,
 		Deadline: time.Date(2026, 1, 1, 0, 0, 55, 0, time.UTC),
 	}}
 	for range tasks {
-		c.sub.Tasks = append(c.sub.Tasks, courier.Task{Payload: payload(150)})
+		c.submission.Tasks = append(c.submission.Tasks, courier.Task{Payload: payload(150)})
 	}
-	w.callers = append(w.callers, c)
+	sim.callers = append(sim.callers, c)
 	return c
 }
 
 // injectHarmlessFault strikes one of the faults that lose nothing.
-func (w *simulation) injectHarmlessFault(fault, target int) {
-	e, a := w.entries[target].proc, w.agents[target].proc
+func (sim *simulation) injectHarmlessFault(fault, target int) {
+	e, a := sim.entries[target].proc, sim.agents[target].proc
 	switch fault {
 	case 0:
-		w.pause(e, 3*time.Second)
+		sim.pause(e, 3*time.Second)
 	case 1:
-		w.pause(a, 3*time.Second)
+		sim.pause(a, 3*time.Second)
 	case 2:
-		w.dropMessages(e, a, true, true)
+		sim.dropMessages(e, a, true, true)
 	case 3:
-		w.dropMessages(w.entries[(target+1)%3].proc, e, true, false)
+		sim.dropMessages(sim.entries[(target+1)%3].proc, e, true, false)
 	}
 }
 
@@ -158,21 +158,21 @@
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, seed, 3, 3, 3)
+			sim := newSimulation(t, seed, 3, 3, 3)
 			rng := rand.New(rand.NewPCG(seed, 3))
-			w.injectAt(scheduledFault{faultSteps[rng.IntN(len(faultSteps))], 1 + rng.IntN(10), faults[rng.IntN(10)]})
-			called := raceBodies(w, rng)
-			w.run(50 * time.Second)
-			require.Empty(t, w.violations)
+			sim.injectAt(scheduledFault{faultSteps[rng.IntN(len(faultSteps))], 1 + rng.IntN(10), faults[rng.IntN(10)]})
+			submittedAt := raceBodies(sim, rng)
+			sim.run(50 * time.Second)
+			require.Empty(t, sim.violations)
 			var history []porcupine.Operation
-			for i, c := range w.callers {
+			for i, c := range sim.callers {
 				if len(c.answers) == 0 {
 					continue
 				}
 				history = append(history, porcupine.Operation{
 					ClientId: i,
-					Input:    registerInput{body: len(c.sub.Tasks)},
-					Call:     called[i].UnixNano(),
+					Input:    registerInput{body: len(c.submission.Tasks)},
+					Call:     submittedAt[i].UnixNano(),
 					Output:   registerOutput{state: c.last().State},
 					Return:   c.answers[len(c.answers)-1].at.UnixNano(),
 				})
@@ -183,18 +183,18 @@
 }
 
 // raceBodies submits two bodies under one key several times, and returns when.
-func raceBodies(w *simulation, rng *rand.Rand) []time.Time {
-	var called []time.Time
+func raceBodies(sim *simulation, rng *rand.Rand) []time.Time {
+	var submittedAt []time.Time
 	for i := range 8 {
-		c := w.newCaller("key", i, 1+rng.IntN(2)*4)
+		c := sim.newCaller("key", i, 1+rng.IntN(2)*4)
 		if i > 0 {
-			c.sub.Attempt = 2
+			c.submission.Attempt = 2
 		}
-		called = append(called, w.clock.Now())
+		submittedAt = append(submittedAt, sim.clock.Now())
 		c.send()
-		w.run(time.Duration(rng.IntN(600)) * time.Millisecond)
+		sim.run(time.Duration(rng.IntN(600)) * time.Millisecond)
 	}
-	return called
+	return submittedAt
 }
 
 // TestSimulationsAreRepeatable runs the same faults twice: a failure that was seen
@@ -202,17 +202,17 @@
 func TestSimulationsAreRepeatable(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		strikes := []scheduledFault{
+		scheduled := []scheduledFault{
 			{faultSteps[rng.IntN(len(faultSteps))], 1 + rng.IntN(9), faults[rng.IntN(len(faults))]},
 			{faultSteps[rng.IntN(len(faultSteps))], 1 + rng.IntN(9), faults[rng.IntN(len(faults))]},
 		}
 		history := func() string {
-			w := runFaultSimulation(t, seed, strikes...)
+			sim := runFaultSimulation(t, seed, scheduled...)
 			out := ""
-			for _, s := range w.startLog {
+			for _, s := range sim.startLog {
 				out += fmt.Sprintln(s.at, s.task, s.agent.id.Incarnation)
 			}
-			for _, c := range w.callers {
+			for _, c := range sim.callers {
 				out += fmt.Sprintln(c.answers)
 			}
 			return out
--- a/receiver/peer.go
+++ b/receiver/peer.go
@@ -17,8 +17,8 @@
 
 // peer is another entry, reached over a link that this entry opens.
 type peer struct {
-	set    *peerSet
-	target string
+	set  *peerSet
+	addr string
 	// stop ends the goroutine, which closes the link.
 	stop context.CancelFunc
 
@@ -48,8 +48,8 @@
 	s.mu.Lock()
 	s.ctx = ctx
 	s.mu.Unlock()
-	for _, target := range s.receiver.cfg.Peers {
-		s.add(target, "")
+	for _, addr := range s.receiver.cfg.Peers {
+		s.add(addr, "")
 	}
 	<-ctx.Done()
 	return nil
@@ -65,23 +65,23 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for target, p := range s.peers {
-		if !known[target] && !slices.Contains(s.receiver.cfg.Peers, target) {
+	for addr, p := range s.peers {
+		if !known[addr] && !slices.Contains(s.receiver.cfg.Peers, addr) {
 			p.stop()
-			delete(s.peers, target)
+			delete(s.peers, addr)
 		}
 	}
 }
 
-func (s *peerSet) add(target, id string) {
+func (s *peerSet) add(addr, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ctx == nil || target == s.receiver.self.Link || s.peers[target] != nil {
+	if s.ctx == nil || addr == s.receiver.self.Link || s.peers[addr] != nil {
 		return
 	}
 	ctx, stop := context.WithCancel(s.ctx)
-	p := &peer{set: s, target: target, id: id, stop: stop, pending: make(map[uint64]chan courier.Answer)}
-	s.peers[target] = p
+	p := &peer{set: s, addr: addr, id: id, stop: stop, pending: make(map[uint64]chan courier.Answer)}
+	s.peers[addr] = p
 	go p.run(ctx)
 }
 
@@ -107,7 +107,7 @@
 func (p *peer) run(ctx context.Context) {
 	clock := p.set.receiver.deps.Clock
 	for ctx.Err() == nil {
-		link, err := courier.Dial(ctx, p.target, p)
+		link, err := courier.Dial(ctx, p.addr, p)
 		if err == nil {
 			p.setLink(link)
 			p.sendHeartbeats(ctx, link)
@@ -191,7 +191,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link == nil {
-		return 0, nil, &Error{Op: "relay", Kind: Disconnected, Err: errors.Errorf("no link to %s", p.target)}
+		return 0, nil, &Error{Op: "relay", Kind: Disconnected, Err: errors.Errorf("no link to %s", p.addr)}
 	}
 	p.lastID++
 	answer := make(chan courier.Answer, 1)
@@ -206,7 +206,7 @@
 	select {
 	case a, ok := <-answer:
 		if !ok {
-			return courier.Answer{}, &Error{Op: "relay", Kind: Disconnected, Err: errors.Errorf("link to %s closed", p.target)}
+			return courier.Answer{}, &Error{Op: "relay", Kind: Disconnected, Err: errors.Errorf("link to %s closed", p.addr)}
 		}
 		return a, nil
 	case <-ctx.Done():
--- a/receiver/peer_test.go
+++ b/receiver/peer_test.go
@@ -14,16 +14,16 @@
 // TestPeersThatAreForgottenAreDropped learns of an entry that is replaced: its
 // address must not be dialled for ever.
 func TestPeersThatAreForgottenAreDropped(t *testing.T) {
-	const named, learned = "127.0.0.1:1", "127.0.0.1:2"
-	r := &Receiver{deps: provider.NewDeps(io.Discard), cfg: Config{Peers: []string{named}}}
+	const configured, learned = "127.0.0.1:1", "127.0.0.1:2"
+	r := &Receiver{deps: provider.NewDeps(io.Discard), cfg: Config{Peers: []string{configured}}}
 	s := newPeerSet(r)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s.ctx = ctx
-	s.add(named, "")
+	s.add(configured, "")
 	s.setEntries([]courier.EntryInfo{{ID: "entry-2", Link: learned}})
 	require.Len(t, s.peers, 2)
 	s.setEntries(nil)
 	require.Len(t, s.peers, 1)
-	require.Contains(t, s.peers, named)
+	require.Contains(t, s.peers, configured)
 }
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -67,17 +67,17 @@
 
 // Receiver is one entry process.
 type Receiver struct {
-	deps     provider.Deps
-	cfg      Config
-	store    Store
-	listener net.Listener
-	links    net.Listener
-	self     courier.EntryInfo
-	system   *actor.ActorSystem
-	pid      *actor.PID
-	peers    *peerSet
-	// handling is the number of submissions in flight.
-	handling atomic.Int64
+	deps         provider.Deps
+	cfg          Config
+	store        Store
+	listener     net.Listener
+	linkListener net.Listener
+	self         courier.EntryInfo
+	system       *actor.ActorSystem
+	pid          *actor.PID
+	peers        *peerSet
+	// inFlight is the number of submissions in flight.
+	inFlight atomic.Int64
 }
 
 // NewReceiver returns an entry that listens on cfg.Listen and cfg.Link, but does not serve
@@ -87,18 +87,18 @@
 	if err != nil {
 		return nil, &Error{Op: "Listen", Kind: Unusable, Err: err}
 	}
-	links, err := net.Listen("tcp", cfg.Link)
+	linkListener, err := net.Listen("tcp", cfg.Link)
 	if err != nil {
 		_ = listener.Close()
 		return nil, &Error{Op: "Link", Kind: Unusable, Err: err}
 	}
 	r := &Receiver{
-		deps:     deps.WithField("entry", cfg.ID).WithField("data_centre", cfg.DataCentre),
-		cfg:      cfg,
-		store:    store,
-		listener: listener,
-		links:    links,
-		self:     courier.EntryInfo{ID: cfg.ID, Link: links.Addr().String()},
+		deps:         deps.WithField("entry", cfg.ID).WithField("data_centre", cfg.DataCentre),
+		cfg:          cfg,
+		store:        store,
+		listener:     listener,
+		linkListener: linkListener,
+		self:         courier.EntryInfo{ID: cfg.ID, Link: linkListener.Addr().String()},
 	}
 	r.system = announcer.NewActorSystem(r.deps)
 	r.peers = newPeerSet(r)
@@ -116,18 +116,18 @@
 	defer r.system.Shutdown()
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	front := announcer.NewGracefulServer(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
+	server := announcer.NewGracefulServer(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
 
-	f := &storePoller{receiver: r}
+	poller := &storePoller{receiver: r}
 
 	var g run.Group
-	g.Add(func() error { return r.drainAfter(ctx, inner, front, f) }, func(error) { cancel() })
-	g.Add(func() error { return front.Serve(inner) }, func(error) { front.Close() })
-	g.Add(func() error { return r.acceptLinks(inner) }, func(error) { _ = r.links.Close() })
+	g.Add(func() error { return r.drainOnShutdown(ctx, inner, server, poller) }, func(error) { cancel() })
+	g.Add(func() error { return server.Serve(inner) }, func(error) { server.Close() })
+	g.Add(func() error { return r.acceptLinks(inner) }, func(error) { _ = r.linkListener.Close() })
 	g.Add(func() error { return r.tick(inner) }, func(error) { cancel() })
 	g.Add(func() error { return r.peers.run(inner) }, func(error) { cancel() })
-	g.Add(func() error { return f.pollBundle(inner) }, func(error) { cancel() })
-	g.Add(func() error { return f.pollRegistrations(inner) }, func(error) { cancel() })
+	g.Add(func() error { return poller.pollBundle(inner) }, func(error) { cancel() })
+	g.Add(func() error { return poller.pollRegistrations(inner) }, func(error) { cancel() })
 	r.deps.Log.WithField("listen", r.listener.Addr().String()).Info("entry started")
 	err := g.Run()
 	r.deps.Log.Info("entry stopped")
@@ -140,10 +140,10 @@
 // LinkAddr returns the address at which agents and other entries reach the entry.
 func (r *Receiver) LinkAddr() string { return r.self.Link }
 
-// drainAfter begins a planned stop when ctx ends: it hands the partitions over to the
+// drainOnShutdown begins a planned stop when ctx ends: it hands the partitions over to the
 // other entries, waits until every request has been answered, and registers this entry as
 // stopped. It returns early if inner ends first.
-func (r *Receiver) drainAfter(ctx, inner context.Context, front *announcer.GracefulServer, f *storePoller) error {
+func (r *Receiver) drainOnShutdown(ctx, inner context.Context, server *announcer.GracefulServer, poller *storePoller) error {
 	select {
 	case <-ctx.Done():
 	case <-inner.Done():
@@ -152,13 +152,13 @@
 	r.deps.Log.Info("entry draining")
 	r.post(drain{})
 	r.deps.Clock.Sleep(StopAcceptDelay)
-	limit, cancel := context.WithTimeout(inner, DrainTimeout)
+	drainCtx, cancel := context.WithTimeout(inner, DrainTimeout)
 	defer cancel()
-	if left := front.Drain(limit); left > 0 {
+	if left := server.Drain(drainCtx); left > 0 {
 		r.deps.Log.WithField("in_flight", left).Warn("requests aborted at the drain timeout")
 	}
-	r.awaitIdle(limit)
-	if err := f.writeRegistration(limit, true); err != nil {
+	r.awaitIdle(drainCtx)
+	if err := poller.writeRegistration(drainCtx, true); err != nil {
 		r.deps.Log.WithError(err).Warn("planned stop not registered")
 	}
 	return nil
@@ -177,7 +177,7 @@
 
 func (r *Receiver) acceptLinks(ctx context.Context) error {
 	for {
-		socket, err := r.links.Accept()
+		socket, err := r.linkListener.Accept()
 		if err != nil {
 			return nil
 		}
--- a/receiver/route.go
+++ b/receiver/route.go
@@ -37,17 +37,17 @@
 // route sends s to its owner, again whenever the owner changes, and returns the final
 // answer. It stops ownerAnswerGrace after the deadline, or when ctx ends.
 func (r *Receiver) route(ctx context.Context, s courier.Submission) courier.Answer {
-	limit, cancel := context.WithDeadline(ctx, s.Deadline.Add(ownerAnswerGrace))
+	deadlineCtx, cancel := context.WithDeadline(ctx, s.Deadline.Add(ownerAnswerGrace))
 	defer cancel()
 	admitted := false
 	for {
-		a, sent, err := r.routeOnce(limit, s, admitted)
+		a, sent, err := r.routeOnce(deadlineCtx, s, admitted)
 		if err == nil && a.State != courier.Moved {
 			return a
 		}
 		admitted = admitted || a.Admitted || (sent && err != nil)
 		select {
-		case <-limit.Done():
+		case <-deadlineCtx.Done():
 			a := noOwnerAnswer(r.cfg.ID, s, admitted)
 			a.BundleVersion = r.deps.BundleVersion.Load()
 			return a
@@ -80,17 +80,17 @@
 // submitHere submits s to the dispatcher of this process.
 func (r *Receiver) submitHere(ctx context.Context, s courier.Submission, resent bool) (courier.Answer, error) {
 	answer := make(chan courier.Answer, 1)
-	opened := make(chan dispatcher.Waiter, 1)
+	waiter := make(chan dispatcher.Waiter, 1)
 	r.post(submitRequest{
-		request: newRequest(s, resent, 0),
-		answer:  func(a courier.Answer) { answer <- a },
-		opened:  func(w dispatcher.Waiter) { opened <- w },
+		request:  newRequest(s, resent, 0),
+		answer:   func(a courier.Answer) { answer <- a },
+		onWaiter: func(w dispatcher.Waiter) { waiter <- w },
 	})
 	select {
 	case a := <-answer:
 		return a, nil
 	case <-ctx.Done():
-		go func() { r.post(callerLeft{waiter: <-opened}) }()
+		go func() { r.post(callerLeft{waiter: <-waiter}) }()
 		return courier.Answer{}, ctx.Err()
 	}
 }
--- a/receiver/simagent_test.go
+++ b/receiver/simagent_test.go
@@ -14,14 +14,14 @@
 // simAgent is an agent: a real ledger, with wires in place of links and a
 // simulated upstream.
 type simAgent struct {
-	world  *simulation
-	proc   *process
-	ledger *starter.Ledger
-	id     starter.Identity
-	slots  int
-	links  map[*simConnEnd]*simLink
-	byName map[string]*simLink
-	number uint64
+	sim         *simulation
+	proc        *process
+	ledger      *starter.Ledger
+	id          starter.Identity
+	slots       int
+	links       map[*simConnEnd]*simLink
+	linkByEntry map[string]*simLink
+	number      uint64
 	// upstreamDead makes running tasks lost; failAll makes every task fail.
 	upstreamDead bool
 	failAll      bool
@@ -37,36 +37,36 @@
 	entry  string
 }
 
-func (w *simulation) addAgent(name string, generation int, dataCentre string, slots int) *simAgent {
+func (sim *simulation) addAgent(name string, generation int, dataCentre string, slots int) *simAgent {
 	id := starter.Identity{
 		Agent: name, Incarnation: fmt.Sprintf("%s-%d", name, generation), DataCentre: dataCentre, Rack: "rack-1",
 	}
 	a := &simAgent{
-		world: w, proc: &process{name: name}, id: id, slots: slots,
-		ledger: starter.NewLedger(w.clock, id),
-		links:  make(map[*simConnEnd]*simLink),
-		byName: make(map[string]*simLink),
+		sim: sim, proc: &process{name: name}, id: id, slots: slots,
+		ledger:      starter.NewLedger(sim.clock, id),
+		links:       make(map[*simConnEnd]*simLink),
+		linkByEntry: make(map[string]*simLink),
 	}
 	a.ledger.SetUpstream(starter.Upstream{Address: "upstream", Slots: slots, Services: []string{"quote"}})
-	w.agents = append(w.agents, a)
-	w.every(a.proc, TickInterval, func() { a.ledger.Tick(); a.applyEffects() })
-	w.every(a.proc, 100*time.Millisecond, a.dialEntries)
-	w.every(a.proc, 500*time.Millisecond, a.announceAll)
+	sim.agents = append(sim.agents, a)
+	sim.every(a.proc, TickInterval, func() { a.ledger.Tick(); a.applyEffects() })
+	sim.every(a.proc, 100*time.Millisecond, a.dialEntries)
+	sim.every(a.proc, 500*time.Millisecond, a.announceAll)
 	return a
 }
 
 // restart kills the agent and starts its next incarnation.
 func (a *simAgent) restart(generation int) *simAgent {
-	a.world.kill(a.proc)
-	return a.world.addAgent(a.id.Agent, generation, a.id.DataCentre, a.slots)
+	a.sim.kill(a.proc)
+	return a.sim.addAgent(a.id.Agent, generation, a.id.DataCentre, a.slots)
 }
 
 func (a *simAgent) dialEntries() {
-	for _, e := range a.world.entries {
+	for _, e := range a.sim.entries {
 		if a.linkTo(e) != nil {
 			continue
 		}
-		near, far := a.world.dial(a.proc, e.proc)
+		near, far := a.sim.dial(a.proc, e.proc)
 		if near == nil {
 			continue
 		}
@@ -90,7 +90,7 @@
 }
 
 func (a *simAgent) announceAll() {
-	for _, e := range a.world.entries {
+	for _, e := range a.sim.entries {
 		if l := a.linkTo(e); l != nil {
 			a.announce(l)
 		}
@@ -100,7 +100,7 @@
 func (a *simAgent) announce(l *simLink) {
 	msg := a.ledger.Announce(l.entry)
 	msg.LinkNumber = l.number
-	for id := range a.byName {
+	for id := range a.linkByEntry {
 		msg.Acked = append(msg.Acked, id)
 	}
 	slices.Sort(msg.Acked)
@@ -109,8 +109,8 @@
 
 func (a *simAgent) closed(l *simLink) {
 	delete(a.links, l.end)
-	if a.byName[l.entry] == l {
-		delete(a.byName, l.entry)
+	if a.linkByEntry[l.entry] == l {
+		delete(a.linkByEntry, l.entry)
 		a.ledger.LinkDown(l.entry, l.number)
 	}
 }
@@ -119,7 +119,7 @@
 	if r, ok := msg.(*courier.AnnounceReply); ok {
 		if l.entry == "" {
 			l.entry = r.Entry.ID
-			a.byName[l.entry] = l
+			a.linkByEntry[l.entry] = l
 			a.ledger.LinkUp(l.entry, l.number)
 			a.ledger.HandleAnnounceReply(*r)
 			a.announceAll()
@@ -128,7 +128,7 @@
 		a.ledger.HandleAnnounceReply(*r)
 		return
 	}
-	if a.byName[l.entry] != l {
+	if a.linkByEntry[l.entry] != l {
 		return
 	}
 	switch m := msg.(type) {
@@ -153,7 +153,7 @@
 	for _, e := range a.ledger.TakeEffects() {
 		switch e := e.(type) {
 		case starter.Send:
-			if l := a.byName[e.To]; l != nil {
+			if l := a.linkByEntry[e.To]; l != nil {
 				l.end.Send(e.Msg)
 			}
 		case starter.Run:
@@ -164,14 +164,14 @@
 
 // run is the upstream: it notes the start and ends the task in time.
 func (a *simAgent) run(t courier.StartTask) {
-	w := a.world
-	w.starts[t.Task]++
-	w.startLog = append(w.startLog, startEvent{at: w.clock.Now(), task: t.Task, agent: a})
-	if w.starts[t.Task] > 1 {
-		w.violation("%v: started twice, again on %s", t.Task, a.id.Incarnation)
+	sim := a.sim
+	sim.starts[t.Task]++
+	sim.startLog = append(sim.startLog, startEvent{at: sim.clock.Now(), task: t.Task, agent: a})
+	if sim.starts[t.Task] > 1 {
+		sim.violation("%v: started twice, again on %s", t.Task, a.id.Incarnation)
 	}
 	a.checkStart(t)
-	w.onStep("run", a.proc, a.proc)
+	sim.onStep("run", a.proc, a.proc)
 	var p struct{ Millis int }
 	_ = json.Unmarshal(t.Payload, &p)
 	rec := courier.Record{Task: t.Task, Digest: t.Digest, Outcome: courier.Succeeded, Result: json.RawMessage(resultOf(t.Task))}
@@ -179,7 +179,7 @@
 		rec.Outcome = courier.Errored
 		rec.Result = json.RawMessage(`"failed"`)
 	}
-	w.after(time.Duration(p.Millis)*time.Millisecond, func() {
+	sim.after(time.Duration(p.Millis)*time.Millisecond, func() {
 		if a.upstreamDead {
 			rec.Outcome = courier.Lost
 			rec.Result = nil
@@ -194,25 +194,25 @@
 // checkStart notes a start that comes too late after a departure.
 func (a *simAgent) checkStart(t courier.StartTask) {
 	const limit = 4 * time.Second
-	w := a.world
-	now := w.clock.Now()
+	sim := a.sim
+	now := sim.clock.Now()
 	if !a.leftAt.IsZero() && now.Sub(a.leftAt) > limit {
-		w.violation("%v: started on %s after it left", t.Task, a.id.Agent)
+		sim.violation("%v: started on %s after it left", t.Task, a.id.Agent)
 	}
-	at, ok := w.store.acceptedAt[w.store.bundle.Version]
+	at, ok := sim.store.acceptedAt[sim.store.bundle.Version]
 	if !ok || now.Sub(at) <= limit {
 		return
 	}
-	for _, d := range w.store.bundle.DataCentres {
+	for _, d := range sim.store.bundle.DataCentres {
 		if d.Name == a.id.DataCentre && d.State == approver.Out {
-			w.violation("%v: started in %s, which was taken out", t.Task, d.Name)
+			sim.violation("%v: started in %s, which was taken out", t.Task, d.Name)
 		}
 	}
 }
 
 // announceLeaving makes the upstream announce its departure.
 func (a *simAgent) announceLeaving() {
-	a.leftAt = a.world.clock.Now()
+	a.leftAt = a.sim.clock.Now()
 	a.ledger.SetUpstream(starter.Upstream{Slots: a.slots, Services: []string{"quote"}, Leaving: true})
 }
 
--- a/receiver/simentry_test.go
+++ b/receiver/simentry_test.go
@@ -16,7 +16,7 @@
 // simStore is the platform's store. A down store answers nobody; a cut one
 // does not answer some processes.
 type simStore struct {
-	world           *simulation
+	sim             *simulation
 	bundle          approver.Bundle
 	signed          approver.Signed
 	voters          confirmer.Voters
@@ -27,9 +27,9 @@
 	acceptedAt map[uint64]time.Time
 }
 
-func newSimStore(w *simulation) *simStore {
+func newSimStore(sim *simulation) *simStore {
 	s := &simStore{
-		world:           w,
+		sim:             sim,
 		list:            make(map[string]Registration),
 		unreachableFrom: make(map[string]bool),
 		acceptedAt:      make(map[uint64]time.Time),
@@ -48,10 +48,10 @@
 	return out
 }
 
-// noteAccepted notes when the bundle becomes accepted.
-func (s *simStore) noteAccepted() {
+// recordAccepted notes when the bundle becomes accepted.
+func (s *simStore) recordAccepted() {
 	v := s.bundle.Version
-	now := s.world.clock.Now()
+	now := s.sim.clock.Now()
 	if _, ok := s.acceptedAt[v]; !ok && BundleAccepted(v, s.voters, s.registrations(), now) {
 		s.acceptedAt[v] = now
 	}
@@ -59,7 +59,7 @@
 
 // simEntry is an entry: a real core, with wires in place of links.
 type simEntry struct {
-	world           *simulation
+	sim             *simulation
 	proc            *process
 	core            *core
 	peers           map[string]*simPeer
@@ -75,32 +75,32 @@
 	lastID  uint64
 }
 
-func (w *simulation) addEntry(id string) *simEntry {
+func (sim *simulation) addEntry(id string) *simEntry {
 	e := &simEntry{
-		world:           w,
+		sim:             sim,
 		proc:            &process{name: id},
 		peers:           make(map[string]*simPeer),
 		beforeFirstRead: true,
 	}
 	_, trust := newSimKey()
-	cfg := Config{ID: id, DataCentre: "wien", Seed: uint64(len(w.entries)), Trust: trust}
-	e.core = newCore(w.deps, cfg, courier.EntryInfo{ID: id, Link: id + "@" + w.clock.Now().String()}, e.learn)
-	w.entries = append(w.entries, e)
-	w.every(e.proc, TickInterval, func() { e.core.handle(tick{}) })
-	w.every(e.proc, 100*time.Millisecond, e.dialPeers)
-	w.every(e.proc, 500*time.Millisecond, e.sendHeartbeats)
-	w.every(e.proc, bundlePollInterval, e.pollBundle)
-	w.every(e.proc, registerInterval, e.pollRegistrations)
+	cfg := Config{ID: id, DataCentre: "wien", Seed: uint64(len(sim.entries)), Trust: trust}
+	e.core = newCore(sim.deps, cfg, courier.EntryInfo{ID: id, Link: id + "@" + sim.clock.Now().String()}, e.addPeers)
+	sim.entries = append(sim.entries, e)
+	sim.every(e.proc, TickInterval, func() { e.core.handle(tick{}) })
+	sim.every(e.proc, 100*time.Millisecond, e.dialPeers)
+	sim.every(e.proc, 500*time.Millisecond, e.sendHeartbeats)
+	sim.every(e.proc, bundlePollInterval, e.pollBundle)
+	sim.every(e.proc, registerInterval, e.pollRegistrations)
 	return e
 }
 
-func (e *simEntry) learn(list []courier.EntryInfo) {
+func (e *simEntry) addPeers(list []courier.EntryInfo) {
 	for _, info := range list {
 		if e.peers[info.Link] != nil {
 			continue
 		}
-		for _, other := range e.world.entries {
-			if other.core.info == info {
+		for _, other := range e.sim.entries {
+			if other.core.self == info {
 				e.peers[info.Link] = &simPeer{target: other, pending: make(map[uint64]func(courier.Answer, bool))}
 			}
 		}
@@ -117,8 +117,8 @@
 
 func (e *simEntry) sortedPeers() []*simPeer {
 	var out []*simPeer
-	for _, other := range e.world.entries {
-		if p := e.peers[other.core.info.Link]; p != nil {
+	for _, other := range e.sim.entries {
+		if p := e.peers[other.core.self.Link]; p != nil {
 			out = append(out, p)
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 func (e *simEntry) dialPeer(p *simPeer) {
-	near, far := e.world.dial(e.proc, p.target.proc)
+	near, far := e.sim.dial(e.proc, p.target.proc)
 	if near == nil {
 		return
 	}
@@ -172,26 +172,26 @@
 }
 
 func (e *simEntry) pollBundle() {
-	s := e.world.store
+	s := e.sim.store
 	if !s.reachable(e.proc) {
 		return
 	}
-	e.core.handle(bundleRead{signed: s.signed, bundle: s.bundle, voters: s.voters, at: e.world.clock.Now()})
+	e.core.handle(bundleRead{signed: s.signed, bundle: s.bundle, voters: s.voters, beganAt: e.sim.clock.Now()})
 	if !e.beforeFirstRead {
 		s.list[e.proc.name] = e.core.registration()
-		s.noteAccepted()
+		s.recordAccepted()
 	}
 }
 
 func (e *simEntry) pollRegistrations() {
-	s := e.world.store
+	s := e.sim.store
 	if !s.reachable(e.proc) {
 		return
 	}
-	now := e.world.clock.Now()
+	now := e.sim.clock.Now()
 	msg := entriesRead{noEarlierEntries: e.beforeFirstRead && noRecentRun(s.registrations(), now)}
 	e.beforeFirstRead = false
-	for _, other := range e.world.entries {
+	for _, other := range e.sim.entries {
 		if reg, ok := s.list[other.proc.name]; ok && reg.WroteWithin(now, registrationTTL) {
 			msg.entries = append(msg.entries, reg.Entry)
 		}
@@ -199,54 +199,54 @@
 	e.core.handle(msg)
 	s.list[e.proc.name] = e.core.registration()
 	s.voters, _ = nextVoters(s.voters, s.registrations(), e.proc.name, now)
-	s.noteAccepted()
+	s.recordAccepted()
 }
 
 // route is the event-driven twin of Receiver.route: it brings s to its owner
 // and calls answer once.
 func (e *simEntry) route(s courier.Submission, answer func(courier.Answer)) {
-	admitted, over := false, false
+	admitted, finished := false, false
 	finish := func(a courier.Answer) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			answer(a)
 		}
 	}
-	var again func()
-	later := func(a courier.Answer, sent bool) {
+	var attempt func()
+	retry := func(a courier.Answer, sent bool) {
 		admitted = admitted || a.Admitted || sent
-		e.world.after(routeRetryDelay, func() { e.proc.exec(again) })
+		e.sim.after(routeRetryDelay, func() { e.proc.exec(attempt) })
 	}
-	again = func() {
-		if over {
+	attempt = func() {
+		if finished {
 			return
 		}
-		e.routeOnce(s, admitted, finish, later)
+		e.routeOnce(s, admitted, finish, retry)
 	}
-	e.world.after(s.Deadline.Add(ownerAnswerGrace).Sub(e.world.clock.Now()), func() {
+	e.sim.after(s.Deadline.Add(ownerAnswerGrace).Sub(e.sim.clock.Now()), func() {
 		e.proc.exec(func() { finish(noOwnerAnswer(e.proc.name, s, admitted)) })
 	})
-	again()
+	attempt()
 }
 
-func (e *simEntry) routeOnce(s courier.Submission, resent bool, finish func(courier.Answer), later func(courier.Answer, bool)) {
+func (e *simEntry) routeOnce(s courier.Submission, resent bool, finish func(courier.Answer), retry func(courier.Answer, bool)) {
 	e.core.handle(submitRequest{
-		request: newRequest(s, resent, 0),
-		opened:  func(dispatcher.Waiter) {},
+		request:  newRequest(s, resent, 0),
+		onWaiter: func(dispatcher.Waiter) {},
 		answer: func(a courier.Answer) {
 			switch {
 			case a.State != courier.Moved:
 				finish(a)
 			case a.Admitted:
-				later(a, false)
+				retry(a, false)
 			default:
-				e.relay(a.Owner, s, resent, finish, later)
+				e.relay(a.Owner, s, resent, finish, retry)
 			}
 		},
 	})
 }
 
-func (e *simEntry) relay(owner string, s courier.Submission, resent bool, finish func(courier.Answer), later func(courier.Answer, bool)) {
+func (e *simEntry) relay(owner string, s courier.Submission, resent bool, finish func(courier.Answer), retry func(courier.Answer, bool)) {
 	for _, p := range e.sortedPeers() {
 		if p.id != owner || p.end == nil {
 			continue
@@ -257,18 +257,18 @@
 				finish(a)
 				return
 			}
-			later(a, !ok)
+			retry(a, !ok)
 		}
 		p.end.Send(courier.Relay{ID: p.lastID, Submission: s, Resent: resent})
 		return
 	}
-	later(courier.Answer{}, false)
+	retry(courier.Answer{}, false)
 }
 
 // caller is a client that submits one job, and again when it breaks.
 type caller struct {
-	world *simulation
-	sub   courier.Submission
+	sim        *simulation
+	submission courier.Submission
 	// answers holds every answer to this caller, in order.
 	answers []callerAnswer
 	open    bool
@@ -283,41 +283,41 @@
 }
 
 // submit sends a job of n tasks through an entry.
-func (w *simulation) submit(key string, entry, n, millis int, deadline time.Duration) *caller {
-	c := &caller{world: w, entry: entry, sub: courier.Submission{
+func (sim *simulation) submit(key string, entry, n, millis int, deadline time.Duration) *caller {
+	c := &caller{sim: sim, entry: entry, submission: courier.Submission{
 		Team: "team", Key: key, Service: "quote", Attempt: 1,
-		Deadline: w.clock.Now().Add(deadline), Detached: true,
+		Deadline: sim.clock.Now().Add(deadline), Detached: true,
 	}}
 	for range n {
-		c.sub.Tasks = append(c.sub.Tasks, courier.Task{Payload: payload(millis)})
+		c.submission.Tasks = append(c.submission.Tasks, courier.Task{Payload: payload(millis)})
 	}
-	w.callers = append(w.callers, c)
+	sim.callers = append(sim.callers, c)
 	c.send()
 	return c
 }
 
 // send makes one attempt; when the entry dies, another follows.
 func (c *caller) send() {
-	w := c.world
-	if c.open || !c.sub.Deadline.After(w.clock.Now()) {
+	sim := c.sim
+	if c.open || !c.submission.Deadline.After(sim.clock.Now()) {
 		return
 	}
-	e := w.entries[c.entry%len(w.entries)]
+	e := sim.entries[c.entry%len(sim.entries)]
 	if e.proc.dead {
 		c.entry++
-		w.after(100*time.Millisecond, c.send)
+		sim.after(100*time.Millisecond, c.send)
 		return
 	}
 	c.open = true
-	attempt := c.sub
+	attempt := c.submission
 	e.proc.exec(func() {
-		w.onStep("accept", e.proc, e.proc)
+		sim.onStep("accept", e.proc, e.proc)
 		e.route(attempt, func(a courier.Answer) {
 			if e.proc.dead {
 				return
 			}
-			c.open = c.open && c.sub.Attempt != attempt.Attempt
-			c.answers = append(c.answers, callerAnswer{Answer: a, attempt: attempt.Attempt, at: w.clock.Now()})
+			c.open = c.open && c.submission.Attempt != attempt.Attempt
+			c.answers = append(c.answers, callerAnswer{Answer: a, attempt: attempt.Attempt, at: sim.clock.Now()})
 		})
 	})
 	c.resubmitOnCrash(e, attempt.Attempt)
@@ -325,8 +325,8 @@
 
 // resubmitOnCrash sends again when the entry dies before it answers.
 func (c *caller) resubmitOnCrash(e *simEntry, attempt int) {
-	c.world.after(100*time.Millisecond, func() {
-		if !c.open || c.sub.Attempt != attempt {
+	c.sim.after(100*time.Millisecond, func() {
+		if !c.open || c.submission.Attempt != attempt {
 			return
 		}
 		if e.proc.dead {
@@ -340,31 +340,31 @@
 // resubmit sends the next attempt through the next entry.
 func (c *caller) resubmit() {
 	c.open = false
-	c.sub.Attempt++
+	c.submission.Attempt++
 	c.entry++
 	c.send()
 }
 
 func (c *caller) last() courier.Answer {
-	require.NotEmpty(c.world.t, c.answers, "%s has no answer", c.sub.JobID())
+	require.NotEmpty(c.sim.t, c.answers, "%s has no answer", c.submission.JobID())
 	return c.answers[len(c.answers)-1].Answer
 }
 
 // check notes breaches of what a caller is promised.
 func (c *caller) check() {
-	w := c.world
+	sim := c.sim
 	if len(c.answers) == 0 {
-		w.violation("%s: no answer", c.sub.JobID())
+		sim.violation("%s: no answer", c.submission.JobID())
 		return
 	}
 	seen := make(map[int]bool)
 	for _, a := range c.answers {
-		limit := c.sub.Deadline.Add(ownerAnswerGrace + longestPause)
+		limit := c.submission.Deadline.Add(ownerAnswerGrace + longestPause)
 		if a.at.After(limit) {
-			w.violation("%s: answered after the deadline", c.sub.JobID())
+			sim.violation("%s: answered after the deadline", c.submission.JobID())
 		}
 		if seen[a.attempt] {
-			w.violation("%s: attempt %d answered twice", c.sub.JobID(), a.attempt)
+			sim.violation("%s: attempt %d answered twice", c.submission.JobID(), a.attempt)
 		}
 		seen[a.attempt] = true
 		c.checkAnswer(a)
@@ -372,37 +372,37 @@
 }
 
 func (c *caller) checkAnswer(a callerAnswer) {
-	w := c.world
+	sim := c.sim
 	switch a.State {
 	case courier.Complete:
-		for i := range c.sub.Tasks {
-			id := courier.TaskID{Job: c.sub.JobID(), Index: i}
+		for i := range c.submission.Tasks {
+			id := courier.TaskID{Job: c.submission.JobID(), Index: i}
 			if i >= len(a.Results) || string(a.Results[i]) != resultOf(id) {
-				w.violation("%v: wrong result", id)
+				sim.violation("%v: wrong result", id)
 				return
 			}
 		}
 	case courier.NotRun:
-		if a.attempt == c.sub.Attempt && w.startsOf(c.sub.JobID()) > 0 {
-			w.violation("%s: attempt %d answered NotRun (%s) and ran", c.sub.JobID(), a.attempt, a.Reason)
+		if a.attempt == c.submission.Attempt && sim.startsOf(c.submission.JobID()) > 0 {
+			sim.violation("%s: attempt %d answered NotRun (%s) and ran", c.submission.JobID(), a.attempt, a.Reason)
 		}
 	case courier.Failed:
-		for id := range w.starts {
-			if id.Job == c.sub.JobID() && a.attempt == c.sub.Attempt && !slices.Contains(a.MayHaveRun, id.Index) {
-				w.violation("%v: started and not named in the failed answer %s", id, a.Reason)
+		for id := range sim.starts {
+			if id.Job == c.submission.JobID() && a.attempt == c.submission.Attempt && !slices.Contains(a.MayHaveRun, id.Index) {
+				sim.violation("%v: started and not named in the failed answer %s", id, a.Reason)
 			}
 		}
 		if len(a.Results) > 0 {
-			w.violation("%s: a failed answer with results", c.sub.JobID())
+			sim.violation("%s: a failed answer with results", c.submission.JobID())
 		}
 	default:
-		w.violation("%s: answer %s", c.sub.JobID(), a.State)
+		sim.violation("%s: answer %s", c.submission.JobID(), a.State)
 	}
 }
 
-func (w *simulation) startsOf(job string) int {
+func (sim *simulation) startsOf(job string) int {
 	n := 0
-	for id, k := range w.starts {
+	for id, k := range sim.starts {
 		if id.Job == job {
 			n += k
 		}
--- a/receiver/simulation_test.go
+++ b/receiver/simulation_test.go
@@ -70,7 +70,7 @@
 func newSimulation(t tester, seed uint64, entries, agents, slots int) *simulation {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	deps := provider.NewDeps(io.Discard).WithClock(clock)
-	w := &simulation{
+	sim := &simulation{
 		t:       t,
 		clock:   clock,
 		rng:     rand.New(rand.NewPCG(seed, 1)),
@@ -79,16 +79,16 @@
 		onStep:  func(string, *process, *process) {},
 		starts:  make(map[courier.TaskID]int),
 	}
-	w.store = newSimStore(w)
+	sim.store = newSimStore(sim)
 	for range entries {
-		w.addEntry(fmt.Sprintf("entry-%d", len(w.entries)+1))
+		sim.addEntry(fmt.Sprintf("entry-%d", len(sim.entries)+1))
 	}
 	for i := range agents {
-		w.addAgent(fmt.Sprintf("agent-%d", i+1), 0, []string{"wien", "graz", "linz"}[i%3], slots)
+		sim.addAgent(fmt.Sprintf("agent-%d", i+1), 0, []string{"wien", "graz", "linz"}[i%3], slots)
 	}
-	w.every(&process{name: "wires"}, idleCheckInterval, w.closeIdle)
-	w.run(3 * time.Second)
-	return w
+	sim.every(&process{name: "wires"}, idleCheckInterval, sim.closeIdle)
+	sim.run(3 * time.Second)
+	return sim
 }
 
 func simBundle() approver.Bundle {
@@ -108,9 +108,9 @@
 	}
 }
 
-func (w *simulation) violation(format string, args ...any) {
-	at := w.clock.Since(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
+func (sim *simulation) violation(format string, args ...any) {
+	at := sim.clock.Since(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
 // event is something that happens at a time.
@@ -138,20 +138,20 @@
 	return e
 }
 
-func (w *simulation) after(d time.Duration, run func()) {
-	w.sequence++
-	heap.Push(&w.events, event{at: w.clock.Now().Add(d), sequence: w.sequence, run: run})
+func (sim *simulation) after(d time.Duration, run func()) {
+	sim.sequence++
+	heap.Push(&sim.events, event{at: sim.clock.Now().Add(d), sequence: sim.sequence, run: run})
 }
 
 // run lets the world go on for a span of time.
-func (w *simulation) run(d time.Duration) {
-	end := w.clock.Now().Add(d)
-	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		e := heap.Pop(&w.events).(event)
-		w.clock.Advance(e.at.Sub(w.clock.Now()))
+func (sim *simulation) run(d time.Duration) {
+	end := sim.clock.Now().Add(d)
+	for len(sim.events) > 0 && !sim.events[0].at.After(end) {
+		e := heap.Pop(&sim.events).(event)
+		sim.clock.Advance(e.at.Sub(sim.clock.Now()))
 		e.run()
 	}
-	w.clock.Advance(end.Sub(w.clock.Now()))
+	sim.clock.Advance(end.Sub(sim.clock.Now()))
 }
 
 // process is one simulated process. While it is paused, what arrives waits.
@@ -172,12 +172,12 @@
 	}
 }
 
-func (w *simulation) pause(p *process, d time.Duration) {
+func (sim *simulation) pause(p *process, d time.Duration) {
 	p.paused = true
-	w.after(d, func() { w.resume(p) })
+	sim.after(d, func() { sim.resume(p) })
 }
 
-func (w *simulation) resume(p *process) {
+func (sim *simulation) resume(p *process) {
 	p.paused = false
 	inbox := p.inbox
 	p.inbox = nil
@@ -188,7 +188,7 @@
 
 // every runs f in p again and again. Runs that a pause held up are not made
 // up for.
-func (w *simulation) every(p *process, d time.Duration, f func()) {
+func (sim *simulation) every(p *process, d time.Duration, f func()) {
 	var next func()
 	next = func() {
 		if p.dead {
@@ -197,19 +197,19 @@
 		if !p.paused {
 			f()
 		}
-		w.after(d, next)
+		sim.after(d, next)
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(d))), next)
+	sim.after(time.Duration(sim.rng.Int64N(int64(d))), next)
 }
 
-func (w *simulation) kill(p *process) {
+func (sim *simulation) kill(p *process) {
 	p.dead = true
 	p.inbox = nil
-	for _, x := range w.conns {
+	for _, x := range sim.conns {
 		for _, e := range []*simConnEnd{x.a, x.b} {
 			if e.owner == p && !e.closed {
 				e.closed = true
-				w.closeFar(e)
+				sim.closeFar(e)
 			}
 		}
 	}
@@ -222,7 +222,7 @@
 
 // simConnEnd is one end of a wire. It implements the link of a core.
 type simConnEnd struct {
-	world          *simulation
+	sim            *simulation
 	owner          *process
 	far            *simConnEnd
 	closed         bool
@@ -239,28 +239,28 @@
 }
 
 // dial opens a wire from p to far, unless something is in the way.
-func (w *simulation) dial(p, far *process) (near, other *simConnEnd) {
-	if far.dead || w.isBlocked(p, far) || w.isBlocked(far, p) {
+func (sim *simulation) dial(p, far *process) (near, other *simConnEnd) {
+	if far.dead || sim.isBlocked(p, far) || sim.isBlocked(far, p) {
 		return nil, nil
 	}
-	near = &simConnEnd{world: w, owner: p, lastReceivedAt: w.clock.Now()}
-	other = &simConnEnd{world: w, owner: far, far: near, lastReceivedAt: w.clock.Now()}
+	near = &simConnEnd{sim: sim, owner: p, lastReceivedAt: sim.clock.Now()}
+	other = &simConnEnd{sim: sim, owner: far, far: near, lastReceivedAt: sim.clock.Now()}
 	near.far = other
-	w.conns = append(w.conns, &simConn{a: near, b: other})
+	sim.conns = append(sim.conns, &simConn{a: near, b: other})
 	return near, other
 }
 
-func (w *simulation) isBlocked(from, to *process) bool {
-	return w.blocked[[2]string{from.name, to.name}]
+func (sim *simulation) isBlocked(from, to *process) bool {
+	return sim.blocked[[2]string{from.name, to.name}]
 }
 
 // Send implements link.
 func (e *simConnEnd) Send(msg any) {
-	w := e.world
+	sim := e.sim
 	if e.closed || e.owner.dead {
 		return
 	}
-	w.onStep(reflect.TypeOf(msg).Name(), e.owner, e.far.owner)
+	sim.onStep(reflect.TypeOf(msg).Name(), e.owner, e.far.owner)
 	if e.closed || e.owner.dead {
 		return
 	}
@@ -271,23 +271,23 @@
 }
 
 func (e *simConnEnd) deliver(msg any) {
-	w := e.world
-	at := w.clock.Now().Add(messageDelay + e.sendDelay)
+	sim := e.sim
+	at := sim.clock.Now().Add(messageDelay + e.sendDelay)
 	if at.Before(e.lastSent) {
 		at = e.lastSent
 	}
 	e.lastSent = at
-	if e.dropSent || w.isBlocked(e.owner, e.far.owner) {
+	if e.dropSent || sim.isBlocked(e.owner, e.far.owner) {
 		return
 	}
 	ptr := reflect.New(reflect.TypeOf(msg))
 	ptr.Elem().Set(reflect.ValueOf(msg))
-	w.after(at.Sub(w.clock.Now()), func() {
+	sim.after(at.Sub(sim.clock.Now()), func() {
 		e.far.owner.exec(func() {
 			if e.far.closed {
 				return
 			}
-			e.far.lastReceivedAt = w.clock.Now()
+			e.far.lastReceivedAt = sim.clock.Now()
 			e.far.receive(ptr.Interface())
 		})
 	})
@@ -299,25 +299,25 @@
 		return
 	}
 	e.closed = true
-	e.world.closeFar(e)
+	e.sim.closeFar(e)
 	if e.onClose != nil {
 		e.onClose()
 	}
 }
 
 // closeFar tells the far end, unless that message gets lost too.
-func (w *simulation) closeFar(e *simConnEnd) {
-	if e.dropSent || w.isBlocked(e.owner, e.far.owner) {
+func (sim *simulation) closeFar(e *simConnEnd) {
+	if e.dropSent || sim.isBlocked(e.owner, e.far.owner) {
 		return
 	}
-	w.after(messageDelay+e.sendDelay, func() { e.far.owner.exec(e.far.Close) })
+	sim.after(messageDelay+e.sendDelay, func() { e.far.owner.exec(e.far.Close) })
 }
 
 // closeIdle closes the ends on which nothing arrived for too long.
-func (w *simulation) closeIdle() {
-	now := w.clock.Now()
-	live := w.conns[:0]
-	for _, x := range w.conns {
+func (sim *simulation) closeIdle() {
+	now := sim.clock.Now()
+	live := sim.conns[:0]
+	for _, x := range sim.conns {
 		for _, e := range []*simConnEnd{x.a, x.b} {
 			if !e.closed && !e.owner.paused && !e.owner.dead && now.Sub(e.lastReceivedAt) > courier.IdleTimeout {
 				e.Close()
@@ -327,7 +327,7 @@
 			live = append(live, x)
 		}
 	}
-	w.conns = live
+	sim.conns = live
 }
 
 // payload returns the payload of a task that runs for a time.
@@ -336,10 +336,10 @@
 }
 
 // check fails the test when a promise was broken or a caller has no answer.
-func (w *simulation) check() {
-	w.t.Helper()
-	for _, c := range w.callers {
+func (sim *simulation) check() {
+	sim.t.Helper()
+	for _, c := range sim.callers {
 		c.check()
 	}
-	require.Empty(w.t, w.violations)
+	require.Empty(sim.t, sim.violations)
 }
--- a/receiver/store.go
+++ b/receiver/store.go
@@ -66,25 +66,25 @@
 }
 
 // pollBundle reads the bundle and the voters periodically until ctx ends.
-func (f *storePoller) pollBundle(ctx context.Context) error {
-	return f.poll(ctx, bundlePollInterval, func() error {
-		began := f.receiver.deps.Clock.Now()
-		bundle, err := f.receiver.store.Get(ctx, BundleKey)
+func (p *storePoller) pollBundle(ctx context.Context) error {
+	return p.poll(ctx, bundlePollInterval, func() error {
+		beganAt := p.receiver.deps.Clock.Now()
+		bundle, err := p.receiver.store.Get(ctx, BundleKey)
 		if err != nil {
 			return err
 		}
-		voters, err := f.receiver.store.Get(ctx, VotersKey)
+		voters, err := p.receiver.store.Get(ctx, VotersKey)
 		if err != nil {
 			return err
 		}
-		return f.handleBundle(ctx, began, bundle, voters)
+		return p.handleBundle(ctx, beganAt, bundle, voters)
 	})
 }
 
 // handleBundle verifies and posts the bundle and the voters that were read. A new bundle
 // version is registered at once, since its acceptance depends on that.
-func (f *storePoller) handleBundle(ctx context.Context, began time.Time, bundle, voters keeper.Pair) error {
-	msg := bundleRead{at: began}
+func (p *storePoller) handleBundle(ctx context.Context, beganAt time.Time, bundle, voters keeper.Pair) error {
+	msg := bundleRead{beganAt: beganAt}
 	if err := parseVoters(voters, &msg.voters); err != nil {
 		return err
 	}
@@ -94,17 +94,17 @@
 	if err := json.Unmarshal(bundle.Value, &msg.signed); err != nil {
 		return &Error{Op: "read " + BundleKey, Kind: Invalid, Err: err}
 	}
-	b, err := f.receiver.cfg.Trust.Verify(msg.signed)
+	b, err := p.receiver.cfg.Trust.Verify(msg.signed)
 	if err != nil {
 		return &Error{Op: "read " + BundleKey, Kind: Invalid, Err: err}
 	}
 	msg.bundle = b
-	f.receiver.post(msg)
-	if b.Version <= f.registeredVersion || !f.registrationsRead.Load() {
+	p.receiver.post(msg)
+	if b.Version <= p.registeredVersion || !p.registrationsRead.Load() {
 		return nil
 	}
-	f.registeredVersion = b.Version
-	return f.writeRegistration(ctx, false)
+	p.registeredVersion = b.Version
+	return p.writeRegistration(ctx, false)
 }
 
 func parseVoters(p keeper.Pair, v *confirmer.Voters) error {
@@ -119,34 +119,34 @@
 
 // pollRegistrations periodically reads the registrations, writes the one of this entry
 // and updates the list of voters, until ctx ends.
-func (f *storePoller) pollRegistrations(ctx context.Context) error {
-	return f.poll(ctx, registerInterval, func() error {
-		list, err := f.readEntries(ctx)
+func (p *storePoller) pollRegistrations(ctx context.Context) error {
+	return p.poll(ctx, registerInterval, func() error {
+		list, err := p.readEntries(ctx)
 		if err != nil {
 			return err
 		}
-		if err := f.writeRegistration(ctx, false); err != nil {
+		if err := p.writeRegistration(ctx, false); err != nil {
 			return err
 		}
-		return f.updateVoters(ctx, list)
+		return p.updateVoters(ctx, list)
 	})
 }
 
 // readEntries reads the registrations and posts the recent ones.
-func (f *storePoller) readEntries(ctx context.Context) ([]Registration, error) {
-	r := f.receiver
+func (p *storePoller) readEntries(ctx context.Context) ([]Registration, error) {
+	r := p.receiver
 	list, err := ReadRegistrations(ctx, r.store)
 	if err != nil {
 		return nil, err
 	}
 	now := r.deps.Clock.Now()
-	msg := entriesRead{noEarlierEntries: !f.registrationsRead.Load() && noRecentRun(list, now)}
+	msg := entriesRead{noEarlierEntries: !p.registrationsRead.Load() && noRecentRun(list, now)}
 	for _, reg := range list {
 		if reg.WroteWithin(now, registrationTTL) {
 			msg.entries = append(msg.entries, reg.Entry)
 		}
 	}
-	f.registrationsRead.Store(true)
+	p.registrationsRead.Store(true)
 	r.post(msg)
 	return list, nil
 }
@@ -181,8 +181,8 @@
 }
 
 // writeRegistration writes the registration of this entry; left marks it as stopped.
-func (f *storePoller) writeRegistration(ctx context.Context, left bool) error {
-	answer, err := f.receiver.ask(registrationQuery{})
+func (p *storePoller) writeRegistration(ctx context.Context, left bool) error {
+	answer, err := p.receiver.ask(registrationQuery{})
 	if err != nil {
 		return &Error{Op: "register", Kind: Unusable, Err: err}
 	}
@@ -192,22 +192,22 @@
 	if err != nil {
 		return &Error{Op: "register", Kind: Invalid, Err: err}
 	}
-	return f.receiver.store.Put(ctx, EntriesPrefix+f.receiver.cfg.ID, raw)
+	return p.receiver.store.Put(ctx, EntriesPrefix+p.receiver.cfg.ID, raw)
 }
 
 // updateVoters adds this entry to the list of voters and removes entries that no longer
 // write to the store, one change at a time: a change waits until majorities of the last
 // two lists have the last one in force.
-func (f *storePoller) updateVoters(ctx context.Context, list []Registration) error {
-	p, err := f.receiver.store.Get(ctx, VotersKey)
+func (p *storePoller) updateVoters(ctx context.Context, list []Registration) error {
+	pair, err := p.receiver.store.Get(ctx, VotersKey)
 	if err != nil {
 		return err
 	}
 	var v confirmer.Voters
-	if err := parseVoters(p, &v); err != nil {
+	if err := parseVoters(pair, &v); err != nil {
 		return err
 	}
-	next, changed := nextVoters(v, list, f.receiver.cfg.ID, f.receiver.deps.Clock.Now())
+	next, changed := nextVoters(v, list, p.receiver.cfg.ID, p.receiver.deps.Clock.Now())
 	if !changed {
 		return nil
 	}
@@ -215,7 +215,7 @@
 	if err != nil {
 		return &Error{Op: "update voters", Kind: Invalid, Err: err}
 	}
-	_, err = f.receiver.store.CompareAndSwap(ctx, VotersKey, p.Revision, raw)
+	_, err = p.receiver.store.CompareAndSwap(ctx, VotersKey, pair.Revision, raw)
 	return err
 }
 
@@ -281,8 +281,8 @@
 
 // poll calls fn at a jittered interval until ctx ends. It logs the first failure after a
 // success and the first success after a failure.
-func (f *storePoller) poll(ctx context.Context, interval time.Duration, fn func() error) error {
-	log := f.receiver.deps.Log
+func (p *storePoller) poll(ctx context.Context, interval time.Duration, fn func() error) error {
+	log := p.receiver.deps.Log
 	failing := false
 	for {
 		err := fn()
@@ -297,7 +297,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.receiver.deps.Clock.After(interval*3/4 + jitter):
+		case <-p.receiver.deps.Clock.After(interval*3/4 + jitter):
 		}
 	}
 }
