--- a/agent/runner_test.go
+++ b/agent/runner_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// closedAddress returns an address where nothing listens.
+// closedAddress returns an address on which no process listens.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,6 +47,8 @@
 	return l.Addr().String()
 }
 
+// A redirect to a closed port must not count as a failed dial: the upstream that answered
+// with it may have started the task.
 func TestStartAnsweredByARedirectIsNotTakenForOneThatWasNotSent(t *testing.T) {
 	elsewhere := "http://" + closedAddress(t)
 	r := newTestRunner(t, clockwork.NewRealClock(), func(w http.ResponseWriter, req *http.Request) {
@@ -57,7 +59,9 @@
 	require.Equal(t, courier.Lost, done.record.Outcome)
 }
 
-func TestStartThatWaitedForAConnectionLapses(t *testing.T) {
+// A call that waits for the only connection until it has expired must not reach the
+// upstream's handler.
+func TestStartThatWaitedForAConnectionExpires(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Now())
 	var started atomic.Int64
 	entered, leave := make(chan struct{}), make(chan struct{})
--- a/courier/courier_test.go
+++ b/courier/courier_test.go
@@ -13,7 +13,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// inbox is a Handler that keeps what it receives.
+// inbox is a Handler that stores the messages that it receives.
 type inbox struct {
 	messages chan any
 	closed   chan struct{}
@@ -26,7 +26,7 @@
 func (b *inbox) Receive(_ *courier.Link, msg any) { b.messages <- msg }
 func (b *inbox) Closed(*courier.Link)             { close(b.closed) }
 
-// newLinkPair returns two linked ends and their inboxes.
+// newLinkPair returns the two ends of a link and their inboxes.
 func newLinkPair(t *testing.T) (near, far *courier.Link, nearBox, farBox *inbox) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 	require.True(t, near.IsClosed())
 }
 
-// countingConn counts the bytes that are written.
+// countingConn counts the bytes written to a connection.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
@@ -82,8 +82,8 @@
 	return n, err
 }
 
-// BenchmarkMessage measures the bytes and the time of the messages of a task
-// and of heartbeats.
+// BenchmarkMessage measures the size and the time of the messages of a task and of
+// heartbeats.
 func BenchmarkMessage(b *testing.B) {
 	id := courier.TaskID{Job: "wholesale/3f993dad-1256-4622-ad31-fb44411608c5", Index: 17}
 	term := courier.Term{Number: 12, Holder: "entry-1"}
--- a/receiver/bundle_test.go
+++ b/receiver/bundle_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// inForceLimit is how soon an accepted bundle has to be in force.
+	// inForceLimit is the time within which an accepted bundle has to be in force.
 	inForceLimit = 4 * time.Second
-	// outage is a long outage of the store.
+	// outage is the duration of a long outage of the store.
 	outage = 10 * time.Minute
 )
 
-// newSimKey returns a key and the trust in it, the same every time.
+// newSimKey returns a key, the same on every call, and a Trust that contains it.
 func newSimKey() (ed25519.PrivateKey, approver.Trust) {
 	public, private, err := ed25519.GenerateKey(strings.NewReader(strings.Repeat("seed", 16)))
 	if err != nil {
@@ -30,7 +30,7 @@
 	return private, approver.Trust{"approver": base64.StdEncoding.EncodeToString(public)}
 }
 
-// writeBundle puts a bundle into the store.
+// writeBundle signs a bundle and writes it into the store.
 func (s *simStore) writeBundle(b approver.Bundle) {
 	key, _ := newSimKey()
 	signed, err := approver.Sign(b, "approver", key)
@@ -47,7 +47,7 @@
 	s.writeBundle(b)
 }
 
-// submitLoad keeps all slots busy with small jobs for a time.
+// submitLoad schedules a small job every 100 ms for d, enough to keep all slots busy.
 func (sim *simulation) submitLoad(prefix string, d time.Duration) {
 	const interval = 100 * time.Millisecond
 	for i := range int(d / interval) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// lastStart returns when the last task started in a data centre.
+// lastStart returns the time of the last start of a task in a data centre.
 func (sim *simulation) lastStart(dataCentre string) time.Time {
 	var at time.Time
 	for _, s := range sim.startLog {
@@ -68,8 +68,8 @@
 	return at
 }
 
-// TestTakeOutUnderFaults takes a data centre out while processes are frozen or
-// cut off. Starts after the limit are noted by checkStart.
+// TestTakeOutUnderFaults takes a data centre out while processes are paused or
+// disconnected. checkStart records starts after the limit as violations.
 func TestTakeOutUnderFaults(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -119,14 +119,15 @@
 			sim.submitLoad("after", 10*time.Second)
 			sim.run(40 * time.Second)
 			sim.check()
-			require.Contains(t, sim.store.acceptedAt, uint64(2), "not accepted")
-			require.True(t, sim.lastStart("graz").After(sim.lastStart("wien")), "work did not go on")
+			require.Contains(t, sim.store.acceptedAt, uint64(2), "bundle not accepted")
+			require.True(t, sim.lastStart("graz").After(sim.lastStart("wien")), "no task started in graz after the last start in wien")
 		})
 	}
 }
 
-// TestBundleInForceEverywhere asks every live process, frozen or cut off ones
-// as soon as they are back.
+// TestBundleInForceEverywhere checks that a new bundle is in force in every live process
+// within inForceLimit, counted from the end of the pause or the disconnection if there
+// was one.
 func TestBundleInForceEverywhere(t *testing.T) {
 	sim := newSimulation(t, 3, 3, 3, 4)
 	sim.pause(sim.entries[1].proc, 8*time.Second)
@@ -141,7 +142,7 @@
 	}
 }
 
-// TestLongStoreOutage goes on working while the store is down.
+// TestLongStoreOutage checks that jobs complete during a long outage of the store.
 func TestLongStoreOutage(t *testing.T) {
 	sim := newSimulation(t, 4, 3, 3, 4)
 	sim.store.down = true
@@ -155,7 +156,8 @@
 	}
 }
 
-// TestOutageThenEntryDies works on with the majority that is left.
+// TestOutageThenEntryDies checks that jobs complete during an outage of the store after one
+// of three entries has died, since the other two are a majority.
 func TestOutageThenEntryDies(t *testing.T) {
 	sim := newSimulation(t, 4, 3, 3, 4)
 	sim.run(20 * time.Second)
@@ -169,8 +171,8 @@
 	require.Equal(t, courier.Complete, c.last().State, "%+v", c.last())
 }
 
-// TestEmptyEntryDuringOutage starts an entry without the store: it takes the
-// newest bundle from the others, and serves.
+// TestEmptyEntryDuringOutage starts an entry during an outage of the store: it adopts the
+// newest bundle from the others and serves jobs.
 func TestEmptyEntryDuringOutage(t *testing.T) {
 	sim := newSimulation(t, 5, 3, 3, 4)
 	sim.store.takeOut(t, "linz")
@@ -189,8 +191,8 @@
 	require.Equal(t, courier.Complete, c.last().State, "%+v", c.last())
 }
 
-// TestEmptyEntryAlone starts an entry with neither store nor peers: it runs
-// nothing and says so.
+// TestEmptyEntryAlone starts an entry that reaches neither the store nor peers: it starts
+// no task and answers that its bundle is not confirmed.
 func TestEmptyEntryAlone(t *testing.T) {
 	sim := newSimulation(t, 6, 3, 3, 4)
 	sim.store.down = true
@@ -207,8 +209,8 @@
 	require.Empty(t, sim.starts)
 }
 
-// TestCutOffMinorityStops refuses at an entry that has neither the store nor a
-// majority of the registered entries.
+// TestCutOffMinorityStops checks that an entry refuses jobs when it reaches neither the
+// store nor a majority of the registered entries.
 func TestCutOffMinorityStops(t *testing.T) {
 	sim := newSimulation(t, 8, 3, 3, 4)
 	sim.isolate(sim.entries[0].proc, time.Minute)
@@ -219,7 +221,7 @@
 	require.Equal(t, courier.NotRun, c.last().State, "%+v", c.last())
 }
 
-// TestDataCentreReturns brings a data centre back and sees it filled again.
+// TestDataCentreReturns brings a data centre back and checks that tasks start there again.
 func TestDataCentreReturns(t *testing.T) {
 	sim := newSimulation(t, 9, 3, 3, 4)
 	sim.store.takeOut(t, "wien")
--- a/receiver/echo_test.go
+++ b/receiver/echo_test.go
@@ -14,7 +14,9 @@
 	"github.com/pomeloferry/pomeloferry/starter"
 )
 
-// TestRestartedEntryIsNotConfirmedByEchoesOfItsEarlierProcess hears peers that still echo the stamps of the process before.
+// TestRestartedEntryIsNotConfirmedByEchoesOfItsEarlierProcess checks that heartbeats of
+// peers that still echo the timestamps of the earlier process do not confirm the bundle of
+// the restarted one: they would date the attestations by the wrong clock.
 func TestRestartedEntryIsNotConfirmedByEchoesOfItsEarlierProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	deps := provider.NewDeps(io.Discard).WithClock(clock)
--- a/receiver/fault_test.go
+++ b/receiver/fault_test.go
@@ -13,21 +13,22 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// faultPairs is the number of pairs of faults to strike, from seed 0.
-var faultPairs = flag.Uint64("pairs", 400, "pairs of faults to strike")
+// faultPairs is the number of pairs of faults to inject; their seeds count from 0.
+var faultPairs = flag.Uint64("pairs", 400, "pairs of faults to inject")
 
-// faultSteps are the steps of a request at which a fault strikes: the entry takes
-// it, a message of a type is sent, or a task begins to run.
+// faultSteps are the steps of a request at which a fault is injected: the entry accepts
+// the request, a message of a type is sent, or a task begins to run.
 var faultSteps = []string{
 	"accept", "Relay", "Start", "run", "Demand", "Offer", "Finished", "Acked", "RelayReply",
 	"Announce", "AnnounceReply", "PeerHello",
 }
 
-// fault is a fault between the two processes of a step.
+// fault is a fault that affects the two processes of a step or the connection between
+// them.
 type fault struct {
 	name   string
 	inject func(sim *simulation, from, to *process)
-	// harmless means that every job still has to complete.
+	// harmless means that every job has to complete in spite of the fault.
 	harmless bool
 }
 
@@ -115,7 +116,7 @@
 	})
 }
 
-// isolate cuts an entry off from the other entries and the store.
+// isolate disconnects an entry from the other entries and the store for d.
 func (sim *simulation) isolate(p *process, d time.Duration) {
 	sim.store.unreachableFrom[p.name] = true
 	for _, e := range sim.entries {
@@ -126,7 +127,8 @@
 	sim.after(d, func() { delete(sim.store.unreachableFrom, p.name) })
 }
 
-// drainProcesses begins a planned stop of the entries among the processes.
+// drainProcesses begins a planned stop of the first entry among the processes, or of the
+// agent that is the first process if there is no entry.
 func (sim *simulation) drainProcesses(list ...*process) {
 	for _, e := range sim.entries {
 		for _, p := range list {
@@ -147,14 +149,14 @@
 	}
 }
 
-// scheduledFault has f strike when a step is reached for the n-th time.
+// scheduledFault is a fault to inject when a step is reached for the n-th time.
 type scheduledFault struct {
 	step  string
 	n     int
 	fault fault
 }
 
-// injectAt sets the world up so that each strike happens once.
+// injectAt makes the simulation inject each scheduled fault once, at its step.
 func (sim *simulation) injectAt(scheduled ...scheduledFault) {
 	seen := make(map[string]int)
 	done := make([]bool, len(scheduled))
@@ -169,8 +171,8 @@
 	}
 }
 
-// runFaultSimulation runs jobs through the given faults, with resubmissions, and
-// returns the world at the end.
+// runFaultSimulation runs jobs with resubmissions under the scheduled faults, and returns
+// the simulation at its end.
 func runFaultSimulation(t *testing.T, seed uint64, scheduled ...scheduledFault) *simulation {
 	sim := newSimulation(t, seed, 3, 3, 2)
 	sim.injectAt(scheduled...)
@@ -212,7 +214,7 @@
 	}
 }
 
-// TestFaultMatrix strikes every fault at every step.
+// TestFaultMatrix injects every fault at the first, fifth and ninth time of every step.
 func TestFaultMatrix(t *testing.T) {
 	for _, f := range faults {
 		var done, all atomic.Int64
@@ -238,7 +240,7 @@
 	}
 }
 
-// TestFaultPairs strikes pairs of faults, chosen by seed.
+// TestFaultPairs injects pairs of faults that are chosen by seed.
 func TestFaultPairs(t *testing.T) {
 	for seed := range *faultPairs {
 		rng := rand.New(rand.NewPCG(seed, 2))
--- a/receiver/model_test.go
+++ b/receiver/model_test.go
@@ -15,7 +15,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// TestMain makes the property tests draw the same cases every time.
+// TestMain makes the property tests draw the same cases in every run.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "200", "rapid.nofailfile": "true"} {
@@ -26,14 +26,14 @@
 	os.Exit(m.Run())
 }
 
-// referenceModel is the simplest dispatcher there is: one process that never fails and
-// remembers everything.
+// referenceModel is the simplest possible dispatcher: one process that never fails and
+// keeps all state.
 type referenceModel struct {
-	// tasks holds the number of tasks of each key's first body.
+	// tasks holds the number of tasks of the first body of each key.
 	tasks map[string]int
 }
 
-// submit returns the state that a submission has to end in.
+// submit returns the state that a submission has to end with.
 func (n *referenceModel) submit(key string, tasks int) courier.State {
 	first, ok := n.tasks[key]
 	if !ok {
@@ -46,11 +46,11 @@
 	return courier.Complete
 }
 
-// TestAnswersMatchTheReferenceModel submits the same random jobs, with
-// resubmissions and other bodies under used keys, to the naive version and to
-// a world in which processes freeze and links go silent. A key is used again
-// only when its last answer is there: which of two bodies in flight comes
-// first is open, and TestKeysAreLinearisable judges that.
+// TestAnswersMatchTheReferenceModel submits the same random jobs, with resubmissions and
+// other bodies under used keys, to the reference model and to a simulation in which
+// processes are paused and links lose messages. A key is reused only after its last
+// submission has been answered: the order of two bodies in flight is undefined, and
+// TestKeysAreLinearisable covers that case.
 func TestAnswersMatchTheReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), 3, 3, 3)
@@ -80,7 +80,7 @@
 	})
 }
 
-// runUntilAnswered lets the world go on until a caller has its answer.
+// runUntilAnswered runs the simulation until a caller has its answer, for 10 s at most.
 func (sim *simulation) runUntilAnswered(c *caller) {
 	for range 100 {
 		if c == nil || len(c.answers) > 0 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// newCaller returns a caller that has not sent its job yet. All jobs of a world
-// have the same deadline, since a body includes it.
+// newCaller returns a caller that has not sent its job yet. All jobs of a simulation have
+// the same deadline, since the deadline is part of the body.
 func (sim *simulation) newCaller(key string, entry, tasks int) *caller {
 	c := &caller{sim: sim, entry: entry, submission: courier.Submission{
 		Team: "team", Key: key, Service: "quote", Attempt: 1, Detached: true,
@@ -104,7 +104,8 @@
 	return c
 }
 
-// injectHarmlessFault strikes one of the faults that lose nothing.
+// injectHarmlessFault injects one of the faults under which no job may be lost. Values of
+// fault without a case inject none.
 func (sim *simulation) injectHarmlessFault(fault, target int) {
 	e, a := sim.entries[target].proc, sim.agents[target].proc
 	switch fault {
@@ -119,14 +120,15 @@
 	}
 }
 
-// registerInput is a submission of a body under one key.
+// registerInput is the input of an operation on the model: the submission of a body under
+// the key.
 type registerInput struct{ body int }
 
-// registerOutput is its answer.
+// registerOutput is the output of an operation: the state in the answer.
 type registerOutput struct{ state courier.State }
 
-// keyModel says that the first body under a key wins for good. An answer
-// Failed leaves open whether its body took the key; NotRun says it did not.
+// keyModel is the model of a key: the first body that takes the key keeps it. After an
+// answer Failed, the body may or may not have taken the key; after NotRun it has not.
 var keyModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
@@ -152,8 +154,9 @@
 	},
 }
 
-// TestKeysAreLinearisable races two bodies under one key through all entries,
-// while entries are killed, frozen and replaced.
+// TestKeysAreLinearisable submits two bodies under one key concurrently through all
+// entries while a fault is injected, such as an entry that is killed, paused or restarted,
+// and checks that the answers are linearisable.
 func TestKeysAreLinearisable(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -182,7 +185,8 @@
 	}
 }
 
-// raceBodies submits two bodies under one key several times, and returns when.
+// raceBodies submits two bodies under one key several times, and returns the times of the
+// submissions.
 func raceBodies(sim *simulation, rng *rand.Rand) []time.Time {
 	var submittedAt []time.Time
 	for i := range 8 {
@@ -197,8 +201,8 @@
 	return submittedAt
 }
 
-// TestSimulationsAreRepeatable runs the same faults twice: a failure that was seen
-// once has to be seen again from its seed.
+// TestSimulationsAreRepeatable runs the same faults twice and compares the histories: a
+// failure has to be reproducible from its seed.
 func TestSimulationsAreRepeatable(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 4))
--- a/receiver/peer_test.go
+++ b/receiver/peer_test.go
@@ -11,8 +11,8 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// TestPeersThatAreForgottenAreDropped learns of an entry that is replaced: its
-// address must not be dialled for ever.
+// TestPeersThatAreForgottenAreDropped checks that the address of an entry that is no
+// longer known, such as a replaced one, is not dialled for ever.
 func TestPeersThatAreForgottenAreDropped(t *testing.T) {
 	const configured, learned = "127.0.0.1:1", "127.0.0.1:2"
 	r := &Receiver{deps: provider.NewDeps(io.Discard), cfg: Config{Peers: []string{configured}}}
--- a/receiver/roster_test.go
+++ b/receiver/roster_test.go
@@ -13,9 +13,9 @@
 	"github.com/pomeloferry/pomeloferry/router"
 )
 
-// TestAllEntriesReplaced loses every entry at once while tasks run on an agent
-// that the new entry cannot reach. The new entry knows nothing of that agent,
-// and must not run again what may be running there.
+// TestAllEntriesReplaced kills all entries at once while tasks run on an agent that the
+// new entry cannot reach. The new entry does not know of that agent, and must not start
+// again the tasks that may be running there.
 func TestAllEntriesReplaced(t *testing.T) {
 	sim := newSimulation(t, 11, 3, 3, 4)
 	c := sim.submit("job", 0, 12, 3000, 50*time.Second)
@@ -34,8 +34,8 @@
 	require.Equal(t, courier.Failed, c.last().State, "%+v", c.last())
 }
 
-// TestAgentKnownToOneEntry adds an agent that only one entry can reach. That
-// entry must not use it, since a successor would not know whom to ask.
+// TestAgentKnownToOneEntry adds an agent that only one entry can reach. That entry must
+// not use it, since a successor would not know that it has to query this agent.
 func TestAgentKnownToOneEntry(t *testing.T) {
 	sim := newSimulation(t, 12, 3, 3, 1)
 	unshared := sim.addAgent("agent-4", 0, "wien", 8)
@@ -51,11 +51,12 @@
 	sim.run(55 * time.Second)
 	sim.check()
 	for _, s := range sim.startLog {
-		require.NotEqual(t, unshared, s.agent, "%v was started where a successor cannot ask", s.task)
+		require.NotEqual(t, unshared, s.agent, "%v was started on an agent that a successor cannot query", s.task)
 	}
 }
 
-// newSimulationWithUnsharedAgent returns two entries, of which the second never reaches the last of two agents.
+// newSimulationWithUnsharedAgent returns a simulation with two entries, of which the
+// second never reaches the last of two agents, and that agent.
 func newSimulationWithUnsharedAgent(t *testing.T, seed uint64) (*simulation, *simAgent) {
 	sim := newSimulation(t, seed, 2, 1, 2)
 	unshared := sim.addAgent("agent-2", 0, "graz", 8)
@@ -64,7 +65,9 @@
 	return sim, unshared
 }
 
-// TestAgentUnknownToAnEntryThatFellSilentIsNotUsed cuts two entries off from each other while an agent is in reach of one.
+// TestAgentUnknownToAnEntryThatFellSilentIsNotUsed disconnects two entries from each other
+// while only one of them reaches an agent. That entry must not use the agent, since the
+// other may still be running and does not know it.
 func TestAgentUnknownToAnEntryThatFellSilentIsNotUsed(t *testing.T) {
 	sim, unshared := newSimulationWithUnsharedAgent(t, 21)
 	sim.disconnect(sim.entries[0].proc, sim.entries[1].proc, time.Hour)
@@ -77,7 +80,9 @@
 	require.Empty(t, sim.startsOn(unshared))
 }
 
-// TestResumedEntryDoesNotTakeASilentEntryForEnded cuts a paused entry off from the other while an agent is in reach of it alone.
+// TestResumedEntryDoesNotTakeASilentEntryForEnded disconnects a paused entry from the other
+// one while only the paused entry reaches an agent. After the pause it must not conclude
+// from the missing heartbeats that the other has ended, and must not use the agent.
 func TestResumedEntryDoesNotTakeASilentEntryForEnded(t *testing.T) {
 	sim, unshared := newSimulationWithUnsharedAgent(t, 26)
 	sim.pause(sim.entries[0].proc, 8*time.Second)
@@ -93,7 +98,9 @@
 	require.Empty(t, sim.startsOn(unshared))
 }
 
-// TestAgentThatRestartsInReachOfASupersededEntryRunsNothingForIt lets a job wait at an entry that is cut off as the other takes it over.
+// TestAgentThatRestartsInReachOfASupersededEntryRunsNothingForIt lets a job wait at an
+// entry that is disconnected while the other entry takes the job over. An agent that then
+// restarts and reaches only the superseded entry must not start the job's tasks again.
 func TestAgentThatRestartsInReachOfASupersededEntryRunsNothingForIt(t *testing.T) {
 	sim := newSimulation(t, 27, 2, 2, 2)
 	cutOff, successor := sim.entries[0], sim.entries[1]
@@ -118,7 +125,9 @@
 	sim.check()
 }
 
-// TestUpstreamThatStaysAfterAllKeepsItsAgentInTheRoster cuts an entry off while an upstream is leaving that then stays.
+// TestUpstreamThatStaysAfterAllKeepsItsAgentInTheRoster disconnects an entry while an
+// upstream announces that it leaves; the upstream then stays and runs tasks again. Its
+// agent must stay in the roster, or the entries start the same task twice.
 func TestUpstreamThatStaysAfterAllKeepsItsAgentInTheRoster(t *testing.T) {
 	sim := newSimulation(t, 28, 2, 2, 4)
 	far := sim.agents[0]
@@ -138,7 +147,8 @@
 	sim.check()
 }
 
-// TestAgentThatJoinsAfterAnEntryDiedIsUsed waits until the dead entry is taken for silent in the store too.
+// TestAgentThatJoinsAfterAnEntryDiedIsUsed checks that an agent that joins after an entry
+// has died is used once the registration of the dead entry in the store has expired too.
 func TestAgentThatJoinsAfterAnEntryDiedIsUsed(t *testing.T) {
 	sim := newSimulation(t, 24, 2, 1, 2)
 	sim.kill(sim.entries[1].proc)
@@ -150,7 +160,9 @@
 	require.NotEmpty(t, sim.startsOn(late))
 }
 
-// TestEntryThatStartsAfterALongOutageAsksTheOthersForTheRoster starts where the others could not write to the store.
+// TestEntryThatStartsAfterALongOutageAsksTheOthersForTheRoster starts an entry when the
+// others have not been able to write to the store for longer than RecordRetention. The new
+// entry must not conclude that no entry has run recently, and needs their roster.
 func TestEntryThatStartsAfterALongOutageAsksTheOthersForTheRoster(t *testing.T) {
 	sim := newSimulation(t, 25, 3, 2, 4)
 	sim.store.down = true
@@ -172,12 +184,12 @@
 	sim.check()
 }
 
-// TestPausedEntryForgetsItsRoster pauses an entry while an agent joins, and
-// kills the owner that used the agent before the paused entry wakes. What the
-// owner said before the agent joined may wait in a buffer meanwhile.
+// TestPausedEntryForgetsItsRoster pauses an entry while an agent joins, and kills the owner
+// that used the agent before the paused entry resumes. Heartbeats that the owner sent
+// before the agent joined may wait in a buffer in the meantime.
 func TestPausedEntryForgetsItsRoster(t *testing.T) {
 	for _, connected := range []time.Duration{0, time.Second} {
-		t.Run(fmt.Sprintf("heard for %v", connected), func(t *testing.T) {
+		t.Run(fmt.Sprintf("connected for %v", connected), func(t *testing.T) {
 			sim := newSimulation(t, 13, 2, 1, 1)
 			paused, owner := sim.entries[0], sim.entries[1]
 			mayRun := registrationTTL + registrar.MayRunTimeout + 2*registerInterval
@@ -199,9 +211,9 @@
 	}
 }
 
-// TestOwnerAndAgentDieTogether loses the owner of a relayed job together with
-// the only agent that has a record of it. The entry that relayed it sends it to
-// the next owner, which must not take that copy for the first one.
+// TestOwnerAndAgentDieTogether kills the owner of a relayed job together with the only
+// agent that has a record of it. The entry that relayed the job sends it to the next
+// owner, which must not treat that copy as the first one.
 func TestOwnerAndAgentDieTogether(t *testing.T) {
 	sim := newSimulation(t, 14, 3, 3, 4)
 	key := ownedBy("entry-2")
@@ -215,7 +227,7 @@
 	require.Equal(t, courier.Failed, c.last().State, "%+v", c.last())
 }
 
-// ownedBy returns a key that falls to one of three entries.
+// ownedBy returns a key whose partition a given one of three entries owns.
 func ownedBy(entry string) string {
 	for i := 0; ; i++ {
 		key := fmt.Sprintf("key-%d", i)
@@ -226,7 +238,7 @@
 	}
 }
 
-// startsOn returns the starts on an agent.
+// startsOn returns the starts of tasks on an agent.
 func (sim *simulation) startsOn(a *simAgent) []startEvent {
 	var out []startEvent
 	for _, s := range sim.startLog {
@@ -237,7 +249,9 @@
 	return out
 }
 
-// TestAgentLostHereButUsedByAnotherOwnerStaysInTheRoster cuts one entry off from an agent for longer than a silent agent matters.
+// TestAgentLostHereButUsedByAnotherOwnerStaysInTheRoster disconnects one entry from an
+// agent for longer than UnreachableAgentRetention while another owner uses the agent. When
+// that owner dies, the first entry must not start again the tasks on the agent.
 func TestAgentLostHereButUsedByAnotherOwnerStaysInTheRoster(t *testing.T) {
 	sim := newSimulation(t, 22, 2, 2, 4)
 	owner, far := sim.entries[1], sim.agents[0]
@@ -252,7 +266,8 @@
 	require.Equal(t, courier.Failed, c.last().State, "%+v", c.last())
 }
 
-// TestLostAgentIsForgottenByAllEntriesInTheEnd loses an agent at one entry a little later than at the other.
+// TestLostAgentIsForgottenByAllEntriesInTheEnd checks that an agent that two entries lose
+// at slightly different times is removed from the rosters of both.
 func TestLostAgentIsForgottenByAllEntriesInTheEnd(t *testing.T) {
 	sim := newSimulation(t, 23, 2, 2, 4)
 	sim.disconnect(sim.entries[0].proc, sim.agents[0].proc, 2*time.Hour)
--- a/receiver/simagent_test.go
+++ b/receiver/simagent_test.go
@@ -11,8 +11,8 @@
 	"github.com/pomeloferry/pomeloferry/starter"
 )
 
-// simAgent is an agent: a real ledger, with wires in place of links and a
-// simulated upstream.
+// simAgent is a simulated agent: a real ledger with simulated connections and a simulated
+// upstream.
 type simAgent struct {
 	sim         *simulation
 	proc        *process
@@ -22,14 +22,14 @@
 	links       map[*simConnEnd]*simLink
 	linkByEntry map[string]*simLink
 	number      uint64
-	// upstreamDead makes running tasks lost; failAll makes every task fail.
+	// upstreamDead makes running tasks end as lost; failAll makes every task fail.
 	upstreamDead bool
 	failAll      bool
-	// leftAt is when the upstream announced its departure.
+	// leftAt is when the upstream announced that it leaves.
 	leftAt time.Time
 }
 
-// simLink is an agent's wire to an entry.
+// simLink is an agent's connection to an entry.
 type simLink struct {
 	target *simEntry
 	end    *simConnEnd
@@ -162,13 +162,13 @@
 	}
 }
 
-// run is the upstream: it notes the start and ends the task in time.
+// run simulates the upstream: it records the start and ends the task after its run time.
 func (a *simAgent) run(t courier.StartTask) {
 	sim := a.sim
 	sim.starts[t.Task]++
 	sim.startLog = append(sim.startLog, startEvent{at: sim.clock.Now(), task: t.Task, agent: a})
 	if sim.starts[t.Task] > 1 {
-		sim.violation("%v: started twice, again on %s", t.Task, a.id.Incarnation)
+		sim.violation("%v: started more than once, now on %s", t.Task, a.id.Incarnation)
 	}
 	a.checkStart(t)
 	sim.onStep("run", a.proc, a.proc)
@@ -188,10 +188,11 @@
 	})
 }
 
-// resultOf is the result of a task, different for each.
+// resultOf returns the result of a task, which differs between tasks.
 func resultOf(id courier.TaskID) string { return fmt.Sprintf("%q", fmt.Sprint(id)) }
 
-// checkStart notes a start that comes too late after a departure.
+// checkStart records a violation if a task starts too late after its upstream has announced
+// that it leaves, or after its data centre has been taken out.
 func (a *simAgent) checkStart(t courier.StartTask) {
 	const limit = 4 * time.Second
 	sim := a.sim
@@ -205,12 +206,12 @@
 	}
 	for _, d := range sim.store.bundle.DataCentres {
 		if d.Name == a.id.DataCentre && d.State == approver.Out {
-			sim.violation("%v: started in %s, which was taken out", t.Task, d.Name)
+			sim.violation("%v: started in %s, which had been taken out", t.Task, d.Name)
 		}
 	}
 }
 
-// announceLeaving makes the upstream announce its departure.
+// announceLeaving makes the upstream announce that it leaves.
 func (a *simAgent) announceLeaving() {
 	a.leftAt = a.sim.clock.Now()
 	a.ledger.SetUpstream(starter.Upstream{Slots: a.slots, Services: []string{"quote"}, Leaving: true})
--- a/receiver/simentry_test.go
+++ b/receiver/simentry_test.go
@@ -13,8 +13,8 @@
 	"github.com/pomeloferry/pomeloferry/dispatcher"
 )
 
-// simStore is the platform's store. A down store answers nobody; a cut one
-// does not answer some processes.
+// simStore simulates the platform's store. If it is down, no process reaches it; otherwise
+// those in unreachableFrom do not.
 type simStore struct {
 	sim             *simulation
 	bundle          approver.Bundle
@@ -48,7 +48,7 @@
 	return out
 }
 
-// recordAccepted notes when the bundle becomes accepted.
+// recordAccepted records the time at which the bundle becomes accepted.
 func (s *simStore) recordAccepted() {
 	v := s.bundle.Version
 	now := s.sim.clock.Now()
@@ -57,7 +57,7 @@
 	}
 }
 
-// simEntry is an entry: a real core, with wires in place of links.
+// simEntry is a simulated entry: a real core with simulated connections.
 type simEntry struct {
 	sim             *simulation
 	proc            *process
@@ -66,7 +66,7 @@
 	beforeFirstRead bool
 }
 
-// simPeer is the wire that an entry keeps to another.
+// simPeer is the connection that an entry keeps to another entry.
 type simPeer struct {
 	target  *simEntry
 	end     *simConnEnd
@@ -144,7 +144,7 @@
 	near.Send(e.core.peerHello(p.id))
 }
 
-// accept serves the far end of a wire.
+// accept serves the far end of a connection.
 func (e *simEntry) accept(end *simConnEnd) {
 	end.receive = func(msg any) { e.core.handle(linkMessage{link: end, msg: msg}) }
 	end.onClose = func() { e.core.handle(linkClosed{link: end}) }
@@ -202,8 +202,8 @@
 	s.recordAccepted()
 }
 
-// route is the event-driven twin of Receiver.route: it brings s to its owner
-// and calls answer once.
+// route is the event-driven counterpart of Receiver.route: it sends s to its owner and
+// calls answer once.
 func (e *simEntry) route(s courier.Submission, answer func(courier.Answer)) {
 	admitted, finished := false, false
 	finish := func(a courier.Answer) {
@@ -265,11 +265,11 @@
 	retry(courier.Answer{}, false)
 }
 
-// caller is a client that submits one job, and again when it breaks.
+// caller is a client that submits one job, and resubmits it when its entry dies.
 type caller struct {
 	sim        *simulation
 	submission courier.Submission
-	// answers holds every answer to this caller, in order.
+	// answers holds all answers to this caller in order.
 	answers []callerAnswer
 	open    bool
 	entry   int
@@ -282,7 +282,7 @@
 	at      time.Time
 }
 
-// submit sends a job of n tasks through an entry.
+// submit sends a job of n tasks to the entry with index entry.
 func (sim *simulation) submit(key string, entry, n, millis int, deadline time.Duration) *caller {
 	c := &caller{sim: sim, entry: entry, submission: courier.Submission{
 		Team: "team", Key: key, Service: "quote", Attempt: 1,
@@ -296,7 +296,7 @@
 	return c
 }
 
-// send makes one attempt; when the entry dies, another follows.
+// send makes one attempt, and another one if the entry dies.
 func (c *caller) send() {
 	sim := c.sim
 	if c.open || !c.submission.Deadline.After(sim.clock.Now()) {
@@ -323,7 +323,7 @@
 	c.resubmitOnCrash(e, attempt.Attempt)
 }
 
-// resubmitOnCrash sends again when the entry dies before it answers.
+// resubmitOnCrash resubmits the job if the entry dies before it answers.
 func (c *caller) resubmitOnCrash(e *simEntry, attempt int) {
 	c.sim.after(100*time.Millisecond, func() {
 		if !c.open || c.submission.Attempt != attempt {
@@ -337,7 +337,7 @@
 	})
 }
 
-// resubmit sends the next attempt through the next entry.
+// resubmit sends the next attempt to the next entry.
 func (c *caller) resubmit() {
 	c.open = false
 	c.submission.Attempt++
@@ -350,7 +350,7 @@
 	return c.answers[len(c.answers)-1].Answer
 }
 
-// check notes breaches of what a caller is promised.
+// check records violations of the guarantees to a caller.
 func (c *caller) check() {
 	sim := c.sim
 	if len(c.answers) == 0 {
@@ -361,7 +361,7 @@
 	for _, a := range c.answers {
 		limit := c.submission.Deadline.Add(ownerAnswerGrace + longestPause)
 		if a.at.After(limit) {
-			sim.violation("%s: answered after the deadline", c.submission.JobID())
+			sim.violation("%s: answered too long after the deadline", c.submission.JobID())
 		}
 		if seen[a.attempt] {
 			sim.violation("%s: attempt %d answered twice", c.submission.JobID(), a.attempt)
@@ -384,19 +384,19 @@
 		}
 	case courier.NotRun:
 		if a.attempt == c.submission.Attempt && sim.startsOf(c.submission.JobID()) > 0 {
-			sim.violation("%s: attempt %d answered NotRun (%s) and ran", c.submission.JobID(), a.attempt, a.Reason)
+			sim.violation("%s: attempt %d answered NotRun (%s), but tasks have started", c.submission.JobID(), a.attempt, a.Reason)
 		}
 	case courier.Failed:
 		for id := range sim.starts {
 			if id.Job == c.submission.JobID() && a.attempt == c.submission.Attempt && !slices.Contains(a.MayHaveRun, id.Index) {
-				sim.violation("%v: started and not named in the failed answer %s", id, a.Reason)
+				sim.violation("%v: started, but missing in MayHaveRun of the answer Failed (%s)", id, a.Reason)
 			}
 		}
 		if len(a.Results) > 0 {
-			sim.violation("%s: a failed answer with results", c.submission.JobID())
+			sim.violation("%s: answer Failed has results", c.submission.JobID())
 		}
 	default:
-		sim.violation("%s: answer %s", c.submission.JobID(), a.State)
+		sim.violation("%s: unexpected answer %s", c.submission.JobID(), a.State)
 	}
 }
 
--- a/receiver/simulation_test.go
+++ b/receiver/simulation_test.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// messageDelay is the time that a message travels.
+	// messageDelay is the latency of a message.
 	messageDelay = time.Millisecond
-	// longestPause is the longest time that a test pauses a process.
+	// longestPause is the longest pause of an entry that the check of answer times allows.
 	longestPause = 9 * time.Second
-	// idleCheckInterval is the time between two looks for silent wires.
+	// idleCheckInterval is the interval between checks for idle connections.
 	idleCheckInterval = 100 * time.Millisecond
 )
 
-// tester is what a world needs of a test; rapid's tests have it too.
+// tester is the part of testing.T that a simulation uses; rapid.T implements it too.
 type tester interface {
 	require.TestingT
 	Helper()
 }
 
-// simulation is a deployment of real cores and ledgers on fake wires, with a fake
-// clock. It runs one event at a time in a repeatable order, and notes every
-// breach of a promise.
+// simulation is a deployment of real cores and ledgers with simulated connections and a
+// fake clock. It runs one event at a time in a repeatable order, and records every
+// violation of a guarantee.
 type simulation struct {
 	t        tester
 	clock    *clockwork.FakeClock
@@ -47,11 +47,11 @@
 	agents  []*simAgent
 	conns   []*simConn
 	store   *simStore
-	// blocked holds the pairs of processes between which nothing gets
-	// through and no wire can be opened, in this direction.
+	// blocked holds the pairs of processes, as sender and receiver, between which
+	// messages are lost and no connection can be opened.
 	blocked map[[2]string]bool
-	// onStep is called with every step of a request: the type of a message
-	// sent, or "accept" or "run".
+	// onStep is called at every step of a request: the type of a message that is sent,
+	// "accept" or "run".
 	onStep func(step string, from, to *process)
 
 	starts     map[courier.TaskID]int
@@ -60,7 +60,7 @@
 	violations []string
 }
 
-// startEvent is one start of a task on an upstream.
+// startEvent is a start of a task on an upstream.
 type startEvent struct {
 	at    time.Time
 	task  courier.TaskID
@@ -86,7 +86,7 @@
 	for i := range agents {
 		sim.addAgent(fmt.Sprintf("agent-%d", i+1), 0, []string{"wien", "graz", "linz"}[i%3], slots)
 	}
-	sim.every(&process{name: "wires"}, idleCheckInterval, sim.closeIdle)
+	sim.every(&process{name: "connections"}, idleCheckInterval, sim.closeIdle)
 	sim.run(3 * time.Second)
 	return sim
 }
@@ -113,7 +113,8 @@
 	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
-// event is something that happens at a time.
+// event is a function to run at a time. Events at the same time run in the order in which
+// they were scheduled.
 type event struct {
 	at       time.Time
 	sequence int
@@ -143,7 +144,7 @@
 	heap.Push(&sim.events, event{at: sim.clock.Now().Add(d), sequence: sim.sequence, run: run})
 }
 
-// run lets the world go on for a span of time.
+// run runs the simulation for the duration d.
 func (sim *simulation) run(d time.Duration) {
 	end := sim.clock.Now().Add(d)
 	for len(sim.events) > 0 && !sim.events[0].at.After(end) {
@@ -154,7 +155,7 @@
 	sim.clock.Advance(end.Sub(sim.clock.Now()))
 }
 
-// process is one simulated process. While it is paused, what arrives waits.
+// process is one simulated process. While it is paused, its incoming events wait in inbox.
 type process struct {
 	name   string
 	paused bool
@@ -186,8 +187,8 @@
 	}
 }
 
-// every runs f in p again and again. Runs that a pause held up are not made
-// up for.
+// every runs f in p at the interval d, until p dies. Runs that fall into a pause are
+// skipped.
 func (sim *simulation) every(p *process, d time.Duration, f func()) {
 	var next func()
 	next = func() {
@@ -220,7 +221,7 @@
 	a, b *simConnEnd
 }
 
-// simConnEnd is one end of a wire. It implements the link of a core.
+// simConnEnd is one end of a connection. It implements link.
 type simConnEnd struct {
 	sim            *simulation
 	owner          *process
@@ -228,17 +229,17 @@
 	closed         bool
 	lastReceivedAt time.Time
 	lastSent       time.Time
-	// dropSent drops everything that this end sends.
+	// dropSent drops all messages that this end sends.
 	dropSent bool
-	// sendDelay delays everything that this end sends.
+	// sendDelay delays all messages that this end sends.
 	sendDelay time.Duration
-	// duplicateSent delivers everything that this end sends twice.
+	// duplicateSent delivers all messages that this end sends twice.
 	duplicateSent bool
 	receive       func(msg any)
 	onClose       func()
 }
 
-// dial opens a wire from p to far, unless something is in the way.
+// dial opens a connection from p to far. It returns nil ends if far is dead or blocked.
 func (sim *simulation) dial(p, far *process) (near, other *simConnEnd) {
 	if far.dead || sim.isBlocked(p, far) || sim.isBlocked(far, p) {
 		return nil, nil
@@ -305,7 +306,7 @@
 	}
 }
 
-// closeFar tells the far end, unless that message gets lost too.
+// closeFar closes the far end, unless messages to it are lost.
 func (sim *simulation) closeFar(e *simConnEnd) {
 	if e.dropSent || sim.isBlocked(e.owner, e.far.owner) {
 		return
@@ -313,7 +314,7 @@
 	sim.after(messageDelay+e.sendDelay, func() { e.far.owner.exec(e.far.Close) })
 }
 
-// closeIdle closes the ends on which nothing arrived for too long.
+// closeIdle closes the ends on which no message has arrived within courier.IdleTimeout.
 func (sim *simulation) closeIdle() {
 	now := sim.clock.Now()
 	live := sim.conns[:0]
@@ -330,12 +331,12 @@
 	sim.conns = live
 }
 
-// payload returns the payload of a task that runs for a time.
+// payload returns the payload of a task that runs for the given time.
 func payload(millis int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"Millis":%d}`, millis))
 }
 
-// check fails the test when a promise was broken or a caller has no answer.
+// check fails the test if a guarantee was violated or a caller has no answer.
 func (sim *simulation) check() {
 	sim.t.Helper()
 	for _, c := range sim.callers {
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -34,7 +34,7 @@
 	AddressTTL = time.Minute
 )
 
-// member is what is known of another entry.
+// member is the state of another entry.
 type member struct {
 	info    courier.EntryInfo
 	ready   bool
