--- a/agent/runner_test.go
+++ b/agent/runner_test.go
@@ -50,9 +50,9 @@
 // A redirect to a closed port must not count as a failed dial: the upstream that answered
 // with it may have started the task.
 func TestStartAnsweredByARedirectIsNotTakenForOneThatWasNotSent(t *testing.T) {
-	elsewhere := "http://" + closedAddress(t)
+	redirectURL := "http://" + closedAddress(t)
 	r := newTestRunner(t, clockwork.NewRealClock(), func(w http.ResponseWriter, req *http.Request) {
-		http.Redirect(w, req, elsewhere, http.StatusFound)
+		http.Redirect(w, req, redirectURL, http.StatusFound)
 	})
 	done := r.run(testRun(time.Now(), 0))
 	require.False(t, done.notStarted)
--- a/receiver/core.go
+++ b/receiver/core.go
@@ -247,14 +247,14 @@
 // receiver once a heartbeat of the receiver has arrived here: from then on, an agent is
 // used only if the receiver knows it.
 func (c *core) peerHello(to string) courier.PeerHello {
-	roster, certain := c.dispatcher.Roster()
+	roster, complete := c.dispatcher.Roster()
 	echo := c.registrar.Echo(to)
 	h := courier.PeerHello{
 		Entry:         c.self,
 		Incarnation:   c.incarnation,
 		Ready:         c.registrar.Ready(),
 		Leaving:       c.registrar.Leaving(),
-		RosterCertain: certain,
+		RosterCertain: complete,
 		Roster:        roster,
 		Entries:       c.registrar.AliveEntries(),
 		BundleVersion: c.confirmer.Bundle().Version,
--- a/receiver/fault_test.go
+++ b/receiver/fault_test.go
@@ -217,7 +217,7 @@
 // TestFaultMatrix injects every fault at the first, fifth and ninth time of every step.
 func TestFaultMatrix(t *testing.T) {
 	for _, f := range faults {
-		var done, all atomic.Int64
+		var completed, total atomic.Int64
 		t.Run(f.name, func(t *testing.T) {
 			for _, step := range faultSteps {
 				for n := 1; n <= 9; n += 4 {
@@ -230,13 +230,13 @@
 								require.Equal(t, courier.Complete, c.last().State, "%+v", c.last())
 							}
 						}
-						done.Add(int64(sim.completed()))
-						all.Add(int64(len(sim.callers)))
+						completed.Add(int64(sim.completed()))
+						total.Add(int64(len(sim.callers)))
 					})
 				}
 			}
 		})
-		t.Logf("%s: %d of %d jobs complete", f.name, done.Load(), all.Load())
+		t.Logf("%s: %d of %d jobs complete", f.name, completed.Load(), total.Load())
 	}
 }
 
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -154,8 +154,8 @@
 	r.deps.Clock.Sleep(StopAcceptDelay)
 	drainCtx, cancel := context.WithTimeout(inner, DrainTimeout)
 	defer cancel()
-	if left := server.Drain(drainCtx); left > 0 {
-		r.deps.Log.WithField("in_flight", left).Warn("requests aborted at the drain timeout")
+	if remaining := server.Drain(drainCtx); remaining > 0 {
+		r.deps.Log.WithField("in_flight", remaining).Warn("requests aborted at the drain timeout")
 	}
 	r.awaitIdle(drainCtx)
 	if err := poller.writeRegistration(drainCtx, true); err != nil {
--- a/receiver/store.go
+++ b/receiver/store.go
@@ -50,8 +50,8 @@
 
 // WroteWithin reports whether the entry has not stopped and wrote the registration within
 // span before now.
-func (g Registration) WroteWithin(now time.Time, span time.Duration) bool {
-	return !g.Left && now.Sub(g.SeenAt) < span
+func (r Registration) WroteWithin(now time.Time, span time.Duration) bool {
+	return !r.Left && now.Sub(r.SeenAt) < span
 }
 
 // storePoller polls the store for one entry, and writes its registration and the list of
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -77,14 +77,14 @@
 
 // discountPause does not count the time in which this process was paused as time
 // without heartbeats from the others.
-func (g *Registrar) discountPause() {
-	now := g.clock.Now()
-	gap := now.Sub(g.lastCallAt)
-	g.lastCallAt = now
+func (r *Registrar) discountPause() {
+	now := r.clock.Now()
+	gap := now.Sub(r.lastCallAt)
+	r.lastCallAt = now
 	if gap <= PauseThreshold {
 		return
 	}
-	for _, m := range g.members {
+	for _, m := range r.members {
 		m.lastAdvertisedAt = m.lastAdvertisedAt.Add(gap)
 		if !m.lastHeartbeatAt.IsZero() {
 			m.lastHeartbeatAt = m.lastHeartbeatAt.Add(gap)
@@ -93,54 +93,54 @@
 }
 
 // SetLeaving removes this entry from the view for good.
-func (g *Registrar) SetLeaving() { g.leaving = true }
+func (r *Registrar) SetLeaving() { r.leaving = true }
 
 // Leaving reports whether the planned stop of this entry has begun.
-func (g *Registrar) Leaving() bool { return g.leaving }
+func (r *Registrar) Leaving() bool { return r.leaving }
 
 // Ready reports whether this entry owns partitions.
-func (g *Registrar) Ready() bool {
-	return !g.leaving && g.clock.Since(g.startedAt) >= JoinDelay
+func (r *Registrar) Ready() bool {
+	return !r.leaving && r.clock.Since(r.startedAt) >= JoinDelay
 }
 
 // AddEntries records that entries exist and have just been advertised.
-func (g *Registrar) AddEntries(entries []courier.EntryInfo) {
-	g.discountPause()
+func (r *Registrar) AddEntries(entries []courier.EntryInfo) {
+	r.discountPause()
 	for _, e := range entries {
-		if e.ID == g.self.ID || e.ID == "" {
+		if e.ID == r.self.ID || e.ID == "" {
 			continue
 		}
-		m := g.members[e.ID]
+		m := r.members[e.ID]
 		if m == nil {
 			m = &member{}
-			g.members[e.ID] = m
+			r.members[e.ID] = m
 		}
 		m.info = e
-		m.lastAdvertisedAt = g.clock.Now()
+		m.lastAdvertisedAt = r.clock.Now()
 	}
 }
 
 // HandleHeartbeat records a heartbeat of another entry.
-func (g *Registrar) HandleHeartbeat(h courier.PeerHello) {
-	if h.Entry.ID == g.self.ID {
+func (r *Registrar) HandleHeartbeat(h courier.PeerHello) {
+	if h.Entry.ID == r.self.ID {
 		return
 	}
-	g.AddEntries([]courier.EntryInfo{h.Entry})
-	m := g.members[h.Entry.ID]
+	r.AddEntries([]courier.EntryInfo{h.Entry})
+	m := r.members[h.Entry.ID]
 	m.stamp = h.Stamp
 	m.incarnation = h.Incarnation
 	m.bundleVersion = h.BundleVersion
 	m.votersVersion = h.VotersVersion
 	m.ready = h.Ready
 	m.leaving = h.Leaving
-	m.lastHeartbeatAt = g.clock.Now()
+	m.lastHeartbeatAt = r.clock.Now()
 }
 
 // Stamp returns the current timestamp for heartbeats: the time since this entry started.
-func (g *Registrar) Stamp() time.Duration { return g.clock.Since(g.startedAt) }
+func (r *Registrar) Stamp() time.Duration { return r.clock.Since(r.startedAt) }
 
 // StampTime converts a timestamp of this entry to a time of its clock.
-func (g *Registrar) StampTime(stamp time.Duration) time.Time { return g.startedAt.Add(stamp) }
+func (r *Registrar) StampTime(stamp time.Duration) time.Time { return r.startedAt.Add(stamp) }
 
 // Echo holds the contents of the last heartbeat received from another entry: its
 // timestamp, the incarnation that sent it, and the versions in force there.
@@ -152,8 +152,8 @@
 }
 
 // Echo returns the Echo of an entry, which is zero before its first heartbeat.
-func (g *Registrar) Echo(entry string) Echo {
-	m := g.members[entry]
+func (r *Registrar) Echo(entry string) Echo {
+	m := r.members[entry]
 	if m == nil {
 		return Echo{}
 	}
@@ -161,29 +161,29 @@
 }
 
 // Tick evicts entries without a heartbeat or an advertisement within AddressTTL.
-func (g *Registrar) Tick() {
-	g.discountPause()
-	now := g.clock.Now()
-	for id, m := range g.members {
+func (r *Registrar) Tick() {
+	r.discountPause()
+	now := r.clock.Now()
+	for id, m := range r.members {
 		if now.Sub(m.lastHeartbeatAt) > AddressTTL && now.Sub(m.lastAdvertisedAt) > AddressTTL {
-			delete(g.members, id)
+			delete(r.members, id)
 		}
 	}
 }
 
-func (g *Registrar) alive(m *member) bool {
-	return g.clock.Since(m.lastHeartbeatAt) < AliveTimeout
+func (r *Registrar) alive(m *member) bool {
+	return r.clock.Since(m.lastHeartbeatAt) < AliveTimeout
 }
 
 // View returns the IDs of the entries that own partitions, sorted.
-func (g *Registrar) View() []string {
-	g.discountPause()
+func (r *Registrar) View() []string {
+	r.discountPause()
 	var out []string
-	if g.Ready() {
-		out = append(out, g.self.ID)
+	if r.Ready() {
+		out = append(out, r.self.ID)
 	}
-	for id, m := range g.members {
-		if g.alive(m) && m.ready && !m.leaving {
+	for id, m := range r.members {
+		if r.alive(m) && m.ready && !m.leaving {
 			out = append(out, id)
 		}
 	}
@@ -194,17 +194,17 @@
 // mayRun reports whether m may be running although it cannot be reached from here: a
 // heartbeat of it has arrived, it has not announced a planned stop, and it is still being
 // advertised.
-func (g *Registrar) mayRun(m *member) bool {
-	return !m.lastHeartbeatAt.IsZero() && !m.leaving && g.clock.Since(m.lastAdvertisedAt) < MayRunTimeout
+func (r *Registrar) mayRun(m *member) bool {
+	return !m.lastHeartbeatAt.IsZero() && !m.leaving && r.clock.Since(m.lastAdvertisedAt) < MayRunTimeout
 }
 
 // Peers returns the IDs of the other entries that are alive or may be running, sorted. A
 // leaving entry is included only while it is alive.
-func (g *Registrar) Peers() []string {
-	g.discountPause()
+func (r *Registrar) Peers() []string {
+	r.discountPause()
 	var out []string
-	for id, m := range g.members {
-		if g.alive(m) || g.mayRun(m) {
+	for id, m := range r.members {
+		if r.alive(m) || r.mayRun(m) {
 			out = append(out, id)
 		}
 	}
@@ -214,9 +214,9 @@
 
 // KnownEntries returns the other entries that have been advertised and not evicted,
 // sorted by ID.
-func (g *Registrar) KnownEntries() []courier.EntryInfo {
+func (r *Registrar) KnownEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
-	for _, m := range g.members {
+	for _, m := range r.members {
 		out = append(out, m.info)
 	}
 	slices.SortFunc(out, compareInfos)
@@ -225,13 +225,13 @@
 
 // AliveEntries returns this entry and the others that are alive, without leaving ones,
 // sorted by ID.
-func (g *Registrar) AliveEntries() []courier.EntryInfo {
+func (r *Registrar) AliveEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
-	if !g.leaving {
-		out = append(out, g.self)
+	if !r.leaving {
+		out = append(out, r.self)
 	}
-	for _, m := range g.members {
-		if g.alive(m) && !m.leaving {
+	for _, m := range r.members {
+		if r.alive(m) && !m.leaving {
 			out = append(out, m.info)
 		}
 	}
