--- a/receiver/echo_test.go
+++ b/receiver/echo_test.go
@@ -14,7 +14,9 @@
 	"github.com/pomeloferry/pomeloferry/starter"
 )
 
-// TestRestartedEntryIsNotConfirmedByEchoesOfItsEarlierProcess hears peers that still echo the stamps of the process before.
+// TestRestartedEntryIsNotConfirmedByEchoesOfItsEarlierProcess checks that heartbeats of
+// peers that still echo the timestamps of the earlier process do not confirm the bundle of
+// the restarted one: they would date the attestations by the wrong clock.
 func TestRestartedEntryIsNotConfirmedByEchoesOfItsEarlierProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	deps := provider.NewDeps(io.Discard).WithClock(clock)
@@ -23,7 +25,7 @@
 	}
 	read := func(c *core) {
 		c.handle(bundleRead{
-			bundle: simBundle(), at: clock.Now(),
+			bundle: simBundle(), beganAt: clock.Now(),
 			voters: confirmer.Voters{Version: 1, Entries: []string{"entry-1", "entry-2", "entry-3"}},
 		})
 	}
--- a/receiver/http.go
+++ b/receiver/http.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	// MaxBodyBytes bounds the body of a submission.
+	// MaxBodyBytes limits the size of a submission's body.
 	MaxBodyBytes = 4 << 20
-	// maxKeyBytes bounds the length of a key.
+	// maxKeyBytes limits the length of a key and of a team's name.
 	maxKeyBytes = 128
-	// queryTimeout bounds the answer to a question about a job.
+	// queryTimeout limits the time to answer a query or a cancellation of a job.
 	queryTimeout = 3 * time.Second
 )
 
-// Problem is the body of an answer to a bad request.
+// Problem is the body of the response to an invalid request.
 type Problem struct {
-	// Field is the part of the request at fault.
+	// Field is the invalid field of the request, or "body".
 	Field string
-	// Detail says what was found and what is allowed.
+	// Detail states what was found and what is allowed.
 	Detail string
 }
 
-// handler returns the interface for callers and operators.
+// handler returns the HTTP API for callers and operators.
 func (r *Receiver) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/jobs", r.serveSubmit)
@@ -52,23 +52,23 @@
 }
 
 func (r *Receiver) serveSubmit(w http.ResponseWriter, req *http.Request) {
-	r.handling.Add(1)
-	defer r.handling.Add(-1)
+	r.inFlight.Add(1)
+	defer r.inFlight.Add(-1)
 	s, p := r.parse(http.MaxBytesReader(w, req.Body, MaxBodyBytes))
 	if p != nil {
 		writeProblem(w, *p)
 		return
 	}
-	began := r.deps.Clock.Now()
+	start := r.deps.Clock.Now()
 	a := r.route(req.Context(), s)
-	r.logAnswer(a, r.deps.Clock.Since(began))
+	r.logAnswer(a, r.deps.Clock.Since(start))
 	writeAnswer(w, a)
 }
 
-func (r *Receiver) logAnswer(a courier.Answer, took time.Duration) {
+func (r *Receiver) logAnswer(a courier.Answer, elapsed time.Duration) {
 	r.deps.Metrics.GetOrCreateCounter(fmt.Sprintf(
 		`pomeloferry_answers_total{state=%q,reason=%q,bundle_version="%d"}`, a.State, a.Reason, a.BundleVersion)).Inc()
-	r.deps.Metrics.GetOrCreateHistogram(`pomeloferry_answer_seconds`).Update(took.Seconds())
+	r.deps.Metrics.GetOrCreateHistogram(`pomeloferry_answer_seconds`).Update(elapsed.Seconds())
 	level := logrus.InfoLevel
 	if a.State == courier.Complete {
 		level = logrus.DebugLevel
@@ -78,11 +78,11 @@
 		"state":          a.State,
 		"reason":         a.Reason,
 		"bundle_version": a.BundleVersion,
-		"millis":         took.Milliseconds(),
+		"millis":         elapsed.Milliseconds(),
 	}).Log(level, "answered")
 }
 
-// parse reads a submission and returns what is wrong with it, if anything.
+// parse decodes and validates a submission. It returns the first problem found, or nil.
 func (r *Receiver) parse(body interface{ Read([]byte) (int, error) }) (courier.Submission, *Problem) {
 	var s courier.Submission
 	d := json.NewDecoder(body)
@@ -101,12 +101,12 @@
 	return &Problem{Field: "body", Detail: "no submission in JSON: " + err.Error()}
 }
 
-// checkSubmission returns what is wrong with s at a time, or nil.
+// checkSubmission validates s at the time now. It returns the first problem found, or nil.
 func checkSubmission(s courier.Submission, now time.Time) *Problem {
 	problem := func(field, format string, args ...any) *Problem {
 		return &Problem{Field: field, Detail: fmt.Sprintf(format, args...)}
 	}
-	longest := approver.MaxDeadlineMillis * time.Millisecond
+	maxDeadline := approver.MaxDeadlineMillis * time.Millisecond
 	switch {
 	case !validName(s.Team):
 		return problem("Team", "found %q, allowed 1 to %d characters without a slash", s.Team, maxKeyBytes)
@@ -122,8 +122,8 @@
 		return problem("Deadline", "found none, allowed a time in RFC 3339 form")
 	case !s.Deadline.After(now):
 		return problem("Deadline", "found %s, which has passed; nothing was started by this request", s.Deadline.Format(time.RFC3339Nano))
-	case s.Deadline.Sub(now) > longest:
-		return problem("Deadline", "found %s ahead, allowed %s", s.Deadline.Sub(now).Round(time.Millisecond), longest)
+	case s.Deadline.Sub(now) > maxDeadline:
+		return problem("Deadline", "found %s ahead, allowed %s", s.Deadline.Sub(now).Round(time.Millisecond), maxDeadline)
 	}
 	return nil
 }
@@ -148,7 +148,7 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// statusOf maps an answer to its HTTP status.
+// statusOf returns the HTTP status of an answer.
 func statusOf(a courier.Answer) int {
 	switch {
 	case a.State == courier.Complete:
@@ -179,14 +179,14 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Dump returns the state of the entry, for operators.
+// Dump returns the state of the entry for operators.
 func (r *Receiver) Dump() (any, error) {
 	answer, err := r.ask(dumpQuery{})
 	if err != nil {
 		return nil, err
 	}
 	dump := answer.(Dump)
-	dump.Requests = r.handling.Load()
+	dump.Requests = r.inFlight.Load()
 	return dump, nil
 }
 
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -1,7 +1,7 @@
-// Package receiver is the entry process. It takes callers' requests over HTTP,
-// passes each to the entry that owns it, and, for the submissions owned here,
-// lets a dispatcher.Owner decide. One actor owns the dispatcher and the view
-// of the other entries; everything else sends it typed messages through its
+// Package receiver implements the entry process. It accepts callers' requests over HTTP,
+// forwards each to the entry that owns its partition, and applies the decisions of a
+// dispatcher.Dispatcher on the submissions owned here. One actor owns the dispatcher and
+// the view of the other entries; everything else sends it typed messages through its
 // bounded mailbox.
 package receiver
 
@@ -24,20 +24,20 @@
 )
 
 const (
-	// TickInterval is the time between two looks at what has come due.
+	// TickInterval is the interval between checks for due work.
 	TickInterval = 20 * time.Millisecond
-	// StopAcceptDelay is how long a stopping entry still takes connections, so
-	// that the balancer can turn away from it.
+	// StopAcceptDelay is how long an entry in a planned stop still accepts connections,
+	// so that the balancer can stop sending requests to it.
 	StopAcceptDelay = time.Second
-	// DrainTimeout bounds the wait of a planned stop.
+	// DrainTimeout limits how long a planned stop waits for requests in flight.
 	DrainTimeout = 65 * time.Second
-	// mailboxSize bounds the messages that wait for the actor.
+	// mailboxSize is the maximum number of messages queued for the actor.
 	mailboxSize = 16384
-	// askTimeout bounds the wait for the actor's answer to a question.
+	// askTimeout limits the wait for the actor's answer to a query.
 	askTimeout = 2 * time.Second
 )
 
-// Store is what an entry needs of the platform's key-value service.
+// Store is the part of the platform's key-value service that an entry uses.
 type Store interface {
 	Get(ctx context.Context, key string) (keeper.Pair, error)
 	List(ctx context.Context, prefix string) ([]keeper.Pair, error)
@@ -45,66 +45,68 @@
 	CompareAndSwap(ctx context.Context, key string, revision int64, value []byte, also ...keeper.Pair) (bool, error)
 }
 
-// Config describes one entry.
+// Config holds the settings of one entry.
 type Config struct {
 	ID         string
 	DataCentre string
-	// Listen is where callers and operators reach the entry.
+	// Listen is the address at which callers and operators reach the entry.
 	Listen string
-	// Link is where agents and other entries reach it.
+	// Link is the address at which agents and other entries reach it.
 	Link string
-	// Peers lists link addresses of other entries. Others are learned.
+	// Peers lists the link addresses of some other entries. Those of the others are
+	// learned from the store and from these.
 	Peers []string
-	// Trust names who may approve bundles.
+	// Trust maps those who may approve bundles to their public keys.
 	Trust approver.Trust
-	// Seed makes random choices repeatable.
+	// Seed is the seed of random choices, which makes them repeatable.
 	Seed uint64
-	// Placement and Order choose the policies; nil means the defaults.
+	// Placement and Order are the policies; nil selects the defaults.
 	Placement dispatcher.Placement
 	Order     dispatcher.Order
 }
 
 // Receiver is one entry process.
 type Receiver struct {
-	deps     provider.Deps
-	cfg      Config
-	store    Store
-	listener net.Listener
-	links    net.Listener
-	self     courier.EntryInfo
-	system   *actor.ActorSystem
-	pid      *actor.PID
-	peers    *peerSet
-	// handling counts the submissions being handled.
-	handling atomic.Int64
+	deps         provider.Deps
+	cfg          Config
+	store        Store
+	listener     net.Listener
+	linkListener net.Listener
+	self         courier.EntryInfo
+	system       *actor.ActorSystem
+	pid          *actor.PID
+	peers        *peerSet
+	// inFlight is the number of submissions in flight.
+	inFlight atomic.Int64
 }
 
-// NewReceiver returns an entry that listens already.
+// NewReceiver returns an entry that listens on cfg.Listen and cfg.Link, but does not serve
+// yet.
 func NewReceiver(deps provider.Deps, cfg Config, store Store) (*Receiver, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, &Error{Op: "Listen", Kind: Unusable, Err: err}
 	}
-	links, err := net.Listen("tcp", cfg.Link)
+	linkListener, err := net.Listen("tcp", cfg.Link)
 	if err != nil {
 		_ = listener.Close()
 		return nil, &Error{Op: "Link", Kind: Unusable, Err: err}
 	}
 	r := &Receiver{
-		deps:     deps.WithField("entry", cfg.ID).WithField("data_centre", cfg.DataCentre),
-		cfg:      cfg,
-		store:    store,
-		listener: listener,
-		links:    links,
-		self:     courier.EntryInfo{ID: cfg.ID, Link: links.Addr().String()},
+		deps:         deps.WithField("entry", cfg.ID).WithField("data_centre", cfg.DataCentre),
+		cfg:          cfg,
+		store:        store,
+		listener:     listener,
+		linkListener: linkListener,
+		self:         courier.EntryInfo{ID: cfg.ID, Link: linkListener.Addr().String()},
 	}
 	r.system = announcer.NewActorSystem(r.deps)
 	r.peers = newPeerSet(r)
 	return r, nil
 }
 
-// Run serves until ctx ends, then hands its partitions over and stops when
-// every request in flight has its answer.
+// Run serves until ctx ends, then hands its partitions over and returns when every
+// request in flight has been answered, or after DrainTimeout.
 func (r *Receiver) Run(ctx context.Context) error {
 	props := actor.PropsFromProducer(
 		func() actor.Actor { return newCore(r.deps, r.cfg, r.self, r.peers.setEntries) },
@@ -114,33 +116,34 @@
 	defer r.system.Shutdown()
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	front := announcer.NewGracefulServer(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
+	server := announcer.NewGracefulServer(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
 
-	f := &storePoller{receiver: r}
+	poller := &storePoller{receiver: r}
 
 	var g run.Group
-	g.Add(func() error { return r.drainAfter(ctx, inner, front, f) }, func(error) { cancel() })
-	g.Add(func() error { return front.Serve(inner) }, func(error) { front.Close() })
-	g.Add(func() error { return r.acceptLinks(inner) }, func(error) { _ = r.links.Close() })
+	g.Add(func() error { return r.drainOnShutdown(ctx, inner, server, poller) }, func(error) { cancel() })
+	g.Add(func() error { return server.Serve(inner) }, func(error) { server.Close() })
+	g.Add(func() error { return r.acceptLinks(inner) }, func(error) { _ = r.linkListener.Close() })
 	g.Add(func() error { return r.tick(inner) }, func(error) { cancel() })
 	g.Add(func() error { return r.peers.run(inner) }, func(error) { cancel() })
-	g.Add(func() error { return f.pollBundle(inner) }, func(error) { cancel() })
-	g.Add(func() error { return f.pollRegistrations(inner) }, func(error) { cancel() })
+	g.Add(func() error { return poller.pollBundle(inner) }, func(error) { cancel() })
+	g.Add(func() error { return poller.pollRegistrations(inner) }, func(error) { cancel() })
 	r.deps.Log.WithField("listen", r.listener.Addr().String()).Info("entry started")
 	err := g.Run()
 	r.deps.Log.Info("entry stopped")
 	return err
 }
 
-// Addr returns where callers reach the entry.
+// Addr returns the address at which callers reach the entry.
 func (r *Receiver) Addr() string { return r.listener.Addr().String() }
 
-// LinkAddr returns where agents and other entries reach the entry.
+// LinkAddr returns the address at which agents and other entries reach the entry.
 func (r *Receiver) LinkAddr() string { return r.self.Link }
 
-// drainOnShutdown waits for the planned stop, gives the partitions to the other
-// entries and waits until every request has been answered.
-func (r *Receiver) drainAfter(ctx, inner context.Context, front *announcer.GracefulServer, f *storePoller) error {
+// drainOnShutdown begins a planned stop when ctx ends: it hands the partitions over to the
+// other entries, waits until every request has been answered, and registers this entry as
+// stopped. It returns early if inner ends first.
+func (r *Receiver) drainOnShutdown(ctx, inner context.Context, server *announcer.GracefulServer, poller *storePoller) error {
 	select {
 	case <-ctx.Done():
 	case <-inner.Done():
@@ -149,19 +152,19 @@
 	r.deps.Log.Info("entry draining")
 	r.post(drain{})
 	r.deps.Clock.Sleep(StopAcceptDelay)
-	limit, cancel := context.WithTimeout(inner, DrainTimeout)
+	drainCtx, cancel := context.WithTimeout(inner, DrainTimeout)
 	defer cancel()
-	if left := front.Drain(limit); left > 0 {
-		r.deps.Log.WithField("in_flight", left).Warn("requests cut off by the drain limit")
+	if remaining := server.Drain(drainCtx); remaining > 0 {
+		r.deps.Log.WithField("in_flight", remaining).Warn("requests aborted at the drain timeout")
 	}
-	r.awaitIdle(limit)
-	if err := f.writeRegistration(limit, true); err != nil {
-		r.deps.Log.WithError(err).Warn("departure not registered")
+	r.awaitIdle(drainCtx)
+	if err := poller.writeRegistration(drainCtx, true); err != nil {
+		r.deps.Log.WithError(err).Warn("planned stop not registered")
 	}
 	return nil
 }
 
-// awaitIdle waits until no job is unfinished here, or ctx ends.
+// awaitIdle waits until every job here has finished, or ctx ends.
 func (r *Receiver) awaitIdle(ctx context.Context) {
 	for ctx.Err() == nil {
 		answer, err := r.ask(idleQuery{})
@@ -174,7 +177,7 @@
 
 func (r *Receiver) acceptLinks(ctx context.Context) error {
 	for {
-		socket, err := r.links.Accept()
+		socket, err := r.linkListener.Accept()
 		if err != nil {
 			return nil
 		}
--- a/receiver/simulation_test.go
+++ b/receiver/simulation_test.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// messageDelay is the time that a message travels.
+	// messageDelay is the latency of a message.
 	messageDelay = time.Millisecond
-	// longestPause is the longest time that a test pauses a process.
+	// longestPause is the longest pause of an entry that the check of answer times allows.
 	longestPause = 9 * time.Second
-	// idleCheckInterval is the time between two looks for silent wires.
+	// idleCheckInterval is the interval between checks for idle connections.
 	idleCheckInterval = 100 * time.Millisecond
 )
 
-// tester is what a world needs of a test; rapid's tests have it too.
+// tester is the part of testing.T that a simulation uses; rapid.T implements it too.
 type tester interface {
 	require.TestingT
 	Helper()
 }
 
-// simulation is a deployment of real cores and ledgers on fake wires, with a fake
-// clock. It runs one event at a time in a repeatable order, and notes every
-// breach of a promise.
+// simulation is a deployment of real cores and ledgers with simulated connections and a
+// fake clock. It runs one event at a time in a repeatable order, and records every
+// violation of a guarantee.
 type simulation struct {
 	t        tester
 	clock    *clockwork.FakeClock
@@ -47,11 +47,11 @@
 	agents  []*simAgent
 	conns   []*simConn
 	store   *simStore
-	// blocked holds the pairs of processes between which nothing gets
-	// through and no wire can be opened, in this direction.
+	// blocked holds the pairs of processes, as sender and receiver, between which
+	// messages are lost and no connection can be opened.
 	blocked map[[2]string]bool
-	// onStep is called with every step of a request: the type of a message
-	// sent, or "accept" or "run".
+	// onStep is called at every step of a request: the type of a message that is sent,
+	// "accept" or "run".
 	onStep func(step string, from, to *process)
 
 	starts     map[courier.TaskID]int
@@ -60,7 +60,7 @@
 	violations []string
 }
 
-// startEvent is one start of a task on an upstream.
+// startEvent is a start of a task on an upstream.
 type startEvent struct {
 	at    time.Time
 	task  courier.TaskID
@@ -70,7 +70,7 @@
 func newSimulation(t tester, seed uint64, entries, agents, slots int) *simulation {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	deps := provider.NewDeps(io.Discard).WithClock(clock)
-	w := &simulation{
+	sim := &simulation{
 		t:       t,
 		clock:   clock,
 		rng:     rand.New(rand.NewPCG(seed, 1)),
@@ -79,16 +79,16 @@
 		onStep:  func(string, *process, *process) {},
 		starts:  make(map[courier.TaskID]int),
 	}
-	w.store = newSimStore(w)
+	sim.store = newSimStore(sim)
 	for range entries {
-		w.addEntry(fmt.Sprintf("entry-%d", len(w.entries)+1))
+		sim.addEntry(fmt.Sprintf("entry-%d", len(sim.entries)+1))
 	}
 	for i := range agents {
-		w.addAgent(fmt.Sprintf("agent-%d", i+1), 0, []string{"wien", "graz", "linz"}[i%3], slots)
+		sim.addAgent(fmt.Sprintf("agent-%d", i+1), 0, []string{"wien", "graz", "linz"}[i%3], slots)
 	}
-	w.every(&process{name: "wires"}, idleCheckInterval, w.closeIdle)
-	w.run(3 * time.Second)
-	return w
+	sim.every(&process{name: "connections"}, idleCheckInterval, sim.closeIdle)
+	sim.run(3 * time.Second)
+	return sim
 }
 
 func simBundle() approver.Bundle {
@@ -108,12 +108,13 @@
 	}
 }
 
-func (w *simulation) violation(format string, args ...any) {
-	at := w.clock.Since(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
+func (sim *simulation) violation(format string, args ...any) {
+	at := sim.clock.Since(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
-// event is something that happens at a time.
+// event is a function to run at a time. Events at the same time run in the order in which
+// they were scheduled.
 type event struct {
 	at       time.Time
 	sequence int
@@ -138,23 +139,23 @@
 	return e
 }
 
-func (w *simulation) after(d time.Duration, run func()) {
-	w.sequence++
-	heap.Push(&w.events, event{at: w.clock.Now().Add(d), sequence: w.sequence, run: run})
+func (sim *simulation) after(d time.Duration, run func()) {
+	sim.sequence++
+	heap.Push(&sim.events, event{at: sim.clock.Now().Add(d), sequence: sim.sequence, run: run})
 }
 
-// run lets the world go on for a span of time.
-func (w *simulation) run(d time.Duration) {
-	end := w.clock.Now().Add(d)
-	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		e := heap.Pop(&w.events).(event)
-		w.clock.Advance(e.at.Sub(w.clock.Now()))
+// run runs the simulation for the duration d.
+func (sim *simulation) run(d time.Duration) {
+	end := sim.clock.Now().Add(d)
+	for len(sim.events) > 0 && !sim.events[0].at.After(end) {
+		e := heap.Pop(&sim.events).(event)
+		sim.clock.Advance(e.at.Sub(sim.clock.Now()))
 		e.run()
 	}
-	w.clock.Advance(end.Sub(w.clock.Now()))
+	sim.clock.Advance(end.Sub(sim.clock.Now()))
 }
 
-// process is one simulated process. While it is paused, what arrives waits.
+// process is one simulated process. While it is paused, its incoming events wait in inbox.
 type process struct {
 	name   string
 	paused bool
@@ -172,12 +173,12 @@
 	}
 }
 
-func (w *simulation) pause(p *process, d time.Duration) {
+func (sim *simulation) pause(p *process, d time.Duration) {
 	p.paused = true
-	w.after(d, func() { w.resume(p) })
+	sim.after(d, func() { sim.resume(p) })
 }
 
-func (w *simulation) resume(p *process) {
+func (sim *simulation) resume(p *process) {
 	p.paused = false
 	inbox := p.inbox
 	p.inbox = nil
@@ -186,9 +187,9 @@
 	}
 }
 
-// every runs f in p again and again. Runs that a pause held up are not made
-// up for.
-func (w *simulation) every(p *process, d time.Duration, f func()) {
+// every runs f in p at the interval d, until p dies. Runs that fall into a pause are
+// skipped.
+func (sim *simulation) every(p *process, d time.Duration, f func()) {
 	var next func()
 	next = func() {
 		if p.dead {
@@ -197,19 +198,19 @@
 		if !p.paused {
 			f()
 		}
-		w.after(d, next)
+		sim.after(d, next)
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(d))), next)
+	sim.after(time.Duration(sim.rng.Int64N(int64(d))), next)
 }
 
-func (w *simulation) kill(p *process) {
+func (sim *simulation) kill(p *process) {
 	p.dead = true
 	p.inbox = nil
-	for _, x := range w.conns {
+	for _, x := range sim.conns {
 		for _, e := range []*simConnEnd{x.a, x.b} {
 			if e.owner == p && !e.closed {
 				e.closed = true
-				w.closeFar(e)
+				sim.closeFar(e)
 			}
 		}
 	}
@@ -220,47 +221,47 @@
 	a, b *simConnEnd
 }
 
-// simConnEnd is one end of a wire. It implements the link of a core.
+// simConnEnd is one end of a connection. It implements link.
 type simConnEnd struct {
-	world          *simulation
+	sim            *simulation
 	owner          *process
 	far            *simConnEnd
 	closed         bool
 	lastReceivedAt time.Time
 	lastSent       time.Time
-	// dropSent drops everything that this end sends.
+	// dropSent drops all messages that this end sends.
 	dropSent bool
-	// sendDelay delays everything that this end sends.
+	// sendDelay delays all messages that this end sends.
 	sendDelay time.Duration
-	// duplicateSent delivers everything that this end sends twice.
+	// duplicateSent delivers all messages that this end sends twice.
 	duplicateSent bool
 	receive       func(msg any)
 	onClose       func()
 }
 
-// dial opens a wire from p to far, unless something is in the way.
-func (w *simulation) dial(p, far *process) (near, other *simConnEnd) {
-	if far.dead || w.isBlocked(p, far) || w.isBlocked(far, p) {
+// dial opens a connection from p to far. It returns nil ends if far is dead or blocked.
+func (sim *simulation) dial(p, far *process) (near, other *simConnEnd) {
+	if far.dead || sim.isBlocked(p, far) || sim.isBlocked(far, p) {
 		return nil, nil
 	}
-	near = &simConnEnd{world: w, owner: p, lastReceivedAt: w.clock.Now()}
-	other = &simConnEnd{world: w, owner: far, far: near, lastReceivedAt: w.clock.Now()}
+	near = &simConnEnd{sim: sim, owner: p, lastReceivedAt: sim.clock.Now()}
+	other = &simConnEnd{sim: sim, owner: far, far: near, lastReceivedAt: sim.clock.Now()}
 	near.far = other
-	w.conns = append(w.conns, &simConn{a: near, b: other})
+	sim.conns = append(sim.conns, &simConn{a: near, b: other})
 	return near, other
 }
 
-func (w *simulation) isBlocked(from, to *process) bool {
-	return w.blocked[[2]string{from.name, to.name}]
+func (sim *simulation) isBlocked(from, to *process) bool {
+	return sim.blocked[[2]string{from.name, to.name}]
 }
 
 // Send implements link.
 func (e *simConnEnd) Send(msg any) {
-	w := e.world
+	sim := e.sim
 	if e.closed || e.owner.dead {
 		return
 	}
-	w.onStep(reflect.TypeOf(msg).Name(), e.owner, e.far.owner)
+	sim.onStep(reflect.TypeOf(msg).Name(), e.owner, e.far.owner)
 	if e.closed || e.owner.dead {
 		return
 	}
@@ -271,23 +272,23 @@
 }
 
 func (e *simConnEnd) deliver(msg any) {
-	w := e.world
-	at := w.clock.Now().Add(messageDelay + e.sendDelay)
+	sim := e.sim
+	at := sim.clock.Now().Add(messageDelay + e.sendDelay)
 	if at.Before(e.lastSent) {
 		at = e.lastSent
 	}
 	e.lastSent = at
-	if e.dropSent || w.isBlocked(e.owner, e.far.owner) {
+	if e.dropSent || sim.isBlocked(e.owner, e.far.owner) {
 		return
 	}
 	ptr := reflect.New(reflect.TypeOf(msg))
 	ptr.Elem().Set(reflect.ValueOf(msg))
-	w.after(at.Sub(w.clock.Now()), func() {
+	sim.after(at.Sub(sim.clock.Now()), func() {
 		e.far.owner.exec(func() {
 			if e.far.closed {
 				return
 			}
-			e.far.lastReceivedAt = w.clock.Now()
+			e.far.lastReceivedAt = sim.clock.Now()
 			e.far.receive(ptr.Interface())
 		})
 	})
@@ -299,25 +300,25 @@
 		return
 	}
 	e.closed = true
-	e.world.closeFar(e)
+	e.sim.closeFar(e)
 	if e.onClose != nil {
 		e.onClose()
 	}
 }
 
-// closeFar tells the far end, unless that message gets lost too.
-func (w *simulation) closeFar(e *simConnEnd) {
-	if e.dropSent || w.isBlocked(e.owner, e.far.owner) {
+// closeFar closes the far end, unless messages to it are lost.
+func (sim *simulation) closeFar(e *simConnEnd) {
+	if e.dropSent || sim.isBlocked(e.owner, e.far.owner) {
 		return
 	}
-	w.after(messageDelay+e.sendDelay, func() { e.far.owner.exec(e.far.Close) })
+	sim.after(messageDelay+e.sendDelay, func() { e.far.owner.exec(e.far.Close) })
 }
 
-// closeIdle closes the ends on which nothing arrived for too long.
-func (w *simulation) closeIdle() {
-	now := w.clock.Now()
-	live := w.conns[:0]
-	for _, x := range w.conns {
+// closeIdle closes the ends on which no message has arrived within courier.IdleTimeout.
+func (sim *simulation) closeIdle() {
+	now := sim.clock.Now()
+	live := sim.conns[:0]
+	for _, x := range sim.conns {
 		for _, e := range []*simConnEnd{x.a, x.b} {
 			if !e.closed && !e.owner.paused && !e.owner.dead && now.Sub(e.lastReceivedAt) > courier.IdleTimeout {
 				e.Close()
@@ -327,19 +328,19 @@
 			live = append(live, x)
 		}
 	}
-	w.conns = live
+	sim.conns = live
 }
 
-// payload returns the payload of a task that runs for a time.
+// payload returns the payload of a task that runs for the given time.
 func payload(millis int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"Millis":%d}`, millis))
 }
 
-// check fails the test when a promise was broken or a caller has no answer.
-func (w *simulation) check() {
-	w.t.Helper()
-	for _, c := range w.callers {
+// check fails the test if a guarantee was violated or a caller has no answer.
+func (sim *simulation) check() {
+	sim.t.Helper()
+	for _, c := range sim.callers {
 		c.check()
 	}
-	require.Empty(w.t, w.violations)
+	require.Empty(sim.t, sim.violations)
 }
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -1,7 +1,7 @@
-// Package registrar keeps, at one entry, which other entries exist, which are
-// alive, and which of them own partitions. Entries hear of each other through
-// the platform's store and through each other; whether one is alive is decided
-// by its heartbeats alone.
+// Package registrar tracks, at one entry, which other entries exist, which are alive,
+// and which of them own partitions. Entries learn of each other from the platform's
+// store and from other entries; whether an entry is alive is decided by its heartbeats
+// alone.
 //
 // A Registrar is not safe for concurrent use.
 package registrar
@@ -17,46 +17,47 @@
 )
 
 const (
-	// HeartbeatInterval is the time between two heartbeats to an entry.
+	// HeartbeatInterval is the interval between heartbeats to another entry.
 	HeartbeatInterval = 500 * time.Millisecond
 	// AliveTimeout is how long an entry counts as alive after its last heartbeat.
 	AliveTimeout = 2 * time.Second
-	// MayRunTimeout is how long an entry that is silent here counts as one that may
-	// still be running, after the store or another entry last named it.
+	// MayRunTimeout is how long an entry without heartbeats counts as one that may still
+	// be running, after the store or another entry last advertised it.
 	MayRunTimeout = 6 * time.Second
-	// PauseThreshold is the longest gap between two calls that is no pause of this
-	// process.
+	// PauseThreshold is the gap between two calls above which this process counts as
+	// having been paused.
 	PauseThreshold = AliveTimeout / 2
-	// JoinDelay is how long a new entry listens before it owns partitions.
+	// JoinDelay is how long a new entry collects heartbeats before it owns partitions.
 	JoinDelay = time.Second
-	// AddressTTL drops the address of an entry that nobody has heard of.
+	// AddressTTL is how long the address of an entry is kept after its last heartbeat
+	// and its last advertisement.
 	AddressTTL = time.Minute
 )
 
-// member is what is known of another entry.
+// member is the state of another entry.
 type member struct {
 	info    courier.EntryInfo
 	ready   bool
 	leaving bool
-	// stamp is the last stamp received, from incarnation; the next heartbeat
-	// echoes it.
+	// stamp is the last timestamp received, sent by incarnation; the next heartbeat to
+	// the entry echoes it.
 	stamp         time.Duration
 	incarnation   string
 	bundleVersion uint64
 	votersVersion uint64
-	// lastHeartbeatAt is when the last heartbeat came; named is when the address was
-	// last given by the store or by another entry.
+	// lastHeartbeatAt is when the last heartbeat arrived; lastAdvertisedAt is when the
+	// store or an entry last listed the address.
 	lastHeartbeatAt  time.Time
 	lastAdvertisedAt time.Time
 }
 
-// Registrar is the aggregate of one entry's view of the others.
+// Registrar holds one entry's view of the other entries.
 type Registrar struct {
 	clock     clockwork.Clock
 	self      courier.EntryInfo
 	startedAt time.Time
-	// lastRunNumber is when the registrar last ran; a longer gap than PauseThreshold
-	// means that it could hear nobody meanwhile.
+	// lastCallAt is when the registrar was last called; a gap longer than
+	// PauseThreshold means that no heartbeat could be received in the meantime.
 	lastCallAt time.Time
 	leaving    bool
 	members    map[string]*member
@@ -74,16 +75,16 @@
 	}
 }
 
-// discountPause leaves the time that this process was paused out of the silence of the
-// others.
-func (g *Registrar) discountPause() {
-	now := g.clock.Now()
-	gap := now.Sub(g.lastCallAt)
-	g.lastCallAt = now
+// discountPause does not count the time in which this process was paused as time
+// without heartbeats from the others.
+func (r *Registrar) discountPause() {
+	now := r.clock.Now()
+	gap := now.Sub(r.lastCallAt)
+	r.lastCallAt = now
 	if gap <= PauseThreshold {
 		return
 	}
-	for _, m := range g.members {
+	for _, m := range r.members {
 		m.lastAdvertisedAt = m.lastAdvertisedAt.Add(gap)
 		if !m.lastHeartbeatAt.IsZero() {
 			m.lastHeartbeatAt = m.lastHeartbeatAt.Add(gap)
@@ -91,58 +92,58 @@
 	}
 }
 
-// BeginShutdown takes this entry out of the view for good.
-func (g *Registrar) SetLeaving() { g.leaving = true }
+// SetLeaving removes this entry from the view for good.
+func (r *Registrar) SetLeaving() { r.leaving = true }
 
-// Leaving reports whether this entry is leaving.
-func (g *Registrar) Leaving() bool { return g.leaving }
+// Leaving reports whether the planned stop of this entry has begun.
+func (r *Registrar) Leaving() bool { return r.leaving }
 
 // Ready reports whether this entry owns partitions.
-func (g *Registrar) Ready() bool {
-	return !g.leaving && g.clock.Since(g.startedAt) >= JoinDelay
+func (r *Registrar) Ready() bool {
+	return !r.leaving && r.clock.Since(r.startedAt) >= JoinDelay
 }
 
-// AddEntries notes that other entries exist.
-func (g *Registrar) AddEntries(entries []courier.EntryInfo) {
-	g.discountPause()
+// AddEntries records that entries exist and have just been advertised.
+func (r *Registrar) AddEntries(entries []courier.EntryInfo) {
+	r.discountPause()
 	for _, e := range entries {
-		if e.ID == g.self.ID || e.ID == "" {
+		if e.ID == r.self.ID || e.ID == "" {
 			continue
 		}
-		m := g.members[e.ID]
+		m := r.members[e.ID]
 		if m == nil {
 			m = &member{}
-			g.members[e.ID] = m
+			r.members[e.ID] = m
 		}
 		m.info = e
-		m.lastAdvertisedAt = g.clock.Now()
+		m.lastAdvertisedAt = r.clock.Now()
 	}
 }
 
-// HandleHeartbeat takes a heartbeat.
-func (g *Registrar) HandleHeartbeat(h courier.PeerHello) {
-	if h.Entry.ID == g.self.ID {
+// HandleHeartbeat records a heartbeat of another entry.
+func (r *Registrar) HandleHeartbeat(h courier.PeerHello) {
+	if h.Entry.ID == r.self.ID {
 		return
 	}
-	g.AddEntries([]courier.EntryInfo{h.Entry})
-	m := g.members[h.Entry.ID]
+	r.AddEntries([]courier.EntryInfo{h.Entry})
+	m := r.members[h.Entry.ID]
 	m.stamp = h.Stamp
 	m.incarnation = h.Incarnation
 	m.bundleVersion = h.BundleVersion
 	m.votersVersion = h.VotersVersion
 	m.ready = h.Ready
 	m.leaving = h.Leaving
-	m.lastHeartbeatAt = g.clock.Now()
+	m.lastHeartbeatAt = r.clock.Now()
 }
 
-// Stamp returns this entry's clock as heartbeats carry it.
-func (g *Registrar) Stamp() time.Duration { return g.clock.Since(g.startedAt) }
+// Stamp returns the current timestamp for heartbeats: the time since this entry started.
+func (r *Registrar) Stamp() time.Duration { return r.clock.Since(r.startedAt) }
 
-// StampTime returns the time of this entry's clock that a stamp stands for.
-func (g *Registrar) StampTime(stamp time.Duration) time.Time { return g.startedAt.Add(stamp) }
+// StampTime converts a timestamp of this entry to a time of its clock.
+func (r *Registrar) StampTime(stamp time.Duration) time.Time { return r.startedAt.Add(stamp) }
 
-// Echo is what the last heartbeat received from another entry said: its stamp,
-// the incarnation that sent it, and the versions in force there.
+// Echo holds the contents of the last heartbeat received from another entry: its
+// timestamp, the incarnation that sent it, and the versions in force there.
 type Echo struct {
 	Stamp         time.Duration
 	Incarnation   string
@@ -151,38 +152,38 @@
 }
 
 // Echo returns the Echo of an entry, which is zero before its first heartbeat.
-func (g *Registrar) Echo(entry string) Echo {
-	m := g.members[entry]
+func (r *Registrar) Echo(entry string) Echo {
+	m := r.members[entry]
 	if m == nil {
 		return Echo{}
 	}
 	return Echo{m.stamp, m.incarnation, m.bundleVersion, m.votersVersion}
 }
 
-// Tick forgets entries that nobody has heard of for long.
-func (g *Registrar) Tick() {
-	g.discountPause()
-	now := g.clock.Now()
-	for id, m := range g.members {
+// Tick evicts entries without a heartbeat or an advertisement within AddressTTL.
+func (r *Registrar) Tick() {
+	r.discountPause()
+	now := r.clock.Now()
+	for id, m := range r.members {
 		if now.Sub(m.lastHeartbeatAt) > AddressTTL && now.Sub(m.lastAdvertisedAt) > AddressTTL {
-			delete(g.members, id)
+			delete(r.members, id)
 		}
 	}
 }
 
-func (g *Registrar) alive(m *member) bool {
-	return g.clock.Since(m.lastHeartbeatAt) < AliveTimeout
+func (r *Registrar) alive(m *member) bool {
+	return r.clock.Since(m.lastHeartbeatAt) < AliveTimeout
 }
 
-// View returns the entries that own partitions, in order.
-func (g *Registrar) View() []string {
-	g.discountPause()
+// View returns the IDs of the entries that own partitions, sorted.
+func (r *Registrar) View() []string {
+	r.discountPause()
 	var out []string
-	if g.Ready() {
-		out = append(out, g.self.ID)
+	if r.Ready() {
+		out = append(out, r.self.ID)
 	}
-	for id, m := range g.members {
-		if g.alive(m) && m.ready && !m.leaving {
+	for id, m := range r.members {
+		if r.alive(m) && m.ready && !m.leaving {
 			out = append(out, id)
 		}
 	}
@@ -190,19 +191,20 @@
 	return out
 }
 
-// ownsExclusively reports whether m may be running out of reach of this entry: it has
-// been heard here, has not said that it leaves, and is still being named.
-func (g *Registrar) mayRun(m *member) bool {
-	return !m.lastHeartbeatAt.IsZero() && !m.leaving && g.clock.Since(m.lastAdvertisedAt) < MayRunTimeout
+// mayRun reports whether m may be running although it cannot be reached from here: a
+// heartbeat of it has arrived, it has not announced a planned stop, and it is still being
+// advertised.
+func (r *Registrar) mayRun(m *member) bool {
+	return !m.lastHeartbeatAt.IsZero() && !m.leaving && r.clock.Since(m.lastAdvertisedAt) < MayRunTimeout
 }
 
-// Peers returns the other entries that are alive or may be, in order. A
-// leaving one is among them only while it still runs.
-func (g *Registrar) Peers() []string {
-	g.discountPause()
+// Peers returns the IDs of the other entries that are alive or may be running, sorted. A
+// leaving entry is included only while it is alive.
+func (r *Registrar) Peers() []string {
+	r.discountPause()
 	var out []string
-	for id, m := range g.members {
-		if g.alive(m) || g.mayRun(m) {
+	for id, m := range r.members {
+		if r.alive(m) || r.mayRun(m) {
 			out = append(out, id)
 		}
 	}
@@ -210,24 +212,26 @@
 	return out
 }
 
-// KnownEntries returns the other entries that have been named, in order.
-func (g *Registrar) KnownEntries() []courier.EntryInfo {
+// KnownEntries returns the other entries that have been advertised and not evicted,
+// sorted by ID.
+func (r *Registrar) KnownEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
-	for _, m := range g.members {
+	for _, m := range r.members {
 		out = append(out, m.info)
 	}
 	slices.SortFunc(out, compareInfos)
 	return out
 }
 
-// AliveEntries returns this entry, unless it is leaving, and the live others.
-func (g *Registrar) AliveEntries() []courier.EntryInfo {
+// AliveEntries returns this entry and the others that are alive, without leaving ones,
+// sorted by ID.
+func (r *Registrar) AliveEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
-	if !g.leaving {
-		out = append(out, g.self)
+	if !r.leaving {
+		out = append(out, r.self)
 	}
-	for _, m := range g.members {
-		if g.alive(m) && !m.leaving {
+	for _, m := range r.members {
+		if r.alive(m) && !m.leaving {
 			out = append(out, m.info)
 		}
 	}
