--- a/soaker/deployment_test.go
+++ b/soaker/deployment_test.go
@@ -1,6 +1,6 @@
-// Package soaker runs the real programs as separate processes on one machine,
-// over the stand-ins of package emulator, and injects faults from outside. All
-// of it is tests.
+// Package soaker contains fault tests that run the real programs as separate processes
+// on one machine, against the emulated upstream of package emulator, and inject faults
+// from outside. It consists of tests only.
 package soaker
 
 import (
@@ -28,17 +28,18 @@
 )
 
 const (
-	service  = "quotes"
-	hostName = "q.example"
-	prefix   = "/q/"
-	// workerCPU is room for ten of the tasks that the stand-ins know.
+	service    = "quotes"
+	hostName   = "q.example"
+	pathPrefix = "/q/"
+	// workerCPU is the CPU capacity of a worker in millicores: enough for ten normal
+	// tasks.
 	workerCPU = 30_000
-	// grace is how long a planned stop may take.
-	grace = 6 * time.Second
+	// gracePeriod is the longest time that a planned stop may take.
+	gracePeriod = 6 * time.Second
 )
 
-// program is the path of the built program.
-var program string
+// programPath is the path of the built program.
+var programPath string
 
 func TestMain(m *testing.M) {
 	nextPort.Store(int64(os.Getpid()) * portsPerProcess)
@@ -46,8 +47,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "pomeloferry")
-	build := exec.Command("go", "build", "-o", program, "github.com/pomeloferry/pomeloferry")
+	programPath = filepath.Join(dir, "pomeloferry")
+	build := exec.Command("go", "build", "-o", programPath, "github.com/pomeloferry/pomeloferry")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
 		panic(err)
@@ -57,75 +58,75 @@
 	os.Exit(status)
 }
 
-// deployment is a whole deployment on loopback.
+// deployment is a complete deployment on loopback: store, entries, agents and workers.
 type deployment struct {
-	t       testing.TB
-	dir     string
-	store   *emulator.Store
-	address string
-	entries []*process
-	// fronts are where the entries take callers, and balanced the same places
-	// behind proxies.
-	fronts   []string
-	balanced []string
-	callers  []*proxy
-	watch    *watcher
-	cancel   context.CancelFunc
-	ctx      context.Context
-	centres  int
-	// direct lets agents call their workers without a proxy between.
+	t         testing.TB
+	dir       string
+	store     *emulator.Store
+	storeAddr string
+	entries   []*process
+	// fronts are the addresses at which the entries serve callers, and proxiedFronts
+	// those of the proxies before them, in the same order.
+	fronts        []string
+	proxiedFronts []string
+	callerProxies []*proxy
+	checker       *checker
+	cancel        context.CancelFunc
+	ctx           context.Context
+	dataCentres   int
+	// direct makes agents call their workers without a proxy.
 	direct bool
-	// evacuation is held while a data centre is evacuated.
-	evacuation sync.Mutex
+	// evacuationMu is held while a data centre is evacuated.
+	evacuationMu sync.Mutex
 
-	// hooks hear of each run that a worker begins, before the worker answers
-	// the start. They are called one at a time.
+	// hooks are called, one at a time, for each run that a worker starts, before the
+	// worker answers the start.
 	hookMu sync.Mutex
 	hooks  []*hook
 
-	mu      sync.Mutex
-	version int
-	// strikes lists what has struck, and when.
-	strikes  []string
-	lastRuns map[string]lastRun
-	// sites are the agents with their workers, in the order of their start.
-	sites []*site
+	mu            sync.Mutex
+	configVersion int
+	// events are the injected faults and repeated starts, each with its time.
+	events     []string
+	lastStarts map[string]lastStart
+	// instances are in the order of their start.
+	instances []*instance
 }
 
-// site is an agent and the worker beside it.
-type site struct {
+// instance is a worker and the agent beside it.
+type instance struct {
 	agent  *process
 	worker *emulator.Worker
-	// links carries the entries' connections to the agent, and calls those of
+	// linkProxy forwards the entries' connections to the agent, and callProxy those of
 	// the agent to its worker.
-	links, calls *proxy
-	control      string
-	id           string
-	// busy is held by the fault that strikes the worker.
-	busy sync.Mutex
-	// leave ends the worker for good.
-	leave func()
+	linkProxy, callProxy *proxy
+	controlAddr          string
+	workerID             string
+	// faultMu is held by the fault that affects the worker.
+	faultMu sync.Mutex
+	// removeWorker shuts the worker down for good.
+	removeWorker func()
 }
 
 const (
-	// portFirst and portLast bound the ports of the programs. They lie below
-	// those that the kernel gives to outgoing connections, which would
-	// otherwise take a port between its choice and the program's start.
-	portFirst = 15_000
-	portLast  = 30_000
+	// minPort (inclusive) and maxPort (exclusive) bound the ports of the programs. They
+	// are below the kernel's range for outgoing connections, which could otherwise take
+	// a port between its selection and the program's start.
+	minPort = 15_000
+	maxPort = 30_000
 )
 
-// portsPerProcess spaces the ports of soaks that run side by side.
+// portsPerProcess spaces out the ports of soak processes that run at the same time.
 const portsPerProcess = 1009
 
-// nextPort is the next port to hand out, counted from portFirst.
+// nextPort is the offset of the next port to return, counted from minPort.
 var nextPort atomic.Int64
 
-// freePorts returns ports of loopback that nothing listens on.
+// freePorts returns n loopback ports that nothing listens on.
 func freePorts(t testing.TB, n int) []int {
 	var out []int
 	for len(out) < n {
-		port := portFirst + int(nextPort.Add(1)-1)%(portLast-portFirst)
+		port := minPort + int(nextPort.Add(1)-1)%(maxPort-minPort)
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
@@ -137,34 +138,36 @@
 	return out
 }
 
-// serve serves a handler on loopback until the test ends, and returns where.
+// serve serves a handler on loopback until the test ends, and returns its address.
 func serve(t testing.TB, h http.Handler) string {
-	address, _ := serveUntil(t, h)
+	address, _ := serveStoppable(t, h)
 	return address
 }
 
-// serveUntil is serve with a function that ends it sooner.
-func serveUntil(t testing.TB, h http.Handler) (string, func()) {
+// serveStoppable is like serve, but also returns a function that closes the server
+// earlier.
+func serveStoppable(t testing.TB, h http.Handler) (string, func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
-	go func() { _ = s.Serve(l) }()
-	end := func() { _ = s.Close() }
-	t.Cleanup(end)
-	return l.Addr().String(), end
+	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
+	go func() { _ = server.Serve(l) }()
+	stop := func() { _ = server.Close() }
+	t.Cleanup(stop)
+	return l.Addr().String(), stop
 }
 
-// besideMost bounds the deployments that run at the same time.
-const besideMost = 3
+// maxDeployments is the largest number of deployments that run at the same time.
+const maxDeployments = 3
 
-// beside holds a token for each deployment that runs beside others.
-var beside = make(chan struct{}, besideMost)
+// deploymentSlots holds a token for each deployment of a parallel test.
+var deploymentSlots = make(chan struct{}, maxDeployments)
 
-// runBeside lets a test run beside others that do.
-func runBeside(t *testing.T) {
+// runParallel lets a test run in parallel with other tests that call it, at most
+// maxDeployments at a time.
+func runParallel(t *testing.T) {
 	t.Parallel()
-	beside <- struct{}{}
-	t.Cleanup(func() { <-beside })
+	deploymentSlots <- struct{}{}
+	t.Cleanup(func() { <-deploymentSlots })
 }
 
 func newDeployment(t testing.TB, entries, agents int) *deployment {
@@ -174,14 +177,14 @@
 func deploy(t testing.TB, entries, agents int, direct bool) *deployment {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &deployment{
-		t: t, dir: t.TempDir(), store: emulator.NewStore(), watch: newWatcher(),
-		ctx: ctx, cancel: cancel, centres: max(entries, 2), direct: direct, lastRuns: make(map[string]lastRun),
+		t: t, dir: t.TempDir(), store: emulator.NewStore(), checker: newChecker(),
+		ctx: ctx, cancel: cancel, dataCentres: max(entries, 2), direct: direct, lastStarts: make(map[string]lastStart),
 	}
-	d.address = serve(t, d.store.Handler())
-	d.store.RewriteValue = d.throughProxy
-	d.configure()
+	d.storeAddr = serve(t, d.store.Handler())
+	d.store.RewriteValue = d.rewriteLinkAddress
+	d.putConfig()
 	for range agents {
-		d.addAgent()
+		d.addInstance()
 	}
 	for i := range entries {
 		d.addEntry(i)
@@ -190,8 +193,9 @@
 	return d
 }
 
-// throughProxy makes entries reach agents through a proxy.
-func (d *deployment) throughProxy(key string, value []byte) []byte {
+// rewriteLinkAddress replaces the link address in an agent's registration by that of
+// the proxy, so that entries connect to agents through it.
+func (d *deployment) rewriteLinkAddress(key string, value []byte) []byte {
 	name, ok := strings.CutPrefix(key, platform.AgentPrefix)
 	if !ok {
 		return value
@@ -200,9 +204,9 @@
 	if err := json.Unmarshal(value, &r); err != nil {
 		return value
 	}
-	for _, s := range d.all() {
-		if s.agent.name == name {
-			r.Link = s.links.address
+	for _, inst := range d.allInstances() {
+		if inst.agent.name == name {
+			r.Link = inst.linkProxy.address
 		}
 	}
 	out, err := json.Marshal(r)
@@ -212,31 +216,31 @@
 	return out
 }
 
-// all returns the agents with their workers, also those that have left.
-func (d *deployment) all() []*site {
+// allInstances returns the instances, including those that have been removed.
+func (d *deployment) allInstances() []*instance {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.sites)
+	return slices.Clone(d.instances)
 }
 
-// processes returns all programs.
+// processes returns the processes of all entries and agents.
 func (d *deployment) processes() []*process {
 	out := slices.Clone(d.entries)
-	for _, s := range d.all() {
-		out = append(out, s.agent)
+	for _, inst := range d.allInstances() {
+		out = append(out, inst.agent)
 	}
 	return out
 }
 
-// configure writes the next configuration.
-func (d *deployment) configure() {
+// putConfig writes the next version of the configuration to the store.
+func (d *deployment) putConfig() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.version++
+	d.configVersion++
 	raw, err := json.Marshal(map[string]any{
-		"version": d.version,
+		"version": d.configVersion,
 		"routes": []map[string]any{{
-			"name": "quotes", "host": hostName, "prefix": prefix, "service": service,
+			"name": "quotes", "host": hostName, "prefix": pathPrefix, "service": service,
 			"timeout_ms": 1500, "target_latency_ms": 60, "max_attempts": maxAttempts, "stretch": 1.6,
 		}},
 		"limits": map[string]int{"max_body_bytes": 262144},
@@ -245,48 +249,48 @@
 	d.store.Put("op/config", raw)
 }
 
-// observer hears what the worker at one site runs.
+// observer observes the runs of one instance's worker.
 type observer struct {
-	*watcher
-	d    *deployment
-	site *site
+	*checker
+	d        *deployment
+	instance *instance
 }
 
 // RunStarted implements emulator.Observer.
-func (o observer) RunStarted(l emulator.Incarnation, task string, run int) {
-	o.watcher.RunStarted(l, task, run)
-	o.d.noteRun(l.ID, task, run)
+func (o observer) RunStarted(inc emulator.Incarnation, task string, run int) {
+	o.checker.RunStarted(inc, task, run)
+	o.d.recordStart(inc.ID, task, run)
 	o.d.hookMu.Lock()
 	defer o.d.hookMu.Unlock()
 	for _, h := range o.d.hooks {
-		(*h)(o.site, task)
+		(*h)(o.instance, task)
 	}
 }
 
-// noteRun keeps when and where a task last began, and tells of those that begin
-// again.
-func (d *deployment) noteRun(worker, task string, run int) {
+// recordStart stores when and where a task last started, and logs an event for a task
+// that starts again.
+func (d *deployment) recordStart(worker, task string, run int) {
 	now := time.Now()
 	d.mu.Lock()
-	last, ok := d.lastRuns[task]
-	d.lastRuns[task] = lastRun{at: now, worker: worker}
+	last, ok := d.lastStarts[task]
+	d.lastStarts[task] = lastStart{at: now, worker: worker}
 	d.mu.Unlock()
 	if ok {
-		d.struck("%s run %d begins at %s, %s after it began at %s", task, run, worker, now.Sub(last.at), last.worker)
+		d.logEvent("%s run %d starts at %s, %s after the task started at %s", task, run, worker, now.Sub(last.at), last.worker)
 	}
 }
 
-// lastRunNumber is where and when a task last began.
-type lastRun struct {
+// lastStart is the time and the worker of a task's last start.
+type lastStart struct {
 	at     time.Time
 	worker string
 }
 
-// hook hears of a run that the worker of a site begins. It does not block.
-type hook func(s *site, task string)
+// hook is called for a run that the worker of an instance starts. It must not block.
+type hook func(inst *instance, task string)
 
-// onBegan adds a hook until the returned function is called.
-func (d *deployment) onBegan(h hook) func() {
+// addHook adds a hook and returns a function that removes it.
+func (d *deployment) addHook(h hook) func() {
 	d.hookMu.Lock()
 	defer d.hookMu.Unlock()
 	d.hooks = append(d.hooks, &h)
@@ -297,39 +301,39 @@
 	}
 }
 
-// addAgent starts an agent with a worker.
-func (d *deployment) addAgent() *site {
-	i := len(d.all())
+// addInstance starts a worker and its agent.
+func (d *deployment) addInstance() *instance {
+	i := len(d.allInstances())
 	ports := freePorts(d.t, 3)
 	name := fmt.Sprintf("agent-%d", i)
-	dc := fmt.Sprintf("dc-%d", i%d.centres)
-	s := &site{control: fmt.Sprintf("127.0.0.1:%d", ports[0]), id: "worker-" + name}
-	d.watch.mu.Lock()
-	d.watch.place(s.id, dc)
-	d.watch.mu.Unlock()
-	s.worker = emulator.NewWorker(emulator.WorkerConfig{
-		ID: s.id, Service: service, DataCentre: dc, CPU: workerCPU,
-		AgentAddr: s.control, HeartbeatInterval: heartbeatInterval, Observer: observer{d.watch, d, s}, TaskResult: d.watch.work, TaskCPU: taskCPU,
+	dc := fmt.Sprintf("dc-%d", i%d.dataCentres)
+	inst := &instance{controlAddr: fmt.Sprintf("127.0.0.1:%d", ports[0]), workerID: "worker-" + name}
+	d.checker.mu.Lock()
+	d.checker.setDataCentre(inst.workerID, dc)
+	d.checker.mu.Unlock()
+	inst.worker = emulator.NewWorker(emulator.WorkerConfig{
+		ID: inst.workerID, Service: service, DataCentre: dc, CPU: workerCPU,
+		AgentAddr: inst.controlAddr, HeartbeatInterval: heartbeatInterval, Observer: observer{d.checker, d, inst}, TaskResult: d.checker.taskResult, TaskCPU: taskCPU,
 	})
-	s.links = newProxy(d.t, fmt.Sprintf("127.0.0.1:%d", ports[1]))
+	inst.linkProxy = newProxy(d.t, fmt.Sprintf("127.0.0.1:%d", ports[1]))
 	ctx, cancel := context.WithCancel(d.ctx)
-	s.leave = func() {
+	inst.removeWorker = func() {
 		cancel()
-		s.worker.Shutdown()
+		inst.worker.Shutdown()
 	}
-	app := serveWorker(ctx, d.t, s.worker)
-	s.calls = newProxy(d.t, app)
+	app := serveWorker(ctx, d.t, inst.worker)
+	inst.callProxy = newProxy(d.t, app)
 	if !d.direct {
-		app = s.calls.address
+		app = inst.callProxy.address
 	}
-	go s.worker.Run(ctx)
-	s.agent = d.newProcess(name, "agent", fmt.Sprintf(
-		"listen.control=%s\napp=%s\nservice=%s\ninternal_ports=%d,%d\n", s.control, app, service, ports[1], ports[2]), dc)
+	go inst.worker.Run(ctx)
+	inst.agent = d.newProcess(name, "agent", fmt.Sprintf(
+		"listen.control=%s\napp=%s\nservice=%s\ninternal_ports=%d,%d\n", inst.controlAddr, app, service, ports[1], ports[2]), dc)
 	d.mu.Lock()
-	d.sites = append(d.sites, s)
+	d.instances = append(d.instances, inst)
 	d.mu.Unlock()
-	s.agent.start(d.t)
-	return s
+	inst.agent.start(d.t)
+	return inst
 }
 
 func (d *deployment) addEntry(i int) {
@@ -337,40 +341,42 @@
 	front := fmt.Sprintf("127.0.0.1:%d", ports[0])
 	p := newProxy(d.t, front)
 	d.fronts = append(d.fronts, front)
-	d.callers = append(d.callers, p)
-	d.balanced = append(d.balanced, p.address)
+	d.callerProxies = append(d.callerProxies, p)
+	d.proxiedFronts = append(d.proxiedFronts, p.address)
 	e := d.newProcess(fmt.Sprintf("entry-%d", i), "entry", fmt.Sprintf(
-		"listen.front=%s\nlisten.ready=127.0.0.1:%d\ninternal_ports=%d,%d\n", front, ports[1], ports[2], ports[2]), fmt.Sprintf("dc-%d", i%d.centres))
+		"listen.front=%s\nlisten.ready=127.0.0.1:%d\ninternal_ports=%d,%d\n", front, ports[1], ports[2], ports[2]), fmt.Sprintf("dc-%d", i%d.dataCentres))
 	d.entries = append(d.entries, e)
 	e.start(d.t)
 }
 
-// newProcess writes the settings of a program.
+// newProcess writes the settings file of a process and creates its log file. It does
+// not start the process.
 func (d *deployment) newProcess(name, command, settings, dc string) *process {
 	path := filepath.Join(d.dir, name+".conf")
 	text := fmt.Sprintf("node_name=%s\nip=127.0.0.1\nzone=%s\nplatform.address=%s\nbounds.grace_period_s=%d\n%s",
-		name, dc, d.address, int(grace.Seconds()), settings)
+		name, dc, d.storeAddr, int(gracePeriod.Seconds()), settings)
 	require.NoError(d.t, os.WriteFile(path, []byte(text), 0o600))
 	log, err := os.Create(filepath.Join(d.dir, name+".log"))
 	require.NoError(d.t, err)
-	return &process{name: name, command: command, settings: path, log: log, ended: d.watch.endedByItself}
+	return &process{name: name, command: command, settings: path, log: log, onUnexpectedExit: d.checker.recordUnexpectedExit}
 }
 
-// close ends all that the deployment started, and prints the logs' ends when
-// the test has failed.
+// close kills all processes of the deployment, and saves their logs when the test has
+// failed.
 func (d *deployment) close() {
 	d.cancel()
 	for _, p := range d.processes() {
-		p.end(syscall.SIGKILL)
+		p.stop(syscall.SIGKILL)
 		_ = p.log.Close()
 		if d.t.Failed() {
-			d.keepLog(p)
+			d.saveLog(p)
 		}
 	}
 }
 
-// keepLog copies a log to where it outlives the test.
-func (d *deployment) keepLog(p *process) {
+// saveLog copies the log of a process to the directory for temporary files, where it
+// outlasts the test.
+func (d *deployment) saveLog(p *process) {
 	raw, err := os.ReadFile(p.log.Name())
 	if err != nil {
 		d.t.Logf("%s: %v", p.name, err)
--- a/soaker/load_test.go
+++ b/soaker/load_test.go
@@ -9,68 +9,70 @@
 )
 
 const (
-	// usualCPU is what a task takes, and largeCPU what one of a large job takes, in
-	// thousandths of a core. Two large ones fill most of a worker.
-	usualCPU = 3000
-	largeCPU = 12_000
-	// largePrefix begins the ids of jobs with large tasks, burstPrefix those of the
-	// other jobs of a burst.
-	largePrefix = "fffe"
-	burstPrefix = "fffd"
-	// burstJobs is how many jobs a burst has, and burstLarge how many one of large
-	// tasks has.
-	burstJobs  = 120
-	burstLarge = 12
-	// unevenness is how many times as long tasks take on the slower workers.
-	unevenness = 1.8
+	// normalTaskCPU is the demand of a normal task and largeTaskCPU that of a large one,
+	// in millicores. Two large tasks use most of a worker.
+	normalTaskCPU = 3000
+	largeTaskCPU  = 12_000
+	// largeJobPrefix is the prefix of the IDs of jobs with large tasks, and
+	// burstJobPrefix that of the other jobs of a burst.
+	largeJobPrefix = "fffe"
+	burstJobPrefix = "fffd"
+	// burstJobs is the number of jobs in a burst of normal tasks, and burstLargeJobs
+	// that in a burst of large ones.
+	burstJobs      = 120
+	burstLargeJobs = 12
+	// slowWorkerFactor is the factor by which tasks take longer on the slower workers.
+	slowWorkerFactor = 1.8
 )
 
-// taskCPU returns what a task of a job takes, in thousandths of a core.
+// taskCPU returns the CPU demand of each task of a job, in millicores.
 func taskCPU(id string) int {
-	if strings.HasPrefix(id, largePrefix) {
-		return largeCPU
+	if strings.HasPrefix(id, largeJobPrefix) {
+		return largeTaskCPU
 	}
-	return usualCPU
+	return normalTaskCPU
 }
 
-// loadFaults bring more work than there is room for, or make workers unequal.
+// loadFaults submit more work than there is capacity for, or make workers unequally
+// fast.
 var loadFaults = []fault{
-	{"burst of jobs", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.burst(rng, burstPrefix, burstJobs, span)
+	{"burst of jobs", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		d.submitBurst(rng, burstJobPrefix, burstJobs, duration)
 	}},
-	{"burst of large tasks", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.burst(rng, largePrefix, burstLarge, span)
+	{"burst of large tasks", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		d.submitBurst(rng, largeJobPrefix, burstLargeJobs, duration)
 	}},
-	{"worker slow", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		w := pick(rng, d.all()).worker
+	{"worker slow", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		w := pick(rng, d.allInstances()).worker
 		w.SetSlowdown(8)
-		time.Sleep(span)
+		time.Sleep(duration)
 		w.SetSlowdown(1)
 	}},
 }
 
-// burst sends jobs spread over a span and waits until all are answered.
-func (d *deployment) burst(rng *rand.Rand, prefix string, jobs int, span time.Duration) {
-	client := newCaller(d.balanced, false)
+// submitBurst submits jobs evenly spread over a duration and waits until all are
+// answered.
+func (d *deployment) submitBurst(rng *rand.Rand, prefix string, jobs int, duration time.Duration) {
+	client := newCallerClient(d.proxiedFronts, false)
 	defer client.CloseIdleConnections()
-	burst := rng.Uint32()
+	burstID := rng.Uint32()
 	var wg sync.WaitGroup
 	for i := range jobs {
-		time.Sleep(span / time.Duration(jobs))
+		time.Sleep(duration / time.Duration(jobs))
 		wg.Add(1)
 		go func(tasks, front int) {
 			defer wg.Done()
-			d.watch.submit(client, d.balanced, front, fmt.Sprintf("%s%08x%04x", prefix, burst, i), tasks)
-		}(1+rng.IntN(3), rng.IntN(len(d.balanced)))
+			d.checker.submit(client, d.proxiedFronts, front, fmt.Sprintf("%s%08x%04x", prefix, burstID, i), tasks)
+		}(1+rng.IntN(3), rng.IntN(len(d.proxiedFronts)))
 	}
 	wg.Wait()
 }
 
-// slowDown makes every third worker slower than the others.
-func (d *deployment) slowDown(times float64) {
-	for i, s := range d.all() {
+// slowEveryThirdWorker slows every third worker down by a factor.
+func (d *deployment) slowEveryThirdWorker(factor float64) {
+	for i, inst := range d.allInstances() {
 		if i%3 == 0 {
-			s.worker.SetSlowdown(times)
+			inst.worker.SetSlowdown(factor)
 		}
 	}
 }
--- a/soaker/process_test.go
+++ b/soaker/process_test.go
@@ -14,44 +14,45 @@
 )
 
 const (
-	// restartLeast and restartMost bound the pause before a process that has
-	// ended is started again.
-	restartLeast = 5 * time.Millisecond
-	restartMost  = 50 * time.Millisecond
+	// minRestartDelay and maxRestartDelay bound the time before a process that has
+	// exited is restarted.
+	minRestartDelay = 5 * time.Millisecond
+	maxRestartDelay = 50 * time.Millisecond
 )
 
-// process is one program that the soak started, and starts again when it ends
-// unasked.
+// process is one program under test. It is restarted when it exits without having been
+// stopped.
 type process struct {
 	name     string
 	command  string
 	settings string
 	log      *os.File
-	// ended hears of a process that ended though no signal was sent to end it.
-	ended func(name, status string)
-	// busy is held by the fault that strikes the process.
-	busy sync.Mutex
+	// onUnexpectedExit is called when the process exits without having been killed or
+	// stopped, and when it cannot be restarted.
+	onUnexpectedExit func(name, status string)
+	// faultMu is held by the fault that affects the process.
+	faultMu sync.Mutex
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	exited chan struct{}
-	// wanted is whether the process is to be up.
-	wanted bool
-	// killed is whether it was killed and is to be started again.
+	// shouldRun reports whether the process is to be restarted when it exits.
+	shouldRun bool
+	// killed reports whether kill has been called since the last launch.
 	killed bool
 }
 
-// start starts the program, which stays up until end.
+// start starts the program and keeps it running until stop.
 func (p *process) start(t testing.TB) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wanted = true
+	p.shouldRun = true
 	require.NoError(t, p.launch())
 }
 
-// launch runs the program once. The caller holds mu.
+// launch starts the program once. The caller must hold mu.
 func (p *process) launch() error {
-	cmd := exec.Command(program, "serve", p.command)
+	cmd := exec.Command(programPath, "serve", p.command)
 	cmd.Env = append(os.Environ(), "POMELOFERRY_BOOT="+p.settings)
 	cmd.Stdout = p.log
 	cmd.Stderr = p.log
@@ -64,145 +65,147 @@
 	return nil
 }
 
-// supervise waits for the program's end and starts it again, unless its end
-// was planned.
+// supervise waits for the program to exit and restarts it, unless it has been stopped.
 func (p *process) supervise(cmd *exec.Cmd, exited chan struct{}) {
-	// The status is that of the state.
+	// The exit status is taken from cmd.ProcessState.
 	_ = cmd.Wait()
 	close(exited)
 	p.mu.Lock()
-	again, killed := p.wanted && p.cmd == cmd, p.killed
+	restart, killed := p.shouldRun && p.cmd == cmd, p.killed
 	p.mu.Unlock()
-	if !again {
+	if !restart {
 		return
 	}
 	if !killed {
-		p.ended(p.name, cmd.ProcessState.String())
+		p.onUnexpectedExit(p.name, cmd.ProcessState.String())
 	}
-	time.Sleep(restartLeast + time.Duration(rand.Int64N(int64(restartMost-restartLeast))))
+	time.Sleep(minRestartDelay + time.Duration(rand.Int64N(int64(maxRestartDelay-minRestartDelay))))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.wanted && p.cmd == cmd {
+	if p.shouldRun && p.cmd == cmd {
 		if err := p.launch(); err != nil {
-			p.ended(p.name, err.Error())
+			p.onUnexpectedExit(p.name, err.Error())
 		}
 	}
 }
 
-func (p *process) signal(s syscall.Signal) {
+func (p *process) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(s)
+		_ = p.cmd.Process.Signal(sig)
 	}
 }
 
-// kill kills the process, which is started again at once.
+// kill kills the process, which is then restarted after the restart delay.
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.wanted {
+	if p.shouldRun {
 		p.killed = true
 		_ = p.cmd.Process.Kill()
 	}
 }
 
-// end sends a signal and waits until the process is gone; one that stays
-// longer than the grace period is killed. It stays down until start.
-func (p *process) end(s syscall.Signal) {
+// stop sends a signal and waits for the process to exit; a process that is still running
+// after the grace period is killed. It is not restarted until start.
+func (p *process) stop(sig syscall.Signal) {
 	p.mu.Lock()
-	p.wanted = false
+	p.shouldRun = false
 	cmd, exited := p.cmd, p.exited
 	p.mu.Unlock()
 	if cmd == nil {
 		return
 	}
 	_ = cmd.Process.Signal(syscall.SIGCONT)
-	_ = cmd.Process.Signal(s)
+	_ = cmd.Process.Signal(sig)
 	select {
 	case <-exited:
-	case <-time.After(grace):
+	case <-time.After(gracePeriod):
 		_ = cmd.Process.Kill()
 		<-exited
 	}
 }
 
-// pause stops the process for a while.
-func (p *process) pause(span time.Duration) {
+// pause pauses the process for a duration.
+func (p *process) pause(duration time.Duration) {
 	p.signal(syscall.SIGSTOP)
-	time.Sleep(span)
+	time.Sleep(duration)
 	p.signal(syscall.SIGCONT)
 }
 
-// endedByItself notes a process that ended though no signal was sent to end it.
-func (w *watcher) endedByItself(name, status string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.fault("ENDED: %s ended by itself: %s", name, status)
+// recordUnexpectedExit records a process that exited without having been killed or
+// stopped, or that could not be restarted.
+func (c *checker) recordUnexpectedExit(name, status string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recordViolation("ENDED: %s exited unexpectedly: %s", name, status)
 }
 
-// between returns a span between least and most.
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Int64N(int64(most-least)))
+// randomDuration returns a duration of at least low and less than high.
+func randomDuration(rng *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(rng.Int64N(int64(high-low)))
 }
 
-// orderedTo lets f strike as soon as the worker of such a site has begun a run and
-// before its answer to the start is sent, or gives up after a while.
-func (d *deployment) orderedTo(of func(s *site) bool, f func()) bool {
-	const patience = time.Second
-	struck := make(chan struct{})
+// onNextStart calls f as soon as the worker of a matching instance has started a run
+// and before it answers the start. It returns false if there is none within its
+// timeout.
+func (d *deployment) onNextStart(match func(inst *instance) bool, f func()) bool {
+	const timeout = time.Second
+	called := make(chan struct{})
 	var once sync.Once
-	remove := d.onBegan(func(s *site, _ string) {
-		if of(s) {
+	remove := d.addHook(func(inst *instance, _ string) {
+		if match(inst) {
 			once.Do(func() {
 				f()
-				close(struck)
+				close(called)
 			})
 		}
 	})
 	defer remove()
 	select {
-	case <-struck:
+	case <-called:
 		return true
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// by returns whether a site is that of an agent.
-func by(p *process) func(s *site) bool {
-	return func(s *site) bool { return s.agent == p }
+// hasAgent returns a function that reports whether an instance has the given agent.
+func hasAgent(p *process) func(inst *instance) bool {
+	return func(inst *instance) bool { return inst.agent == p }
 }
 
-// anywhere is true of all sites.
-func anywhere(*site) bool { return true }
+// anyInstance matches all instances.
+func anyInstance(*instance) bool { return true }
 
-// pauseAfterOrder stops a process as the worker of such a site begins a run.
-func (d *deployment) pauseAfterOrder(p *process, of func(s *site) bool, span time.Duration) {
-	strike(p, func() {
-		if d.orderedTo(of, func() { p.signal(syscall.SIGSTOP) }) {
-			time.Sleep(span)
+// pauseAfterStart pauses a process when the worker of a matching instance starts a run.
+func (d *deployment) pauseAfterStart(p *process, match func(inst *instance) bool, duration time.Duration) {
+	injectFault(p, func() {
+		if d.onNextStart(match, func() { p.signal(syscall.SIGSTOP) }) {
+			time.Sleep(duration)
 		}
 		p.signal(syscall.SIGCONT)
 	})
 }
 
-// killAfterOrder kills an agent as its worker begins a run.
-func (d *deployment) killAfterOrder(p *process) {
-	strike(p, func() { d.orderedTo(by(p), p.kill) })
+// killAfterStart kills an agent when its worker starts a run.
+func (d *deployment) killAfterStart(p *process) {
+	injectFault(p, func() { d.onNextStart(hasAgent(p), p.kill) })
 }
 
-// several returns about a third of a list, two at least.
-func several[T any](rng *rand.Rand, list []T) []T {
-	out := slices.Clone(list)
+// pickSeveral returns about a third of the items of a list in random order, at least
+// two if there are as many.
+func pickSeveral[T any](rng *rand.Rand, items []T) []T {
+	out := slices.Clone(items)
 	rng.Shuffle(len(out), func(i, k int) { out[i], out[k] = out[k], out[i] })
 	return out[:min(len(out), max(2, len(out)/3))]
 }
 
-// together lets f strike each of a list at the same time.
-func together[T any](list []T, f func(T)) {
+// forEachConcurrently calls f for all items at the same time and waits for the calls.
+func forEachConcurrently[T any](items []T, f func(T)) {
 	var wg sync.WaitGroup
-	for _, x := range list {
+	for _, x := range items {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -212,232 +215,235 @@
 	wg.Wait()
 }
 
-// resetEntry breaks all connections of an entry.
-func (d *deployment) resetEntry(i int, late time.Duration) {
-	d.callers[i].resetCallers(late)
+// resetEntry breaks all connections of an entry: those of its callers, of which it is
+// informed after closeDelay, and its links.
+func (d *deployment) resetEntry(i int, closeDelay time.Duration) {
+	d.callerProxies[i].resetCallers(closeDelay)
 	d.resetLinks(i)
 }
 
 // resetLinks breaks all links of an entry.
 func (d *deployment) resetLinks(i int) {
-	for _, s := range d.all() {
-		s.links.resetFrom(d.entries[i].name)
+	for _, inst := range d.allInstances() {
+		inst.linkProxy.resetFrom(d.entries[i].name)
 	}
 }
 
-// replace starts an instance beside the others, lets an old one drain and ends
-// it. It leaves between its word that it goes and its end.
-func (d *deployment) replace(p *process, drain, leave time.Duration) {
-	if !p.busy.TryLock() {
+// replaceInstance adds an instance, drains an old one and shuts it down. The old worker
+// keeps running for linger after it has announced its departure.
+func (d *deployment) replaceInstance(p *process, drain, linger time.Duration) {
+	if !p.faultMu.TryLock() {
 		return
 	}
-	// An instance that has gone stays busy, so that no fault wakes it.
-	sites := d.all()
-	old := sites[slices.IndexFunc(sites, by(p))]
-	d.addAgent()
-	time.Sleep(instanceStart)
+	// The agent of a removed instance stays locked, so that no fault restarts it.
+	instances := d.allInstances()
+	old := instances[slices.IndexFunc(instances, hasAgent(p))]
+	d.addInstance()
+	time.Sleep(instanceStartupTime)
 	old.worker.SetDraining(true)
 	time.Sleep(drain)
 	old.worker.SendDelete(d.ctx, old.worker.ID())
-	time.Sleep(leave)
-	old.leave()
-	p.end(syscall.SIGTERM)
+	time.Sleep(linger)
+	old.removeWorker()
+	p.stop(syscall.SIGTERM)
 }
 
-// instanceStart is the time that an instance has to get to work.
-const instanceStart = 500 * time.Millisecond
+// instanceStartupTime is the time that a new instance has until it can run tasks.
+const instanceStartupTime = 500 * time.Millisecond
 
-// wideFaults strike processes and connections, some of them many at once.
-var wideFaults = []fault{
-	{"calls reset", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		p := pick(rng, d.all()).calls
-		for end := time.Now().Add(span); time.Now().Before(end); {
+// processFaults affect processes and connections, some of them many at once.
+var processFaults = []fault{
+	{"calls reset", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		p := pick(rng, d.allInstances()).callProxy
+		for end := time.Now().Add(duration); time.Now().Before(end); {
 			p.reset()
-			time.Sleep(between(rng, 5*time.Millisecond, 100*time.Millisecond))
+			time.Sleep(randomDuration(rng, 5*time.Millisecond, 100*time.Millisecond))
 		}
 	}},
-	{"calls carried out and reset", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		p := pick(rng, d.all()).calls
-		p.swallow.Store(true)
-		time.Sleep(span / 2)
-		p.swallow.Store(false)
+	{"calls reset after they took effect", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		p := pick(rng, d.allInstances()).callProxy
+		p.resetOnData.Store(true)
+		time.Sleep(duration / 2)
+		p.resetOnData.Store(false)
 	}},
-	{"calls refused", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		p := pick(rng, d.all()).calls
-		p.refuse.Store(true)
+	{"calls refused", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		p := pick(rng, d.allInstances()).callProxy
+		p.refuseNew.Store(true)
 		p.reset()
-		time.Sleep(span)
-		p.refuse.Store(false)
+		time.Sleep(duration)
+		p.refuseNew.Store(false)
 	}},
-	{"calls silent", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		p := pick(rng, d.all()).calls
-		p.silence(&p.muteOut, span)
+	{"calls unanswered", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		p := pick(rng, d.allInstances()).callProxy
+		p.dropFor(&p.dropOut, duration)
 	}},
-	{"open connections silent for good", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		s := pick(rng, d.all())
-		s.calls.hush()
-		s.links.hush()
+	{"open connections dropping all data", func(d *deployment, rng *rand.Rand, _ time.Duration) {
+		inst := pick(rng, d.allInstances())
+		inst.callProxy.blackhole()
+		inst.linkProxy.blackhole()
 	}},
 	{"callers reset", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		pick(rng, d.callers).resetCallers(0)
+		pick(rng, d.callerProxies).resetCallers(0)
 	}},
-	{"callers reset, entry told late", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		pick(rng, d.callers).resetCallers(2 * span)
+	{"callers reset, entry notices late", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		pick(rng, d.callerProxies).resetCallers(2 * duration)
 	}},
-	{"entry killed and started again at once", func(d *deployment, rng *rand.Rand, _ time.Duration) {
+	{"entry killed and restarted at once", func(d *deployment, rng *rand.Rand, _ time.Duration) {
 		p := pick(rng, d.entries)
-		strike(p, p.kill)
+		injectFault(p, p.kill)
 	}},
-	{"agent killed and started again at once", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		p := pick(rng, d.all()).agent
-		strike(p, p.kill)
+	{"agent killed and restarted at once", func(d *deployment, rng *rand.Rand, _ time.Duration) {
+		p := pick(rng, d.allInstances()).agent
+		injectFault(p, p.kill)
 	}},
-	{"agent killed as its calls are refused", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		s := pick(rng, d.all())
-		strike(s.agent, func() {
-			s.calls.refuse.Store(true)
-			s.calls.reset()
-			s.agent.kill()
-			time.Sleep(span / 2)
-			s.calls.refuse.Store(false)
+	{"agent killed while its calls are refused", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		inst := pick(rng, d.allInstances())
+		injectFault(inst.agent, func() {
+			inst.callProxy.refuseNew.Store(true)
+			inst.callProxy.reset()
+			inst.agent.kill()
+			time.Sleep(duration / 2)
+			inst.callProxy.refuseNew.Store(false)
 		})
 	}},
-	{"agents killed after an order", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		together(several(rng, d.all()), func(s *site) { d.killAfterOrder(s.agent) })
+	{"agents killed after a start", func(d *deployment, rng *rand.Rand, _ time.Duration) {
+		forEachConcurrently(pickSeveral(rng, d.allInstances()), func(inst *instance) { d.killAfterStart(inst.agent) })
 	}},
-	{"agents paused after an order", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		together(several(rng, d.all()), func(s *site) { d.pauseAfterOrder(s.agent, by(s.agent), span) })
+	{"agents paused after a start", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		forEachConcurrently(pickSeveral(rng, d.allInstances()), func(inst *instance) { d.pauseAfterStart(inst.agent, hasAgent(inst.agent), duration) })
 	}},
-	{"entry paused after an order", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.pauseAfterOrder(pick(rng, d.entries), anywhere, span)
+	{"entry paused after a start", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		d.pauseAfterStart(pick(rng, d.entries), anyInstance, duration)
 	}},
-	{"links of an entry reset again and again", func(d *deployment, rng *rand.Rand, span time.Duration) {
+	{"links of an entry reset repeatedly", func(d *deployment, rng *rand.Rand, duration time.Duration) {
 		i := rng.IntN(len(d.entries))
-		for end := time.Now().Add(span); time.Now().Before(end); {
+		for end := time.Now().Add(duration); time.Now().Before(end); {
 			d.resetLinks(i)
-			time.Sleep(between(rng, 5*time.Millisecond, 50*time.Millisecond))
+			time.Sleep(randomDuration(rng, 5*time.Millisecond, 50*time.Millisecond))
 		}
 	}},
-	{"all connections of several instances reset", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		sites, entry := several(rng, d.all()), rng.IntN(len(d.entries))
-		d.resetEntry(entry, span)
-		for _, s := range sites {
-			s.links.reset()
-			s.calls.reset()
-			time.Sleep(between(rng, 0, 2*time.Millisecond))
+	{"all connections of several instances reset", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		instances, entry := pickSeveral(rng, d.allInstances()), rng.IntN(len(d.entries))
+		d.resetEntry(entry, duration)
+		for _, inst := range instances {
+			inst.linkProxy.reset()
+			inst.callProxy.reset()
+			time.Sleep(randomDuration(rng, 0, 2*time.Millisecond))
 		}
 	}},
-	{"all connections of several instances silent for good", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		for _, s := range several(rng, d.all()) {
-			s.links.hush()
-			s.calls.hush()
+	{"all connections of several instances dropping all data", func(d *deployment, rng *rand.Rand, _ time.Duration) {
+		for _, inst := range pickSeveral(rng, d.allInstances()) {
+			inst.linkProxy.blackhole()
+			inst.callProxy.blackhole()
 		}
 	}},
-	{"instance replaced", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		const instancesMost = 20
-		if len(d.all()) < instancesMost {
-			d.replace(pick(rng, d.all()).agent, span, between(rng, 0, 50*time.Millisecond))
+	{"instance replaced", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		const maxInstances = 20
+		if len(d.allInstances()) < maxInstances {
+			d.replaceInstance(pick(rng, d.allInstances()).agent, duration, randomDuration(rng, 0, 50*time.Millisecond))
 		}
 	}},
 }
 
-// underLoad plays one kind of fault for a while, under load.
-func underLoad(t *testing.T, entries, agents int, f func(d *deployment, rng *rand.Rand)) {
-	runBeside(t)
+// injectUnderLoad injects one kind of fault repeatedly under load, for the time of the
+// -span flag, and then checks the guarantees.
+func injectUnderLoad(t *testing.T, entries, agents int, f func(d *deployment, rng *rand.Rand)) {
+	runParallel(t)
 	const seed = 1
 	d := newDeployment(t, entries, agents)
 	d.awaitReady(seed)
 	stop := make(chan struct{})
-	callers := d.load(seed, stop, 2*agents, d.balanced, false)
+	callers := d.startLoad(seed, stop, 2*agents, d.proxiedFronts, false)
 	rng := rand.New(rand.NewPCG(seed, 0))
-	for end := time.Now().Add(*span); time.Now().Before(end); {
-		d.struck("strikes")
+	for end := time.Now().Add(*faultTime); time.Now().Before(end); {
+		d.logEvent("fault injected")
 		f(d, rng)
 	}
-	time.Sleep(settle)
+	time.Sleep(recoveryTime)
 	close(stop)
 	callers.Wait()
-	d.judge("%s", t.Name())
+	d.requireGuarantees("%s", t.Name())
 }
 
-func TestAnAgentThatRestartsWithoutItsWorkersAnswerGivesNoRunUp(t *testing.T) {
+func TestAnAgentThatRestartsWhileItsWorkerDoesNotAnswerGivesNoRunUp(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(p *proxy)
-		heal  func(p *proxy)
+		name    string
+		degrade func(p *proxy)
+		restore func(p *proxy)
 	}{
-		{"calls refused", func(p *proxy) { p.refuse.Store(true); p.reset() }, func(p *proxy) { p.refuse.Store(false) }},
-		{"calls reset", func(p *proxy) { p.swallow.Store(true); p.reset() }, func(p *proxy) { p.swallow.Store(false) }},
-		{"calls silent", func(p *proxy) { p.muteOut.Store(true) }, func(p *proxy) { p.muteOut.Store(false); p.reset() }},
+		{"calls refused", func(p *proxy) { p.refuseNew.Store(true); p.reset() }, func(p *proxy) { p.refuseNew.Store(false) }},
+		{"calls reset", func(p *proxy) { p.resetOnData.Store(true); p.reset() }, func(p *proxy) { p.resetOnData.Store(false) }},
+		{"calls unanswered", func(p *proxy) { p.dropOut.Store(true) }, func(p *proxy) { p.dropOut.Store(false); p.reset() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			underLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
-				s := pick(rng, d.all())
-				strike(s.agent, func() {
-					d.orderedTo(by(s.agent), func() {
-						s.agent.kill()
-						c.spoil(s.calls)
+			injectUnderLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
+				inst := pick(rng, d.allInstances())
+				injectFault(inst.agent, func() {
+					d.onNextStart(hasAgent(inst.agent), func() {
+						inst.agent.kill()
+						c.degrade(inst.callProxy)
 					})
 				})
-				time.Sleep(between(rng, 50*time.Millisecond, 400*time.Millisecond))
-				c.heal(s.calls)
-				time.Sleep(between(rng, 200*time.Millisecond, 500*time.Millisecond))
+				time.Sleep(randomDuration(rng, 50*time.Millisecond, 400*time.Millisecond))
+				c.restore(inst.callProxy)
+				time.Sleep(randomDuration(rng, 200*time.Millisecond, 500*time.Millisecond))
 			})
 		})
 	}
 }
 
-func TestAgentsPausedRightAfterAnOrderLoseNoRun(t *testing.T) {
-	underLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
-		span := between(rng, 300*time.Millisecond, 1500*time.Millisecond)
-		together(several(rng, d.all()), func(s *site) { d.pauseAfterOrder(s.agent, by(s.agent), span) })
+func TestAgentsPausedRightAfterAStartLoseNoRun(t *testing.T) {
+	injectUnderLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
+		duration := randomDuration(rng, 300*time.Millisecond, 1500*time.Millisecond)
+		forEachConcurrently(pickSeveral(rng, d.allInstances()), func(inst *instance) { d.pauseAfterStart(inst.agent, hasAgent(inst.agent), duration) })
 	})
 }
 
-func TestAgentsKilledRightAfterAnOrderLoseNoRun(t *testing.T) {
-	underLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
-		together(several(rng, d.all()), func(s *site) { d.killAfterOrder(s.agent) })
-		time.Sleep(between(rng, 50*time.Millisecond, 300*time.Millisecond))
+func TestAgentsKilledRightAfterAStartLoseNoRun(t *testing.T) {
+	injectUnderLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
+		forEachConcurrently(pickSeveral(rng, d.allInstances()), func(inst *instance) { d.killAfterStart(inst.agent) })
+		time.Sleep(randomDuration(rng, 50*time.Millisecond, 300*time.Millisecond))
 	})
 }
 
 func TestLinksThatBreakAgainAndAgainGiveNoRunUp(t *testing.T) {
-	underLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
+	injectUnderLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
 		d.resetLinks(0)
-		time.Sleep(between(rng, 5*time.Millisecond, 50*time.Millisecond))
+		time.Sleep(randomDuration(rng, 5*time.Millisecond, 50*time.Millisecond))
 	})
 }
 
 func TestReplacedInstancesRunNothingTwice(t *testing.T) {
 	cases := []struct {
-		name         string
-		drain, leave time.Duration
+		name          string
+		drain, linger time.Duration
 	}{
-		{"ends as it says so", 1500 * time.Millisecond, 0},
-		{"ends soon after it says so", 20 * time.Millisecond, 40 * time.Millisecond},
+		{"shuts down as it announces its departure", 1500 * time.Millisecond, 0},
+		{"shuts down soon after it announces its departure", 20 * time.Millisecond, 40 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			underLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
-				d.replace(pick(rng, d.all()).agent, c.drain, c.leave)
+			injectUnderLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
+				d.replaceInstance(pick(rng, d.allInstances()).agent, c.drain, c.linger)
 			})
 		})
 	}
 }
 
-func TestAJobIsNotRefusedAfterAStartThatTheWorkersRestartLeftInDoubt(t *testing.T) {
-	// frozen is longer than an entry may be silent, so that the agent drops the run.
-	const frozen = 600 * time.Millisecond
-	underLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
-		s := pick(rng, d.all())
-		strike(s.agent, func() {
-			if d.orderedTo(by(s.agent), func() { s.agent.signal(syscall.SIGSTOP) }) {
-				time.Sleep(frozen)
-				s.worker.Restart()
+func TestAJobIsNotRefusedAfterAStartThatTheWorkersRestartLeftUnconfirmed(t *testing.T) {
+	// agentPause is longer than the time after which the agent times the entry out, so
+	// that the agent cancels the run.
+	const agentPause = 600 * time.Millisecond
+	injectUnderLoad(t, 2, 4, func(d *deployment, rng *rand.Rand) {
+		inst := pick(rng, d.allInstances())
+		injectFault(inst.agent, func() {
+			if d.onNextStart(hasAgent(inst.agent), func() { inst.agent.signal(syscall.SIGSTOP) }) {
+				time.Sleep(agentPause)
+				inst.worker.Restart()
 			}
-			s.agent.signal(syscall.SIGCONT)
+			inst.agent.signal(syscall.SIGCONT)
 		})
-		time.Sleep(between(rng, 50*time.Millisecond, 300*time.Millisecond))
+		time.Sleep(randomDuration(rng, 50*time.Millisecond, 300*time.Millisecond))
 	})
 }
--- a/soaker/proxy_test.go
+++ b/soaker/proxy_test.go
@@ -11,40 +11,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// proxy carries connections to a process and spoils them on request.
+// proxy forwards TCP connections to a process and injects faults into them.
 type proxy struct {
 	address string
 	target  string
-	// delay holds back each piece of data, in nanoseconds.
+	// delay is the time in nanoseconds by which each chunk of data is delayed.
 	delay atomic.Int64
-	// muteIn and muteOut swallow what goes to, or comes from, the target.
-	muteIn, muteOut atomic.Bool
-	// refuse resets new connections.
-	refuse atomic.Bool
-	// swallow resets a connection in place of the target's next answer on it.
-	swallow atomic.Bool
+	// dropIn and dropOut discard the data to and from the target.
+	dropIn, dropOut atomic.Bool
+	// refuseNew resets new connections.
+	refuseNew atomic.Bool
+	// resetOnData resets a connection instead of forwarding the target's next data on it.
+	resetOnData atomic.Bool
 
 	mu    sync.Mutex
-	conns map[*pair]bool
+	conns map[*proxiedConn]bool
 }
 
-// pair is one connection that is carried.
-type pair struct {
+// proxiedConn is one forwarded connection.
+type proxiedConn struct {
 	in, out net.Conn
-	// silent pairs swallow everything, without a reset.
-	silent atomic.Bool
-	// detached pairs have lost the caller's side, which the target is not told.
+	// blackholed connections discard all data without being closed.
+	blackholed atomic.Bool
+	// detached connections have lost the client's side without the target noticing.
 	detached atomic.Bool
 
 	mu sync.Mutex
-	// greeting is the first data of the caller's side.
-	greeting []byte
+	// firstData is the first chunk of data from the client's side.
+	firstData []byte
 }
 
 func newProxy(t testing.TB, target string) *proxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	p := &proxy{address: l.Addr().String(), target: target, conns: make(map[*pair]bool)}
+	p := &proxy{address: l.Addr().String(), target: target, conns: make(map[*proxiedConn]bool)}
 	t.Cleanup(func() {
 		_ = l.Close()
 		p.reset()
@@ -59,7 +59,7 @@
 		if err != nil {
 			return
 		}
-		if p.refuse.Load() {
+		if p.refuseNew.Load() {
 			abort(in)
 			continue
 		}
@@ -68,25 +68,25 @@
 			abort(in)
 			continue
 		}
-		c := &pair{in: in, out: out}
+		c := &proxiedConn{in: in, out: out}
 		p.mu.Lock()
 		p.conns[c] = true
 		p.mu.Unlock()
-		go p.carryIn(c)
-		go p.carryOut(c)
+		go p.forwardIn(c)
+		go p.forwardOut(c)
 	}
 }
 
-// carryIn carries what the caller's side sends.
-func (p *proxy) carryIn(c *pair) {
+// forwardIn forwards data from the client's side to the target.
+func (p *proxy) forwardIn(c *proxiedConn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := c.in.Read(buf)
 		time.Sleep(time.Duration(p.delay.Load()))
 		if n > 0 {
-			c.greet(buf[:n])
+			c.keepFirstData(buf[:n])
 		}
-		if n > 0 && !p.muteIn.Load() && !c.silent.Load() {
+		if n > 0 && !p.dropIn.Load() && !c.blackholed.Load() {
 			if _, err := c.out.Write(buf[:n]); err != nil {
 				break
 			}
@@ -100,18 +100,18 @@
 	}
 }
 
-// applyEffects carries what the target sends.
-func (p *proxy) carryOut(c *pair) {
+// forwardOut forwards data from the target to the client's side.
+func (p *proxy) forwardOut(c *proxiedConn) {
 	defer p.close(c)
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := c.out.Read(buf)
 		time.Sleep(time.Duration(p.delay.Load()))
-		if n > 0 && p.swallow.Load() {
+		if n > 0 && p.resetOnData.Load() {
 			c.abort()
 			return
 		}
-		if n > 0 && !p.muteOut.Load() && !c.silent.Load() && !c.detached.Load() {
+		if n > 0 && !p.dropOut.Load() && !c.blackholed.Load() && !c.detached.Load() {
 			if _, err := c.in.Write(buf[:n]); err != nil && !c.detached.Load() {
 				return
 			}
@@ -122,7 +122,7 @@
 	}
 }
 
-func (p *proxy) close(c *pair) {
+func (p *proxy) close(c *proxiedConn) {
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
@@ -130,24 +130,24 @@
 	_ = c.out.Close()
 }
 
-// greet keeps the first data, by which the caller's side is told.
-func (c *pair) greet(data []byte) {
+// keepFirstData stores a copy of the first data, which identifies the client's side.
+func (c *proxiedConn) keepFirstData(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.greeting == nil {
-		c.greeting = bytes.Clone(data)
+	if c.firstData == nil {
+		c.firstData = bytes.Clone(data)
 	}
 }
 
-// from reports whether the caller's side has named itself so.
-func (c *pair) from(name string) bool {
+// isFrom reports whether the first data of the client's side contains a name.
+func (c *proxiedConn) isFrom(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return bytes.Contains(c.greeting, []byte(name))
+	return bytes.Contains(c.firstData, []byte(name))
 }
 
-// abort resets a connection on both sides.
-func (c *pair) abort() {
+// abort resets both sides of the connection.
+func (c *proxiedConn) abort() {
 	abort(c.in)
 	abort(c.out)
 }
@@ -159,57 +159,57 @@
 	_ = c.Close()
 }
 
-// open returns the connections that are carried.
-func (p *proxy) open() []*pair {
+// openConns returns the forwarded connections.
+func (p *proxy) openConns() []*proxiedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]*pair, 0, len(p.conns))
+	out := make([]*proxiedConn, 0, len(p.conns))
 	for c := range p.conns {
 		out = append(out, c)
 	}
 	return out
 }
 
-// silence swallows what goes one way for a while, and then breaks all
+// dropFor discards the data of one direction for a duration, and then resets all
 // connections.
-func (p *proxy) silence(way *atomic.Bool, span time.Duration) {
-	way.Store(true)
-	time.Sleep(span)
-	way.Store(false)
+func (p *proxy) dropFor(direction *atomic.Bool, duration time.Duration) {
+	direction.Store(true)
+	time.Sleep(duration)
+	direction.Store(false)
 	p.reset()
 }
 
-// reset breaks all connections.
+// reset resets all connections.
 func (p *proxy) reset() {
-	for _, c := range p.open() {
+	for _, c := range p.openConns() {
 		c.abort()
 	}
 }
 
-// resetFrom breaks the connections whose caller's side has named itself so.
+// resetFrom resets the connections whose first data contains a name.
 func (p *proxy) resetFrom(name string) {
-	for _, c := range p.open() {
-		if c.from(name) {
+	for _, c := range p.openConns() {
+		if c.isFrom(name) {
 			c.abort()
 		}
 	}
 }
 
-// resetCallers breaks the caller's side of all connections. The target's side
-// stays open for a while, and what comes from there is lost.
-func (p *proxy) resetCallers(late time.Duration) {
-	for _, c := range p.open() {
+// resetCallers resets the client's side of all connections. The target's side stays open
+// for closeDelay, and data from the target is discarded.
+func (p *proxy) resetCallers(closeDelay time.Duration) {
+	for _, c := range p.openConns() {
 		if c.detached.Swap(true) {
 			continue
 		}
 		abort(c.in)
-		time.AfterFunc(late, func() { abort(c.out) })
+		time.AfterFunc(closeDelay, func() { abort(c.out) })
 	}
 }
 
-// hush leaves all connections open and silent.
-func (p *proxy) hush() {
-	for _, c := range p.open() {
-		c.silent.Store(true)
+// blackhole leaves all connections open and discards their data from now on.
+func (p *proxy) blackhole() {
+	for _, c := range p.openConns() {
+		c.blackholed.Store(true)
 	}
 }
--- a/soaker/soak_test.go
+++ b/soaker/soak_test.go
@@ -18,73 +18,74 @@
 )
 
 var (
-	seeds  = flag.Int("seeds", 0, "how many seeds to play beside those that once failed")
-	first  = flag.Uint64("first", 1, "the first of them")
-	span   = flag.Duration("span", 8*time.Second, "how long the faults of a seed last")
-	big    = flag.Bool("big", false, "play the seeds in the big size")
-	more   = flag.Bool("more", false, "strike the seeds with faults of processes and connections, many at once")
-	once   = flag.Bool("once", false, "fail also where a task that is done starts again, though its caller sent it once")
-	heavy  = flag.Bool("heavy", false, "add bursts of jobs, large tasks and workers of unequal speed")
-	atOnce = flag.Bool("atonce", false, "let callers send again at once when a reused connection breaks")
+	seeds        = flag.Int("seeds", 0, "number of seeds to run in addition to the regression seeds")
+	firstSeed    = flag.Uint64("first", 1, "the first of these seeds")
+	faultTime    = flag.Duration("span", 8*time.Second, "how long faults are injected for a seed")
+	useLarge     = flag.Bool("big", false, "run the seeds with the large scenario")
+	moreFaults   = flag.Bool("more", false, "also inject faults of workers, and of many processes and connections at once")
+	noRepeats    = flag.Bool("once", false, "also fail if a task that is done starts again although its caller submitted its job once")
+	heavyLoad    = flag.Bool("heavy", false, "add bursts of jobs, large tasks and workers of different speeds")
+	resendAtOnce = flag.Bool("atonce", false, "let callers resend a request at once when a reused connection breaks")
 )
 
-// regressions are the seeds that failed once.
+// regressions are the seeds that have failed before, with the causes.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{1, "an entry that was paused took a run that its agent had forgotten for one that never started"},
-	{2, "a start that was on its way reached the new incarnation of a worker"},
-	{6, "the check took a second entry's refusal for a word on the first entry's try"},
+	{1, "a paused entry assumed that a run which its agent had evicted had never started"},
+	{2, "a start in transit reached the new incarnation of a worker"},
+	{6, "the check attributed a second entry's refusal to the first entry's attempt"},
 }
 
-// settle is the time after the faults until all is well again.
-const settle = 4 * time.Second
+// recoveryTime is the time that the deployment has to recover after the faults.
+const recoveryTime = 4 * time.Second
 
-// mix is what a seed is played with.
-type mix struct {
+// scenario is the size, load and kinds of faults of a soak run.
+type scenario struct {
 	entries, agents int
-	// callers send jobs, and series of faults strike at the same time.
+	// callers is the number of concurrent callers, and series that of the concurrent
+	// sequences of faults.
 	callers, series int
 	faults          []fault
-	atOnce          bool
-	// uneven makes every third worker slower than the others.
-	uneven bool
+	resendAtOnce    bool
+	// heterogeneous makes every third worker slower than the others.
+	heterogeneous bool
 }
 
 var (
-	small = mix{entries: 2, agents: 4, callers: 6, series: 2, faults: faults}
-	large = mix{entries: 3, agents: 11, callers: 14, series: 4, faults: faults}
+	smallScenario = scenario{entries: 2, agents: 4, callers: 6, series: 2, faults: faults}
+	largeScenario = scenario{entries: 3, agents: 11, callers: 14, series: 4, faults: faults}
 )
 
-// chosen returns the mix that the flags ask for.
-func chosen() mix {
-	m := small
-	if *big {
-		m = large
+// selectedScenario returns the scenario that the flags select.
+func selectedScenario() scenario {
+	sc := smallScenario
+	if *useLarge {
+		sc = largeScenario
 	}
-	if *more {
-		m.series++
-		m.faults = slices.Concat(faults, wideFaults, workerFaults)
+	if *moreFaults {
+		sc.series++
+		sc.faults = slices.Concat(faults, processFaults, workerFaults)
 	}
-	if *heavy {
-		m.faults = slices.Concat(m.faults, loadFaults)
-		m.uneven = true
+	if *heavyLoad {
+		sc.faults = slices.Concat(sc.faults, loadFaults)
+		sc.heterogeneous = true
 	}
-	m.atOnce = *atOnce
-	return m
+	sc.resendAtOnce = *resendAtOnce
+	return sc
 }
 
-// load sends jobs until stop is closed. The group is done when all are
+// startLoad submits jobs until stop is closed. The returned group is done when all are
 // answered.
-func (d *deployment) load(seed uint64, stop chan struct{}, callers int, fronts []string, again bool) *sync.WaitGroup {
+func (d *deployment) startLoad(seed uint64, stop chan struct{}, callers int, fronts []string, resend bool) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for c := range callers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			rng := rand.New(rand.NewPCG(seed, uint64(c)))
-			client := newCaller(fronts, again)
+			client := newCallerClient(fronts, resend)
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
@@ -95,7 +96,7 @@
 				wg.Add(1)
 				go func(tasks, front int) {
 					defer wg.Done()
-					d.watch.submit(client, fronts, front, id, tasks)
+					d.checker.submit(client, fronts, front, id, tasks)
 				}(1+rng.IntN(3), rng.IntN(len(fronts)))
 			}
 		}()
@@ -103,65 +104,66 @@
 	return &wg
 }
 
-// awaitReady waits until jobs are served.
+// awaitReady waits until every entry completes a job.
 func (d *deployment) awaitReady(seed uint64) {
-	client := &http.Client{Timeout: callerPatience}
+	client := &http.Client{Timeout: callerTimeout}
 	for i := range d.fronts {
 		n := 0
 		require.Eventually(d.t, func() bool {
 			n++
-			return d.watch.submit(client, d.fronts[i:i+1], 0, fmt.Sprintf("%06xfff%d%06x", seed, i, n), 1) == "complete"
+			return d.checker.submit(client, d.fronts[i:i+1], 0, fmt.Sprintf("%06xfff%d%06x", seed, i, n), 1) == "complete"
 		}, 20*time.Second, 50*time.Millisecond, "entry %d is not ready", i)
 	}
 }
 
-// fault strikes a deployment for a while and heals.
+// fault is a kind of fault. Its inject function injects the fault, waits for about the
+// given duration and removes the fault; momentary faults return at once.
 type fault struct {
-	name string
-	do   func(d *deployment, rng *rand.Rand, span time.Duration)
+	name   string
+	inject func(d *deployment, rng *rand.Rand, duration time.Duration)
 }
 
-// pick returns one of a list.
-func pick[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
+// pick returns a random item of a list.
+func pick[T any](rng *rand.Rand, items []T) T { return items[rng.IntN(len(items))] }
 
-// strike lets f strike a process, unless another fault strikes it.
-func strike(p *process, f func()) {
-	if p.busy.TryLock() {
-		defer p.busy.Unlock()
+// injectFault calls f unless another fault affects the process.
+func injectFault(p *process, f func()) {
+	if p.faultMu.TryLock() {
+		defer p.faultMu.Unlock()
 		f()
 	}
 }
 
-// downFor ends a process for a while.
-func (d *deployment) downFor(p *process, s syscall.Signal, span time.Duration) {
-	strike(p, func() {
-		p.end(s)
-		time.Sleep(span)
+// stopFor stops a process with a signal and starts it after a duration.
+func (d *deployment) stopFor(p *process, sig syscall.Signal, duration time.Duration) {
+	injectFault(p, func() {
+		p.stop(sig)
+		time.Sleep(duration)
 		p.start(d.t)
 	})
 }
 
-// faults are what strikes a deployment.
+// faults are the kinds of faults that every scenario injects.
 var faults = []fault{
-	{"entry killed", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.downFor(pick(rng, d.entries), syscall.SIGKILL, span/4)
+	{"entry killed", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		d.stopFor(pick(rng, d.entries), syscall.SIGKILL, duration/4)
 	}},
-	{"agent killed", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.downFor(pick(rng, d.all()).agent, syscall.SIGKILL, span/4)
+	{"agent killed", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		d.stopFor(pick(rng, d.allInstances()).agent, syscall.SIGKILL, duration/4)
 	}},
-	{"entry paused", func(d *deployment, rng *rand.Rand, span time.Duration) {
+	{"entry paused", func(d *deployment, rng *rand.Rand, duration time.Duration) {
 		p := pick(rng, d.entries)
-		strike(p, func() { p.pause(span) })
+		injectFault(p, func() { p.pause(duration) })
 	}},
-	{"agent paused", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		p := pick(rng, d.all()).agent
-		strike(p, func() { p.pause(span) })
+	{"agent paused", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		p := pick(rng, d.allInstances()).agent
+		injectFault(p, func() { p.pause(duration) })
 	}},
-	{"entry stopped as planned", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		d.downFor(pick(rng, d.entries), syscall.SIGTERM, 0)
+	{"planned stop of an entry", func(d *deployment, rng *rand.Rand, _ time.Duration) {
+		d.stopFor(pick(rng, d.entries), syscall.SIGTERM, 0)
 	}},
-	{"agent stopped as planned", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		d.downFor(pick(rng, d.all()).agent, syscall.SIGTERM, 0)
+	{"planned stop of an agent", func(d *deployment, rng *rand.Rand, _ time.Duration) {
+		d.stopFor(pick(rng, d.allInstances()).agent, syscall.SIGTERM, 0)
 	}},
 	{"settings reloaded", func(d *deployment, _ *rand.Rand, _ time.Duration) {
 		for _, p := range d.processes() {
@@ -169,143 +171,145 @@
 		}
 	}},
 	{"links reset", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		pick(rng, d.all()).links.reset()
+		pick(rng, d.allInstances()).linkProxy.reset()
 	}},
-	{"links slow", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		p := pick(rng, d.all()).links
+	{"links slow", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		p := pick(rng, d.allInstances()).linkProxy
 		p.delay.Store(int64(100 * time.Millisecond))
-		time.Sleep(span)
+		time.Sleep(duration)
 		p.delay.Store(0)
 	}},
-	{"link silent towards the agent", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		p := pick(rng, d.all()).links
-		p.silence(&p.muteIn, span)
+	{"link drops data to the agent", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		p := pick(rng, d.allInstances()).linkProxy
+		p.dropFor(&p.dropIn, duration)
 	}},
-	{"link silent towards the entry", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		p := pick(rng, d.all()).links
-		p.silence(&p.muteOut, span)
+	{"link drops data to the entry", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		p := pick(rng, d.allInstances()).linkProxy
+		p.dropFor(&p.dropOut, duration)
 	}},
 	{"worker restarted", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		pick(rng, d.all()).worker.Restart()
+		pick(rng, d.allInstances()).worker.Restart()
 	}},
-	{"worker mute", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		w := pick(rng, d.all()).worker
+	{"worker unresponsive", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		w := pick(rng, d.allInstances()).worker
 		w.SetUnresponsive(true)
-		time.Sleep(span)
+		time.Sleep(duration)
 		w.SetUnresponsive(false)
 	}},
-	{"worker draining", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		w := pick(rng, d.all()).worker
+	{"worker draining", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		w := pick(rng, d.allInstances()).worker
 		w.SetDraining(true)
-		time.Sleep(span)
+		time.Sleep(duration)
 		w.SetDraining(false)
 	}},
-	{"store misbehaves", func(d *deployment, rng *rand.Rand, span time.Duration) {
+	{"store faulty", func(d *deployment, rng *rand.Rand, duration time.Duration) {
 		d.store.SetFaults([]emulator.StoreFaults{
 			{Down: true}, {Unresponsive: true}, {Delay: 300 * time.Millisecond}, {DropWriteReplies: true},
 		}[rng.IntN(4)])
-		time.Sleep(span)
+		time.Sleep(duration)
 		d.store.SetFaults(emulator.StoreFaults{})
 	}},
-	{"store forgets its history", func(d *deployment, _ *rand.Rand, _ time.Duration) { d.store.Compact() }},
-	{"configuration changes", func(d *deployment, _ *rand.Rand, _ time.Duration) { d.configure() }},
-	{"data centre evacuated", func(d *deployment, _ *rand.Rand, span time.Duration) {
-		if !d.evacuation.TryLock() {
+	{"store compacts its history", func(d *deployment, _ *rand.Rand, _ time.Duration) { d.store.Compact() }},
+	{"configuration changes", func(d *deployment, _ *rand.Rand, _ time.Duration) { d.putConfig() }},
+	{"data centre evacuated", func(d *deployment, _ *rand.Rand, duration time.Duration) {
+		if !d.evacuationMu.TryLock() {
 			return
 		}
-		defer d.evacuation.Unlock()
+		defer d.evacuationMu.Unlock()
 		d.store.Put("op/evacuate/dc-1", []byte("{}"))
-		d.watch.evacuate("dc-1", true)
-		time.Sleep(span + evacuateWithin)
-		d.watch.evacuate("dc-1", false)
+		d.checker.setEvacuated("dc-1", true)
+		time.Sleep(duration + evacuationDelay)
+		d.checker.setEvacuated("dc-1", false)
 		d.store.Delete("op/evacuate/dc-1")
 	}},
 }
 
-// play strikes faults in series that overlap, under load.
-func play(t *testing.T, seed uint64, m mix) {
-	d := newDeployment(t, m.entries, m.agents)
-	if m.uneven {
-		d.slowDown(unevenness)
+// runSeed runs a scenario: concurrent sequences of faults, chosen by the seed, under
+// load. It then checks the guarantees.
+func runSeed(t *testing.T, seed uint64, sc scenario) {
+	d := newDeployment(t, sc.entries, sc.agents)
+	if sc.heterogeneous {
+		d.slowEveryThirdWorker(slowWorkerFactor)
 	}
 	d.awaitReady(seed)
 	stop := make(chan struct{})
-	callers := d.load(seed, stop, m.callers, d.balanced, m.atOnce)
+	callers := d.startLoad(seed, stop, sc.callers, d.proxiedFronts, sc.resendAtOnce)
 	var series sync.WaitGroup
-	began := time.Now()
-	for s := range m.series {
+	startedAt := time.Now()
+	for n := range sc.series {
 		series.Add(1)
 		go func() {
 			defer series.Done()
-			rng := rand.New(rand.NewPCG(seed, uint64(100+s)))
-			for time.Since(began) < *span {
+			rng := rand.New(rand.NewPCG(seed, uint64(100+n)))
+			for time.Since(startedAt) < *faultTime {
 				time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
-				f := pick(rng, m.faults)
-				lasts := 200*time.Millisecond + time.Duration(rng.IntN(1800))*time.Millisecond
-				d.struck("series %d: %s for %s begins", s, f.name, lasts)
-				f.do(d, rng, lasts)
-				d.struck("series %d: %s is over", s, f.name)
+				f := pick(rng, sc.faults)
+				duration := 200*time.Millisecond + time.Duration(rng.IntN(1800))*time.Millisecond
+				d.logEvent("series %d: %s starts, lasting %s", n, f.name, duration)
+				f.inject(d, rng, duration)
+				d.logEvent("series %d: %s ends", n, f.name)
 			}
 		}()
 	}
 	series.Wait()
-	time.Sleep(settle)
+	time.Sleep(recoveryTime)
 	close(stop)
 	callers.Wait()
 	d.awaitReady(seed + 1<<20)
-	d.judge("seed %d", seed)
+	d.requireGuarantees("seed %d", seed)
 }
 
-// struck notes what strikes, to be printed when a promise is broken.
-func (d *deployment) struck(format string, args ...any) {
+// logEvent adds an event, to be printed when a guarantee is violated.
+func (d *deployment) logEvent(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.strikes = append(d.strikes, time.Now().UTC().Format(time.RFC3339Nano)+" "+fmt.Sprintf(format, args...))
+	d.events = append(d.events, time.Now().UTC().Format(time.RFC3339Nano)+" "+fmt.Sprintf(format, args...))
 }
 
-// judge requires that all promises were kept.
-func (d *deployment) judge(format string, args ...any) {
-	d.watch.mu.Lock()
-	defer d.watch.mu.Unlock()
-	d.t.Logf("%s: %v", fmt.Sprintf(format, args...), d.watch.counts)
-	if len(d.watch.broken) > 0 || *once {
+// requireGuarantees requires that no guarantee was violated and that a job was
+// completed.
+func (d *deployment) requireGuarantees(format string, args ...any) {
+	d.checker.mu.Lock()
+	defer d.checker.mu.Unlock()
+	d.t.Logf("%s: %v", fmt.Sprintf(format, args...), d.checker.counts)
+	if len(d.checker.violations) > 0 || *noRepeats {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.t.Logf("struck:\n%s", strings.Join(d.strikes, "\n"))
+		d.t.Logf("events:\n%s", strings.Join(d.events, "\n"))
 	}
-	require.Empty(d.t, d.watch.broken)
-	if *once {
-		require.Empty(d.t, d.watch.repeated)
+	require.Empty(d.t, d.checker.violations)
+	if *noRepeats {
+		require.Empty(d.t, d.checker.repeated)
 	}
-	require.Positive(d.t, d.watch.counts["complete"])
+	require.Positive(d.t, d.checker.counts["complete"])
 }
 
 func TestSoak(t *testing.T) {
 	for _, r := range regressions {
-		t.Run(fmt.Sprintf("seed %d: %s", r.seed, r.cause), func(t *testing.T) { play(t, r.seed, small) })
+		t.Run(fmt.Sprintf("seed %d: %s", r.seed, r.cause), func(t *testing.T) { runSeed(t, r.seed, smallScenario) })
 	}
 	for i := range *seeds {
-		seed := *first + uint64(i)
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { play(t, seed, chosen()) })
+		seed := *firstSeed + uint64(i)
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { runSeed(t, seed, selectedScenario()) })
 	}
 }
 
-func TestPlatformStopsCutNothingOff(t *testing.T) {
+func TestPlannedStopsAbortNoRequests(t *testing.T) {
 	d := newDeployment(t, 2, 4)
 	d.awaitReady(0)
 	stop := make(chan struct{})
-	callers := d.load(0, stop, small.callers, d.fronts, false)
-	sites := d.all()
-	for _, p := range []*process{d.entries[0], sites[0].agent, sites[1].agent} {
-		p.end(syscall.SIGTERM)
+	callers := d.startLoad(0, stop, smallScenario.callers, d.fronts, false)
+	instances := d.allInstances()
+	for _, p := range []*process{d.entries[0], instances[0].agent, instances[1].agent} {
+		p.stop(syscall.SIGTERM)
 		p.start(t)
 		d.awaitReady(uint64(len(p.name)) << 10)
 	}
 	close(stop)
 	callers.Wait()
-	d.watch.mu.Lock()
-	defer d.watch.mu.Unlock()
-	t.Logf("%v", d.watch.counts)
-	require.Empty(t, d.watch.broken)
-	require.Zero(t, d.watch.counts["cut off"], "requests cut off by planned stops: %s", d.watch.cuts)
+	d.checker.mu.Lock()
+	defer d.checker.mu.Unlock()
+	t.Logf("%v", d.checker.counts)
+	require.Empty(t, d.checker.violations)
+	require.Zero(t, d.checker.counts["aborted"], "requests aborted by planned stops: %s", d.checker.abortedRequests)
 }
--- a/soaker/worker_test.go
+++ b/soaker/worker_test.go
@@ -20,29 +20,31 @@
 // heartbeatInterval is the time between two heartbeats of a worker.
 const heartbeatInterval = 1500 * time.Millisecond
 
-// serveWorker serves a worker on a port that stays its own while it refuses
-// connections.
+// serveWorker serves a worker on a port below the kernel's range for outgoing
+// connections, so that the port stays free while the worker refuses connections. It
+// returns the address.
 func serveWorker(ctx context.Context, t testing.TB, w *emulator.Worker) string {
 	for {
 		address := fmt.Sprintf("127.0.0.1:%d", freePorts(t, 1)[0])
 		err := w.Serve(ctx, address)
 		if errors.Is(err, syscall.EADDRINUSE) {
-			continue // Another soak has taken it since.
+			continue // Another soak process has taken the port in the meantime.
 		}
 		require.NoError(t, err)
 		return address
 	}
 }
 
-// steady sends single tasks of a given time, one each interval to each entry
-// in turn, until stop is closed.
-func (d *deployment) steady(work, interval time.Duration, stop chan struct{}) *sync.WaitGroup {
-	d.watch.fixedWork.Store(int64(work))
+// startSteadyLoad submits one job with a single task of a fixed duration per interval,
+// to the entries in turn, until stop is closed. The returned group is done when all are
+// answered.
+func (d *deployment) startSteadyLoad(work, interval time.Duration, stop chan struct{}) *sync.WaitGroup {
+	d.checker.fixedWork.Store(int64(work))
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		client := &http.Client{Timeout: callerPatience + time.Second, Transport: &http.Transport{}}
+		client := &http.Client{Timeout: callerTimeout + time.Second, Transport: &http.Transport{}}
 		defer client.CloseIdleConnections()
 		for i := 0; ; i++ {
 			select {
@@ -53,44 +55,44 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				d.watch.submit(client, d.fronts, i%len(d.fronts), fmt.Sprintf("%016x", i), 1)
+				d.checker.submit(client, d.fronts, i%len(d.fronts), fmt.Sprintf("%016x", i), 1)
 			}()
 		}
 	}()
 	return &wg
 }
 
-// awaitBusy returns a worker on which a run has just begun.
-func (d *deployment) awaitBusy() *site {
-	const patience = 5 * time.Second
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		sites := d.all()
-		for _, i := range rand.Perm(len(sites)) {
-			if d.watch.busy(sites[i].worker.ID()) {
-				return sites[i]
+// awaitAnyStart waits for a run that has just started and returns its instance.
+func (d *deployment) awaitAnyStart() *instance {
+	const timeout = 5 * time.Second
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		instances := d.allInstances()
+		for _, i := range rand.Perm(len(instances)) {
+			if d.checker.justStarted(instances[i].worker.ID()) {
+				return instances[i]
 			}
 		}
 	}
-	require.FailNow(d.t, "nothing runs")
+	require.FailNow(d.t, "no run has just started")
 	return nil
 }
 
-// awaitRun waits until a run has just begun at a worker.
-func (d *deployment) awaitRun(w *emulator.Worker) {
-	require.Eventually(d.t, func() bool { return d.watch.busy(w.ID()) }, 5*time.Second, 2*time.Millisecond, "nothing runs at %s", w.ID())
+// awaitStart waits until a run has just started on a worker.
+func (d *deployment) awaitStart(w *emulator.Worker) {
+	require.Eventually(d.t, func() bool { return d.checker.justStarted(w.ID()) }, 5*time.Second, 2*time.Millisecond, "no run has just started on %s", w.ID())
 }
 
-// busy reports whether a run has just begun in a life with an id.
-func (w *watcher) busy(id string) bool {
+// justStarted reports whether a run has just started in an incarnation with an ID.
+func (c *checker) justStarted(id string) bool {
 	const (
-		youngest = 20 * time.Millisecond
-		oldest   = 100 * time.Millisecond
+		minAge = 20 * time.Millisecond
+		maxAge = 100 * time.Millisecond
 	)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, runs := range w.runs {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, runs := range c.activeRuns {
 		for _, r := range runs {
-			if age := time.Since(r.began); r.life.ID == id && age > youngest && age < oldest {
+			if age := time.Since(r.startedAt); r.incarnation.ID == id && age > minAge && age < maxAge {
 				return true
 			}
 		}
@@ -99,59 +101,61 @@
 }
 
 const (
-	// strikes is how often a directed test strikes.
-	strikes = 3
-	// strikePause is the time between two strikes, in which all is well again.
-	strikePause = 700 * time.Millisecond
+	// workerFaultCount is the number of faults that each test of one worker fault
+	// injects.
+	workerFaultCount = 3
+	// recoveryInterval is the time between two faults, in which the deployment recovers.
+	recoveryInterval = 700 * time.Millisecond
 )
 
-// strikeWorkers plays steady load and strikes workers one after the other, each while
-// it runs a task and others have room. No task may run twice.
-func strikeWorkers(t *testing.T, work time.Duration, strike func(d *deployment, s *site)) {
-	runBeside(t)
-	// inFlight of the 40 tasks that there is room for.
+// testWorkerFault injects a fault into one worker after the other under steady load,
+// each while it runs a task and others have free capacity. No task may run twice.
+func testWorkerFault(t *testing.T, work time.Duration, inject func(d *deployment, inst *instance)) {
+	runParallel(t)
+	// inFlight is the number of tasks that run at the same time, of the 40 that the
+	// workers have capacity for.
 	const inFlight = 32
 	d := deploy(t, 2, 4, true)
 	d.awaitReady(0)
 	stop := make(chan struct{})
-	callers := d.steady(work, work/inFlight, stop)
-	for range strikes {
-		time.Sleep(strikePause)
-		strike(d, d.awaitBusy())
+	callers := d.startSteadyLoad(work, work/inFlight, stop)
+	for range workerFaultCount {
+		time.Sleep(recoveryInterval)
+		inject(d, d.awaitAnyStart())
 	}
-	time.Sleep(strikePause)
+	time.Sleep(recoveryInterval)
 	close(stop)
 	callers.Wait()
-	d.watch.report(t)
-	d.judge("%s", t.Name())
+	d.checker.logViolations(t)
+	d.requireGuarantees("%s", t.Name())
 }
 
-// report prints what was broken, a line each.
-func (w *watcher) report(t *testing.T) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, b := range slices.Concat(w.broken, w.repeated) {
-		t.Log(b)
+// logViolations logs the violations and repeated runs, one line each.
+func (c *checker) logViolations(t *testing.T) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, violation := range slices.Concat(c.violations, c.repeated) {
+		t.Log(violation)
 	}
 }
 
-func TestDepartureOfWorkerThatRunsOnStartsNoSecondRun(t *testing.T) {
-	strikeWorkers(t, 400*time.Millisecond, func(d *deployment, s *site) {
-		s.worker.SendDelete(t.Context(), s.worker.ID())
+func TestDepartureOfWorkerThatKeepsRunningStartsNoSecondRun(t *testing.T) {
+	testWorkerFault(t, 400*time.Millisecond, func(d *deployment, inst *instance) {
+		inst.worker.SendDelete(t.Context(), inst.worker.ID())
 	})
 }
 
-func TestHeartbeatOfStrangerStartsNoSecondRun(t *testing.T) {
-	strikeWorkers(t, 400*time.Millisecond, func(d *deployment, s *site) {
-		s.worker.SendForeignHeartbeat(t.Context(), "stranger")
+func TestForeignHeartbeatStartsNoSecondRun(t *testing.T) {
+	testWorkerFault(t, 400*time.Millisecond, func(d *deployment, inst *instance) {
+		inst.worker.SendForeignHeartbeat(t.Context(), "stranger")
 	})
 }
 
-func TestRestartedAgentWithoutAnswersStartsNoSecondRun(t *testing.T) {
-	const unanswered = 700 * time.Millisecond
+func TestAgentRestartedWithoutWorkerAnswersStartsNoSecondRun(t *testing.T) {
+	const unansweredTime = 700 * time.Millisecond
 	for _, c := range []struct {
-		name     string
-		cut, end func(w *emulator.Worker)
+		name          string
+		inject, clear func(w *emulator.Worker)
 	}{
 		{
 			"refused", (*emulator.Worker).Disconnect, (*emulator.Worker).Reconnect,
@@ -165,99 +169,99 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			strikeWorkers(t, time.Second, func(d *deployment, s *site) {
-				c.cut(s.worker)
-				s.agent.end(syscall.SIGKILL)
-				s.agent.start(t)
-				time.Sleep(unanswered)
-				c.end(s.worker)
+			testWorkerFault(t, time.Second, func(d *deployment, inst *instance) {
+				c.inject(inst.worker)
+				inst.agent.stop(syscall.SIGKILL)
+				inst.agent.start(t)
+				time.Sleep(unansweredTime)
+				c.clear(inst.worker)
 			})
 		})
 	}
 }
 
-func TestOrdersWithoutAnswersStartNoSecondRun(t *testing.T) {
-	const lasts = 1500 * time.Millisecond
+func TestFaultyCallsStartNoSecondRun(t *testing.T) {
+	const duration = 1500 * time.Millisecond
 	for _, c := range []struct {
-		name       string
-		treatments emulator.CallFaults
+		name   string
+		faults emulator.CallFaults
 	}{
 		{"starts reset after they took effect", emulator.CallFaults{Starts: emulator.ResetAfter, Share: 1}},
-		{"some starts and looks reset after they took effect", emulator.CallFaults{Starts: emulator.ResetAfter, Polls: emulator.ResetAfter, Share: 0.5}},
-		{"starts reset after, looks before they took effect", emulator.CallFaults{Starts: emulator.ResetAfter, Polls: emulator.ResetBefore, Share: 0.7}},
-		{"some starts and looks reset before they took effect", emulator.CallFaults{Starts: emulator.ResetBefore, Polls: emulator.ResetBefore, Share: 0.5}},
-		{"orders held back", emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Share: 1}},
-		{"some orders and looks held back", emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Polls: emulator.Delayed, Share: 0.5}},
+		{"some starts and polls reset after they took effect", emulator.CallFaults{Starts: emulator.ResetAfter, Polls: emulator.ResetAfter, Share: 0.5}},
+		{"starts reset after, polls before they took effect", emulator.CallFaults{Starts: emulator.ResetAfter, Polls: emulator.ResetBefore, Share: 0.7}},
+		{"some starts and polls reset before they took effect", emulator.CallFaults{Starts: emulator.ResetBefore, Polls: emulator.ResetBefore, Share: 0.5}},
+		{"starts and stops delayed", emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Share: 1}},
+		{"some starts, stops and polls delayed", emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Polls: emulator.Delayed, Share: 0.5}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			strikeWorkers(t, 300*time.Millisecond, func(_ *deployment, s *site) {
-				s.worker.SetCallFaults(c.treatments)
-				time.Sleep(lasts)
-				s.worker.SetCallFaults(emulator.CallFaults{})
+			testWorkerFault(t, 300*time.Millisecond, func(_ *deployment, inst *instance) {
+				inst.worker.SetCallFaults(c.faults)
+				time.Sleep(duration)
+				inst.worker.SetCallFaults(emulator.CallFaults{})
 			})
 		})
 	}
 }
 
-func TestLateDepartureOfEarlierLifeStartsNoSecondRun(t *testing.T) {
-	const late = 800 * time.Millisecond
-	strikeWorkers(t, 400*time.Millisecond, func(d *deployment, s *site) {
-		w := s.worker
+func TestLateDepartureOfEarlierIncarnationStartsNoSecondRun(t *testing.T) {
+	const delay = 800 * time.Millisecond
+	testWorkerFault(t, 400*time.Millisecond, func(d *deployment, inst *instance) {
+		w := inst.worker
 		w.Crash(t.Context(), 0, w.ID())
-		time.Sleep(late)
-		d.awaitRun(w)
+		time.Sleep(delay)
+		d.awaitStart(w)
 		w.SendDelete(t.Context(), w.ID())
 	})
 }
 
-func TestLateHeartbeatOfEarlierLifeStartsNoSecondRun(t *testing.T) {
+func TestLateHeartbeatOfEarlierIncarnationStartsNoSecondRun(t *testing.T) {
 	for _, sameID := range []bool{true, false} {
-		t.Run(fmt.Sprintf("same id %t", sameID), func(t *testing.T) {
-			strikeWorkers(t, 400*time.Millisecond, func(d *deployment, s *site) {
-				w := s.worker
+		t.Run(fmt.Sprintf("same ID %t", sameID), func(t *testing.T) {
+			testWorkerFault(t, 400*time.Millisecond, func(d *deployment, inst *instance) {
+				w := inst.worker
 				id := w.ID()
 				if !sameID {
 					id = w.UnusedID()
 				}
 				w.Crash(t.Context(), 0, id)
-				d.awaitRun(w)
+				d.awaitStart(w)
 				require.True(t, w.ResendOldHeartbeat(t.Context()))
 			})
 		})
 	}
 }
 
-func TestPlannedEndOfWorkerThatRunsOnStartsNoSecondRun(t *testing.T) {
-	for _, runsOn := range []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond} {
-		t.Run(runsOn.String(), func(t *testing.T) {
-			strikeWorkers(t, 400*time.Millisecond, func(d *deployment, s *site) {
-				w := s.worker
+func TestPlannedDepartureOfWorkerThatKeepsRunningStartsNoSecondRun(t *testing.T) {
+	for _, linger := range []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond} {
+		t.Run(linger.String(), func(t *testing.T) {
+			testWorkerFault(t, 400*time.Millisecond, func(d *deployment, inst *instance) {
+				w := inst.worker
 				w.Depart(t.Context(), emulator.Departure{
-					NoticePeriod: time.Duration(50+rand.IntN(300)) * time.Millisecond, Linger: runsOn, NextID: w.UnusedID(),
+					NoticePeriod: time.Duration(50+rand.IntN(300)) * time.Millisecond, Linger: linger, NextID: w.UnusedID(),
 				})
 			})
 		})
 	}
 }
 
-func TestWorkerCutOffThatRunsOnStartsNoSecondRun(t *testing.T) {
-	const lasts = 500 * time.Millisecond
-	strikeWorkers(t, 500*time.Millisecond, func(d *deployment, s *site) {
-		s.worker.Disconnect()
-		time.Sleep(lasts)
-		s.worker.Reconnect()
+func TestDisconnectedWorkerThatKeepsRunningStartsNoSecondRun(t *testing.T) {
+	const duration = 500 * time.Millisecond
+	testWorkerFault(t, 500*time.Millisecond, func(d *deployment, inst *instance) {
+		inst.worker.Disconnect()
+		time.Sleep(duration)
+		inst.worker.Reconnect()
 	})
 }
 
-// strikeWorker lets f strike a worker, unless another fault strikes it.
-func strikeWorker(s *site, f func(w *emulator.Worker)) {
-	if s.busy.TryLock() {
-		defer s.busy.Unlock()
-		f(s.worker)
+// injectWorkerFault calls f unless another fault affects the worker.
+func injectWorkerFault(inst *instance, f func(w *emulator.Worker)) {
+	if inst.faultMu.TryLock() {
+		defer inst.faultMu.Unlock()
+		f(inst.worker)
 	}
 }
 
-// nextID returns the id of a worker's next life, the same one half of the time.
+// nextID returns the ID of a worker's next incarnation, half of the time the same one.
 func nextID(rng *rand.Rand, w *emulator.Worker) string {
 	if rng.IntN(2) == 0 {
 		return w.ID()
@@ -265,70 +269,71 @@
 	return w.UnusedID()
 }
 
-// treatFor spoils the calls to a worker for a while.
-func (d *deployment) treatFor(rng *rand.Rand, span time.Duration, t emulator.CallFaults) {
-	t.Share = 0.2 + 0.8*rng.Float64()
-	strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
-		w.SetCallFaults(t)
-		time.Sleep(span)
+// injectCallFaults injects faults into a random share (20 to 100 %) of the calls to a
+// worker for a duration.
+func (d *deployment) injectCallFaults(rng *rand.Rand, duration time.Duration, callFaults emulator.CallFaults) {
+	callFaults.Share = 0.2 + 0.8*rng.Float64()
+	injectWorkerFault(pick(rng, d.allInstances()), func(w *emulator.Worker) {
+		w.SetCallFaults(callFaults)
+		time.Sleep(duration)
 		w.SetCallFaults(emulator.CallFaults{})
 	})
 }
 
-// longestRest is how long a worker lives on at most after its departure.
-const longestRest = 1500 * time.Millisecond
+// maxLinger is the longest time for which a worker keeps running after its departure.
+const maxLinger = 1500 * time.Millisecond
 
-// workerFaults are what workers do that the pages allow.
+// workerFaults are faults of workers that the documentation of upstream allows.
 var workerFaults = []fault{
-	{"worker leaves", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
+	{"worker departs", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		injectWorkerFault(pick(rng, d.allInstances()), func(w *emulator.Worker) {
 			w.Depart(d.ctx, emulator.Departure{
-				NoticePeriod: span, Linger: between(rng, 0, longestRest), Downtime: between(rng, 0, span), NextID: nextID(rng, w),
+				NoticePeriod: duration, Linger: randomDuration(rng, 0, maxLinger), Downtime: randomDuration(rng, 0, duration), NextID: nextID(rng, w),
 			})
 		})
 	}},
-	{"worker crashes", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) { w.Crash(d.ctx, between(rng, 0, span), nextID(rng, w)) })
+	{"worker crashes", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		injectWorkerFault(pick(rng, d.allInstances()), func(w *emulator.Worker) { w.Crash(d.ctx, randomDuration(rng, 0, duration), nextID(rng, w)) })
 	}},
-	{"departure of an earlier life is late", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
+	{"late departure of an earlier incarnation", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		injectWorkerFault(pick(rng, d.allInstances()), func(w *emulator.Worker) {
 			id := w.ID()
 			w.Crash(d.ctx, 0, id)
-			time.Sleep(span)
+			time.Sleep(duration)
 			w.SendDelete(d.ctx, id)
 		})
 	}},
-	{"heartbeat of an earlier life is late", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
+	{"late heartbeat of an earlier incarnation", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		injectWorkerFault(pick(rng, d.allInstances()), func(w *emulator.Worker) {
 			w.Crash(d.ctx, 0, nextID(rng, w))
-			time.Sleep(span)
+			time.Sleep(duration)
 			w.ResendOldHeartbeat(d.ctx)
 		})
 	}},
-	{"heartbeat of a stranger", func(d *deployment, rng *rand.Rand, _ time.Duration) {
-		pick(rng, d.all()).worker.SendForeignHeartbeat(d.ctx, fmt.Sprintf("stranger-%d", rng.IntN(1000)))
+	{"foreign heartbeat", func(d *deployment, rng *rand.Rand, _ time.Duration) {
+		pick(rng, d.allInstances()).worker.SendForeignHeartbeat(d.ctx, fmt.Sprintf("stranger-%d", rng.IntN(1000)))
 	}},
-	{"worker sends no heartbeats", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
+	{"worker sends no heartbeats", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		injectWorkerFault(pick(rng, d.allInstances()), func(w *emulator.Worker) {
 			w.SuppressHeartbeats(true)
-			time.Sleep(span)
+			time.Sleep(duration)
 			w.SuppressHeartbeats(false)
 		})
 	}},
-	{"worker cut off", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		strikeWorker(pick(rng, d.all()), func(w *emulator.Worker) {
+	{"worker disconnected", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		injectWorkerFault(pick(rng, d.allInstances()), func(w *emulator.Worker) {
 			w.Disconnect()
-			time.Sleep(span)
+			time.Sleep(duration)
 			w.Reconnect()
 		})
 	}},
-	{"orders carried out and reset", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.treatFor(rng, span, emulator.CallFaults{Starts: emulator.ResetAfter, Stops: emulator.ResetAfter})
+	{"starts and stops reset after they took effect", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		d.injectCallFaults(rng, duration, emulator.CallFaults{Starts: emulator.ResetAfter, Stops: emulator.ResetAfter})
 	}},
-	{"starts and looks reset", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.treatFor(rng, span, emulator.CallFaults{Starts: emulator.ResetBefore, Polls: emulator.ResetBefore})
+	{"starts and polls reset before they took effect", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		d.injectCallFaults(rng, duration, emulator.CallFaults{Starts: emulator.ResetBefore, Polls: emulator.ResetBefore})
 	}},
-	{"calls held back", func(d *deployment, rng *rand.Rand, span time.Duration) {
-		d.treatFor(rng, span, emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Polls: emulator.Delayed})
+	{"calls delayed", func(d *deployment, rng *rand.Rand, duration time.Duration) {
+		d.injectCallFaults(rng, duration, emulator.CallFaults{Starts: emulator.Delayed, Stops: emulator.Delayed, Polls: emulator.Delayed})
 	}},
 }
