--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -76,7 +76,7 @@
 // applyPlacements takes the effects and returns the capacity that is free after the
 // tasks in them are placed, and the number of the last placement.
 func (f *fixture) applyPlacements(free messenger.Resources, lastPlace uint64) (messenger.Resources, uint64) {
-	for _, m := range f.drain() {
+	for _, m := range f.takeEffects() {
 		p, ok := m.(messenger.Place)
 		if !ok {
 			continue
--- a/scheduler/duplicate_test.go
+++ b/scheduler/duplicate_test.go
@@ -16,8 +16,8 @@
 // announceWorker has the worker announce itself to its agent after a random time of up to
 // maxAnnounceDelay.
 func (a *simAgent) announceWorker() {
-	a.w.schedule(time.Duration(a.w.rng.Int64N(int64(maxAnnounceDelay))), func() {
-		a.do(func() { a.core.SetUpstream(a.worker.up) })
+	a.sim.schedule(time.Duration(a.sim.rng.Int64N(int64(maxAnnounceDelay))), func() {
+		a.do(func() { a.core.SetUpstream(a.worker.upstream) })
 	})
 }
 
@@ -29,12 +29,12 @@
 }{
 	{"a worker is reported as departed", func(sim *simulation) {
 		a := sim.anyAgent()
-		a.do(func() { a.core.HandleWorkerDeparture(a.worker.up.ID) })
+		a.do(func() { a.core.HandleWorkerDeparture(a.worker.upstream.ID) })
 		a.announceWorker()
 	}},
 	{"a worker that does not exist is announced", func(sim *simulation) {
 		a := sim.anyAgent()
-		u := a.worker.up
+		u := a.worker.upstream
 		u.ID = "stranger"
 		u.Born++
 		a.do(func() { a.core.SetUpstream(u) })
@@ -43,7 +43,7 @@
 	{"a worker restarts with another ID", func(sim *simulation) {
 		a := sim.anyAgent()
 		a.worker.restart()
-		a.worker.up.ID = fmt.Sprintf("worker-%d", sim.rng.IntN(1<<30))
+		a.worker.upstream.ID = fmt.Sprintf("worker-%d", sim.rng.IntN(1<<30))
 		a.announceWorker()
 	}},
 	{"links break", func(sim *simulation) {
--- a/scheduler/heldjobs_test.go
+++ b/scheduler/heldjobs_test.go
@@ -39,7 +39,7 @@
 			f.clock.Advance(messenger.HeldJobsTTL)
 			f.s.HandleReport(newReport("b", 0))
 			f.s.Tick()
-			require.Empty(f.t, f.drain())
+			require.Empty(f.t, f.takeEffects())
 			f.clock.Advance(time.Millisecond)
 			f.s.HandleReport(newReport("b", 0))
 			f.s.Tick()
@@ -50,7 +50,7 @@
 				r.Incarnation = 2 + i
 				f.s.HandleReport(r)
 			}
-			require.Empty(f.t, f.drain(), "the restarted agent may not have received the announcement again yet")
+			require.Empty(f.t, f.takeEffects(), "the restarted agent may not have received the announcement again yet")
 			f.clock.Advance(messenger.HeldJobsTTL)
 			f.s.HandleReport(newReport("b", 0))
 			f.s.Tick()
@@ -66,10 +66,10 @@
 			f.s.HandleReport(newReport("a", 0))
 			f.s.HandleReport(newReport("b", 0))
 			f.s.Tick()
-			require.Empty(t, f.drain())
+			require.Empty(t, f.takeEffects())
 			require.Empty(t, f.replies, "the job may have started at the other entry")
 			tt.release(f)
-			f.drain()
+			f.takeEffects()
 			require.Equal(t, 1, f.placed().Tasks[0].Number)
 		})
 	}
@@ -82,10 +82,10 @@
 	f.s.Resumed()
 	f.s.HandleReport(newReport("a", 0))
 	f.s.Submit(1, f.longJob())
-	require.Empty(t, f.drain(), "the report may have been made before the entry was paused")
+	require.Empty(t, f.takeEffects(), "the report may have been made before the entry was paused")
 	f.clock.Advance(time.Millisecond)
 	f.heartbeat("a", 0)
-	f.drain()
+	f.takeEffects()
 	require.Len(t, f.placed().Tasks, 1)
 }
 
@@ -96,7 +96,7 @@
 	f.s.Submit(1, f.job(jobID, 1))
 	f.clock.Advance(1500 * time.Millisecond)
 	f.s.Tick()
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, scheduler.Unsettled, f.replies[1].Outcome)
 }
 
@@ -105,7 +105,7 @@
 	f.connect("a")
 	f.s.Submit(1, f.longJob())
 	f.s.Submit(2, f.job("0000000000000005", 1))
-	f.drain()
+	f.takeEffects()
 	require.Empty(t, f.heartbeat("a", 2))
 	f.clock.Advance(500 * time.Millisecond)
 	require.Equal(t, []string{jobID, "0000000000000005"}, f.heartbeat("a", 2))
@@ -137,7 +137,7 @@
 			f.heartbeat("a", 1)
 			f.s.HandleReport(reportHeldYielding("a", jobID))
 			f.s.Tick()
-			f.drain()
+			f.takeEffects()
 			require.Empty(t, f.replies, "its caller may still be connected")
 			f.clock.Advance(600 * time.Millisecond)
 			f.heartbeatAndTick("a")
@@ -157,7 +157,7 @@
 	r := reportHeldYielding("a", jobID)
 	r.Ended = []messenger.RunEnd{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Reason: messenger.RunDone}}
 	f.s.HandleReport(r)
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, scheduler.Complete, f.replies[1].Outcome)
 }
 
@@ -181,13 +181,13 @@
 			}
 			f.s.HandleReport(r)
 			for range 13 {
-				f.drain()
+				f.takeEffects()
 				require.Empty(t, f.replies, "its caller may still be connected")
 				f.clock.Advance(100 * time.Millisecond)
 				f.heartbeat("a", 1)
 				f.s.Tick()
 			}
-			f.drain()
+			f.takeEffects()
 			require.Equal(t, tt.want, f.replies)
 		})
 	}
@@ -207,7 +207,7 @@
 		f.heartbeat("a", 1)
 		f.s.Tick()
 	}
-	f.drain()
+	f.takeEffects()
 	require.Empty(t, f.replies)
 }
 
@@ -226,9 +226,9 @@
 	f.s.Submit(1, f.longJob())
 	f.s.CallerLeft(1)
 	f.s.Submit(2, f.longJob())
-	f.drain()
+	f.takeEffects()
 	f.s.HandleReport(reportHeldRunning("a"))
-	f.drain()
+	f.takeEffects()
 	f.placed()
 }
 
@@ -257,7 +257,7 @@
 			j := f.longJob()
 			j.EarliestSent = f.clock.Now().Add(-1300 * time.Millisecond)
 			f.s.Submit(1, j)
-			require.Empty(f.t, f.sent)
+			require.Empty(f.t, f.sentMessages)
 		}, scheduler.Overloaded},
 	}
 	for _, tt := range tests {
@@ -266,7 +266,7 @@
 			f.connect("a")
 			tt.trigger(f)
 			f.s.Tick()
-			f.drain()
+			f.takeEffects()
 			require.Equal(t, tt.want, f.replies[1].Outcome)
 		})
 	}
--- a/scheduler/longtask_test.go
+++ b/scheduler/longtask_test.go
@@ -10,19 +10,19 @@
 func TestNoLongTaskRunsTwiceAtOnce(t *testing.T) {
 	tests := []struct {
 		name        string
-		injectFault func(w *simulation, a *simAgent)
+		injectFault func(sim *simulation, a *simAgent)
 	}{
-		{"link cut, stops delayed", func(w *simulation, a *simAgent) {
-			a.worker.lateStopsUntil = w.clock.Now().Add(2 * time.Second)
-			l := a.links[w.entries[0].name]
+		{"link cut, stops delayed", func(sim *simulation, a *simAgent) {
+			a.worker.lateStopsUntil = sim.clock.Now().Add(2 * time.Second)
+			l := a.links[sim.entries[0].name]
 			if l == nil {
 				return
 			}
 			l.cut = true
-			w.schedule(2*time.Second, func() { l.cut = false })
+			sim.schedule(2*time.Second, func() { l.cut = false })
 		}},
-		{"agent restarts, polls processed but not answered", func(w *simulation, a *simAgent) {
-			a.worker.lostAnswersUntil = w.clock.Now().Add(time.Second)
+		{"agent restarts, polls processed but not answered", func(sim *simulation, a *simAgent) {
+			a.worker.lostAnswersUntil = sim.clock.Now().Add(time.Second)
 			if !a.down {
 				a.kill(50 * time.Millisecond)
 			}
@@ -30,16 +30,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newSimulation(t, 400, 2, 5, cores)
+			sim := newSimulation(t, 400, 2, 5, cores)
 			for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
-				w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(2)], jobKind{tasks: 2, work: 3 * time.Second, cpu: 3100}) })
+				sim.schedule(at, func() { sim.submit(sim.entries[sim.rng.IntN(2)], jobKind{tasks: 2, work: 3 * time.Second, cpu: 3100}) })
 			}
 			for at := time.Second; at < 8*time.Second; at += time.Second {
-				w.schedule(at, func() { tt.injectFault(w, w.anyAgent()) })
+				sim.schedule(at, func() { tt.injectFault(sim, sim.anyAgent()) })
 			}
-			w.run(16 * time.Second)
-			t.Logf("%d tasks ran twice at once, %+v", len(w.duplicates), w.summary())
-			w.check()
+			sim.run(16 * time.Second)
+			t.Logf("%d tasks ran twice at once, %+v", len(sim.duplicates), sim.summary())
+			sim.check()
 		})
 	}
 }
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -32,11 +32,11 @@
 			f.connect("a")
 			f.connect("b")
 			f.s.Submit(1, f.longJob())
-			f.drain()
+			f.takeEffects()
 			f.placed()
 			tt.reopen(f)
 			f.s.Tick()
-			require.Empty(t, f.drain(), "run 1 may still be at its agent")
+			require.Empty(t, f.takeEffects(), "run 1 may still be at its agent")
 		})
 	}
 }
@@ -46,7 +46,7 @@
 	f.connect("a")
 	f.connect("b")
 	f.s.Submit(1, f.longJob())
-	f.drain()
+	f.takeEffects()
 	// The process is suspended, but its machine still accepts connections.
 	for range 12 {
 		f.s.LinkClosed("a")
@@ -55,7 +55,7 @@
 		f.clock.Advance(400 * time.Millisecond)
 		f.heartbeat("b", 0)
 		f.s.Tick()
-		if len(f.drain()) > 0 {
+		if len(f.takeEffects()) > 0 {
 			return
 		}
 	}
--- a/scheduler/need_test.go
+++ b/scheduler/need_test.go
@@ -12,7 +12,7 @@
 	f.connect("a")
 	require.False(t, f.s.EarlyHeartbeatDue(), "nothing waits")
 	f.s.Submit(1, f.job(jobID, 20))
-	f.drain()
+	f.takeEffects()
 	require.True(t, f.s.EarlyHeartbeatDue(), "there is no free capacity for ten of the twenty tasks")
 	require.False(t, f.s.EarlyHeartbeatDue(), "the agents have been sent the backlog")
 	require.True(t, f.s.Cancel(jobID))
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -70,7 +70,7 @@
 // got the refusal within immediateLimit.
 func (sim *simulation) refusals() (all, immediate int) {
 	for _, r := range sim.results {
-		if !r.got || r.answer.Outcome != scheduler.Overloaded {
+		if !r.answered || r.answer.Outcome != scheduler.Overloaded {
 			continue
 		}
 		all++
--- a/scheduler/rackload_test.go
+++ b/scheduler/rackload_test.go
@@ -29,8 +29,8 @@
 	w.farFactor = farFactor
 	w.farFactorKnown = farFactorKnown
 	for _, a := range w.agents[:rackWorkers] {
-		a.worker.up.Labels = []string{rackLabel}
-		a.core.SetUpstream(a.worker.up)
+		a.worker.upstream.Labels = []string{rackLabel}
+		a.core.SetUpstream(a.worker.upstream)
 	}
 	for _, e := range w.entries {
 		e.core.Configure(w.configuration())
@@ -41,7 +41,7 @@
 
 // rackLoad submits jobs that take a share of the capacity of all workers, for the given
 // time. The data of most of the short wide jobs is on the rack.
-func (w *simulation) rackLoad(duration time.Duration, load float64) {
+func (sim *simulation) rackLoad(duration time.Duration, load float64) {
 	perSecond := []float64{34.4, 6.25, 100}
 	var work float64
 	for i, k := range jobKinds {
@@ -50,12 +50,12 @@
 	factor := load * fleetWorkers * cores / work
 	for i, k := range jobKinds {
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor))
-		for at := time.Duration(w.rng.Int64N(int64(gap))); at < duration; at += time.Duration(float64(gap) * (0.5 + w.rng.Float64())) {
+		for at := time.Duration(sim.rng.Int64N(int64(gap))); at < duration; at += time.Duration(float64(gap) * (0.5 + sim.rng.Float64())) {
 			drawn := k
-			if i == 0 && w.rng.Float64() < rackShare {
+			if i == 0 && sim.rng.Float64() < rackShare {
 				drawn.rack = rackLabel
 			}
-			w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(len(w.entries))], drawn) })
+			sim.schedule(at, func() { sim.submit(sim.entries[sim.rng.IntN(len(sim.entries))], drawn) })
 		}
 	}
 }
@@ -89,12 +89,12 @@
 			simulate := func(farFactorKnown bool) rackShares {
 				var sum rackShares
 				for seed := range seeds {
-					w := newRackSimulation(t, 600+seed, entries, tt.farFactor, farFactorKnown)
-					w.rackLoad(4*time.Second, tt.load)
-					w.run(6 * time.Second)
-					w.check()
-					require.Zero(t, w.summary().unanswered)
-					sum = sum.addWeighted(w.rackShares(), 1/float64(seeds))
+					sim := newRackSimulation(t, 600+seed, entries, tt.farFactor, farFactorKnown)
+					sim.rackLoad(4*time.Second, tt.load)
+					sim.run(6 * time.Second)
+					sim.check()
+					require.Zero(t, sim.summary().unanswered)
+					sum = sum.addWeighted(sim.rackShares(), 1/float64(seeds))
 				}
 				return sum
 			}
@@ -118,23 +118,23 @@
 		seeds          = 4
 	)
 	simulate := func(seed uint64, farFactorKnown bool) (inTime, all int) {
-		w := newRackSimulation(t, seed, 3, 2, farFactorKnown)
-		startTime := w.clock.Now()
-		w.rackLoad(6*time.Second, 0.4)
-		w.schedule(lostAt, func() {
-			for _, a := range w.agents[:rackWorkers] {
+		sim := newRackSimulation(t, seed, 3, 2, farFactorKnown)
+		startTime := sim.clock.Now()
+		sim.rackLoad(6*time.Second, 0.4)
+		sim.schedule(lostAt, func() {
+			for _, a := range sim.agents[:rackWorkers] {
 				a.kill(time.Minute)
 			}
 		})
-		w.run(9 * time.Second)
-		w.check()
-		require.Zero(t, w.summary().unanswered)
-		for _, r := range w.results {
+		sim.run(9 * time.Second)
+		sim.check()
+		require.Zero(t, sim.summary().unanswered)
+		for _, r := range sim.results {
 			if r.job.Steps[0].Rack == "" || r.sent.Sub(startTime) < recoveredAfter {
 				continue
 			}
 			all++
-			if w.inTime(r) {
+			if sim.inTime(r) {
 				inTime++
 			}
 		}
@@ -156,24 +156,24 @@
 // TestFarWorkDoesNotMakeAWorkerCountAsSlow guards against healthy workers that are
 // ejected because far work takes longer than its estimate for near workers.
 func TestFarWorkDoesNotMakeAWorkerCountAsSlow(t *testing.T) {
-	w := newRackSimulation(t, 800, 3, 3, true)
-	for _, a := range w.agents[:rackWorkers] {
+	sim := newRackSimulation(t, 800, 3, 3, true)
+	for _, a := range sim.agents[:rackWorkers] {
 		a.kill(time.Minute)
 	}
 	for at := time.Duration(0); at < 3*time.Second; at += 20 * time.Millisecond {
-		w.schedule(at, func() {
-			w.submit(w.entries[w.rng.IntN(3)], jobKind{tasks: 8, work: 60 * time.Millisecond, cpu: 3100, rack: rackLabel})
+		sim.schedule(at, func() {
+			sim.submit(sim.entries[sim.rng.IntN(3)], jobKind{tasks: 8, work: 60 * time.Millisecond, cpu: 3100, rack: rackLabel})
 		})
 	}
 	for range 40 {
-		w.run(100 * time.Millisecond)
-		for _, e := range w.entries {
+		sim.run(100 * time.Millisecond)
+		for _, e := range sim.entries {
 			for _, a := range e.core.Dump().Agents {
 				require.False(t, a.Ejected, a.Name)
 			}
 		}
 	}
-	w.check()
+	sim.check()
 }
 
 // rackShares holds the shares of jobs in time.
@@ -196,9 +196,9 @@
 	return fmt.Sprintf("short wide %.3f, long %.3f, short %.3f, for the rack %.3f", r.kinds[0], r.kinds[1], r.kinds[2], r.rack)
 }
 
-func (w *simulation) rackShares() rackShares {
-	r := rackShares{rack: w.rackInTimeShare()}
-	copy(r.kinds[:], w.served())
+func (sim *simulation) rackShares() rackShares {
+	r := rackShares{rack: sim.rackInTimeShare()}
+	copy(r.kinds[:], sim.served())
 	return r
 }
 
@@ -218,6 +218,6 @@
 }
 
 // inTime reports whether a job was complete within its objective.
-func (w *simulation) inTime(r *result) bool {
-	return r.got && r.answer.Outcome == scheduler.Complete && r.took <= w.objective(r.job)
+func (sim *simulation) inTime(r *result) bool {
+	return r.answered && r.answer.Outcome == scheduler.Complete && r.took <= sim.objective(r.job)
 }
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -24,19 +24,19 @@
 	f.s.HandleReport(newFullReport("a"))
 	f.s.HandleReport(newFullReport("b"))
 	f.s.Submit(1, f.job(jobID, 3))
-	require.Empty(t, f.drain())
+	require.Empty(t, f.takeEffects())
 	// Free capacity for two of the three tasks.
 	r := newFullReport("b")
 	r.Free = messenger.Resources{CPU: 6200, Memory: 64_000}
 	f.s.HandleReport(r)
-	f.drain()
+	f.takeEffects()
 	p := f.placed()
 	require.Len(t, p.Tasks, 2)
 	require.Equal(t, messenger.Backlog{Tasks: 1, Total: messenger.Resources{CPU: 3100}, Min: messenger.Resources{CPU: 3100}}, p.Backlog, "one task still waits")
 	r = newFullReport("a")
 	r.Free = messenger.Resources{CPU: 31_000, Memory: 64_000}
 	f.s.HandleReport(r)
-	f.drain()
+	f.takeEffects()
 	require.Len(t, f.placed().Tasks, 1)
 }
 
@@ -57,7 +57,7 @@
 					j.Steps[0].Estimate = time.Hour / 10
 					f.s.Submit(uint64(1+i), j)
 				}
-				f.drain()
+				f.takeEffects()
 				r := newFullReport("agent-000")
 				for bm.Loop() {
 					f.s.HandleReport(r)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -24,8 +24,8 @@
 	s     *scheduler.Scheduler
 	// replies are the answers so far, by ticket.
 	replies map[uint64]scheduler.Answer
-	// sent are the messages to agents that the last call of drain returned.
-	sent []any
+	// sentMessages are the messages to agents that the last call of drain returned.
+	sentMessages []any
 	// linkOpenedAt is when the link to each agent was opened.
 	linkOpenedAt map[string]time.Time
 }
@@ -46,19 +46,19 @@
 	return f
 }
 
-// drain takes the scheduler's effects, records the replies and returns the messages to
+// takeEffects takes the scheduler's effects, records the replies and returns the messages to
 // agents.
-func (f *fixture) drain() []any {
-	f.sent = nil
+func (f *fixture) takeEffects() []any {
+	f.sentMessages = nil
 	for _, e := range f.s.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Reply:
 			f.replies[e.Ticket] = e.Answer
 		case scheduler.Send:
-			f.sent = append(f.sent, e.Message)
+			f.sentMessages = append(f.sentMessages, e.Message)
 		}
 	}
-	return f.sent
+	return f.sentMessages
 }
 
 // newReport returns the report of an agent whose worker has free capacity for ten tasks.
@@ -78,7 +78,7 @@
 	r := newReport(agent, 0)
 	r.RunsComplete = true
 	f.s.HandleReport(r)
-	f.drain()
+	f.takeEffects()
 }
 
 // heartbeat has the entry send a heartbeat, which an agent echoes in its report, and
@@ -96,7 +96,7 @@
 func (f *fixture) heartbeatAndTick(agent string) {
 	f.heartbeat(agent, 1)
 	f.s.Tick()
-	f.drain()
+	f.takeEffects()
 }
 
 func (f *fixture) job(id string, tasks int) scheduler.Job {
@@ -117,7 +117,7 @@
 func (f *fixture) submitPlaced(ticket uint64, j scheduler.Job) messenger.Run {
 	f.t.Helper()
 	f.s.Submit(ticket, j)
-	f.drain()
+	f.takeEffects()
 	return f.placed().Tasks[0].Run
 }
 
@@ -147,7 +147,7 @@
 func (f *fixture) placed() messenger.Place {
 	f.t.Helper()
 	var out []messenger.Place
-	for _, m := range f.sent {
+	for _, m := range f.sentMessages {
 		if p, ok := m.(messenger.Place); ok {
 			out = append(out, p)
 		}
@@ -160,18 +160,18 @@
 	f := newFixture(t)
 	f.connect("a")
 	f.s.Submit(1, f.job(jobID, 2))
-	f.drain()
+	f.takeEffects()
 	require.Len(t, f.placed().Tasks, 2)
 	// The agent lists its runs again before it has processed the placement.
 	r := newReport("a", 0)
 	r.RunsComplete = true
 	f.s.HandleReport(r)
-	require.Empty(t, f.drain())
+	require.Empty(t, f.takeEffects())
 	// A list made after the placement was processed shows that the agent does not have
 	// the runs.
 	r.AckedPlace = 1
 	f.s.HandleReport(r)
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, 2, f.placed().Tasks[0].Number)
 }
 
@@ -181,13 +181,13 @@
 	run := f.submitPlaced(1, f.job(jobID, 1))
 	f.s.LinkClosed("a")
 	r := f.reconnectRestarted("a", messenger.Progress{Run: run, Percent: 50, Age: 30 * time.Millisecond})
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, run, f.placed().Tasks[0].Run)
 	r = newReport("a", 1)
 	r.Incarnation = 2
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
 	f.s.HandleReport(r)
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, scheduler.Complete, f.replies[1].Outcome)
 }
 
@@ -195,18 +195,18 @@
 	f := newFixture(t)
 	f.connect("a")
 	f.s.Submit(1, f.longJob())
-	f.drain()
+	f.takeEffects()
 	f.placed()
 	f.s.LinkClosed("a")
 	f.connect("b")
 	f.clock.Advance(time.Second)
 	f.heartbeat("b", 0)
 	f.s.Tick()
-	require.Empty(t, f.drain())
+	require.Empty(t, f.takeEffects())
 	f.clock.Advance(300 * time.Millisecond)
 	f.heartbeat("b", 0)
 	f.s.Tick()
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, 2, f.placed().Tasks[0].Number)
 }
 
@@ -249,7 +249,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFixture(t)
 			tt.trigger(f)
-			f.drain()
+			f.takeEffects()
 			require.Equal(t, tt.want, f.replies[1].Outcome, f.replies[1].Why)
 		})
 	}
@@ -263,7 +263,7 @@
 	}
 	f.clock.Advance(100 * time.Millisecond)
 	f.s.Tick()
-	f.drain()
+	f.takeEffects()
 	require.Empty(t, f.replies, "the free capacity is not known yet")
 	f.connect("a")
 	placed := 0
@@ -274,7 +274,7 @@
 	}
 	f.clock.Advance(time.Second)
 	f.s.Tick()
-	f.drain()
+	f.takeEffects()
 	require.Len(t, f.replies, jobs-1-placed, "jobs for which no capacity is free are refused once the free capacity is known")
 	for _, a := range f.replies {
 		require.Equal(t, scheduler.Overloaded, a.Outcome)
@@ -290,7 +290,7 @@
 		x.Ended = []messenger.RunEnd{{Run: r, Reason: reason}}
 		x.ConsecutiveFailedJobs = failed
 		f.s.HandleReport(x)
-		f.drain()
+		f.takeEffects()
 	}
 	// Three jobs are placed at the worker when two of them fail.
 	for i := range 3 {
@@ -298,7 +298,7 @@
 		j.Deadline = f.clock.Now().Add(time.Minute)
 		j.Steps[0].Estimate = 10 * time.Second
 		f.s.Submit(uint64(1+i), j)
-		f.drain()
+		f.takeEffects()
 	}
 	endRun(messenger.Run{Task: jobID + ".0.0.0", Number: 1}, messenger.RunFailed, 1, 3)
 	endRun(messenger.Run{Task: "0000000000000002.0.0.0", Number: 1}, messenger.RunFailed, 2, 3)
@@ -328,7 +328,7 @@
 		r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunFailed}}
 		f.s.HandleReport(r)
 	}
-	f.drain()
+	f.takeEffects()
 	require.Len(t, agents, 3)
 	require.Equal(t, scheduler.JobFailed, f.replies[1].Outcome)
 }
@@ -338,15 +338,15 @@
 	f.connect("a")
 	j := f.job(jobID, 1)
 	f.s.Submit(1, j)
-	f.drain()
+	f.takeEffects()
 	run := f.placed().Tasks[0].Run
 	f.s.Submit(2, j)
-	require.Empty(t, f.drain())
+	require.Empty(t, f.takeEffects())
 	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
 	f.s.HandleReport(r)
 	f.s.Submit(3, j)
-	f.drain()
+	f.takeEffects()
 	for ticket := range uint64(3) {
 		require.Equal(t, scheduler.Complete, f.replies[ticket+1].Outcome)
 	}
@@ -378,7 +378,7 @@
 			f.s.HandleReport(r)
 			f.s.LinkClosed("b")
 			f.s.Submit(1, f.job(jobID, 1))
-			require.Empty(t, f.drain())
+			require.Empty(t, f.takeEffects())
 		})
 	}
 }
@@ -390,13 +390,13 @@
 	j.Steps = append(j.Steps, j.Steps[0])
 	j.Steps[1].After = []int{0}
 	f.s.Submit(1, j)
-	f.drain()
+	f.takeEffects()
 	first := f.placed()
 	require.Equal(t, jobID+".0.0.0", first.Tasks[0].Task)
 	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: first.Tasks[0].Run, Reason: messenger.RunDone}}
 	f.s.HandleReport(r)
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, jobID+".0.1.0", f.placed().Tasks[0].Task)
 }
 
@@ -404,7 +404,7 @@
 	f := newFixture(t)
 	f.connect("a")
 	f.s.Submit(1, f.job(jobID, 1))
-	f.drain()
+	f.takeEffects()
 	f.s.LinkClosed("a")
 	f.clock.Advance(time.Second)
 	f.s.LinkOpened("a")
@@ -414,6 +414,6 @@
 	f.s.HandleReport(r)
 	f.clock.Advance(time.Second)
 	f.s.Tick()
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, scheduler.Unsettled, f.replies[1].Outcome, f.replies[1].Why)
 }
--- a/scheduler/simcluster_test.go
+++ b/scheduler/simcluster_test.go
@@ -69,11 +69,11 @@
 
 // result is a job and the answer that its caller got, if any.
 type result struct {
-	job    scheduler.Job
-	answer scheduler.Answer
-	sent   time.Time
-	took   time.Duration
-	got    bool
+	job      scheduler.Job
+	answer   scheduler.Answer
+	sent     time.Time
+	took     time.Duration
+	answered bool
 }
 
 // simulation connects real schedulers and executors by simulated links and workers, in
@@ -117,7 +117,7 @@
 
 // simEntry is an entry process.
 type simEntry struct {
-	w           *simulation
+	sim         *simulation
 	name        string
 	incarnation int64
 	core        *scheduler.Scheduler
@@ -139,7 +139,7 @@
 
 // simAgent is an agent process with its worker.
 type simAgent struct {
-	w           *simulation
+	sim         *simulation
 	name        string
 	core        *executor.Executor
 	worker      *simWorker
@@ -176,11 +176,11 @@
 		linkDelay:    linkDelay,
 	}
 	for i := range agents {
-		a := &simAgent{w: sim, name: fmt.Sprintf("agent-%02d", i), links: make(map[string]*simLink), dataCentre: fmt.Sprintf("dc-%d", i%3)}
+		a := &simAgent{sim: sim, name: fmt.Sprintf("agent-%02d", i), links: make(map[string]*simLink), dataCentre: fmt.Sprintf("dc-%d", i%3)}
 		a.worker = &simWorker{
-			w:    sim,
+			sim:  sim,
 			name: a.name,
-			up: messenger.Upstream{
+			upstream: messenger.Upstream{
 				ID: "worker-" + a.name, Born: 1, Service: "quotes", DataCentre: a.dataCentre,
 				Capacity: messenger.Resources{CPU: capacity, Memory: 64_000},
 			},
@@ -191,7 +191,7 @@
 		a.boot()
 	}
 	for i := range entries {
-		e := &simEntry{w: sim, name: fmt.Sprintf("entry-%d", i)}
+		e := &simEntry{sim: sim, name: fmt.Sprintf("entry-%d", i)}
 		sim.entries = append(sim.entries, e)
 		e.boot()
 	}
@@ -389,7 +389,7 @@
 		s.all++
 		objective := sim.objective(r.job)
 		switch {
-		case !r.got:
+		case !r.answered:
 			s.unanswered++
 		case r.answer.Outcome == scheduler.Complete && r.took <= objective:
 			s.inTime++
@@ -412,7 +412,7 @@
 	for _, r := range sim.results {
 		k := slices.IndexFunc(jobKinds, func(k jobKind) bool { return k.tasks == r.job.Steps[0].Count })
 		all[k]++
-		if r.got && r.answer.Outcome == scheduler.Complete && r.took <= sim.objective(r.job) {
+		if r.answered && r.answer.Outcome == scheduler.Complete && r.took <= sim.objective(r.job) {
 			inTime[k]++
 		}
 	}
--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -12,16 +12,16 @@
 
 // boot starts an entry, which opens links to all agents.
 func (e *simEntry) boot() {
-	e.incarnation = e.w.clock.Now().UnixMilli()
-	e.core = scheduler.NewScheduler(e.w.clock, "dc-"+e.name[len("entry-"):])
+	e.incarnation = e.sim.clock.Now().UnixMilli()
+	e.core = scheduler.NewScheduler(e.sim.clock, "dc-"+e.name[len("entry-"):])
 	e.tickets = make(map[uint64]string)
 	e.links = make(map[string]*simLink)
 	e.disconnected = make(map[uint64]bool)
 	e.down = false
-	e.activeAt = e.w.clock.Now()
+	e.activeAt = e.sim.clock.Now()
 	core := e.core
-	core.Configure(e.w.configuration())
-	for _, a := range e.w.agents {
+	core.Configure(e.sim.configuration())
+	for _, a := range e.sim.agents {
 		e.connect(a, core)
 	}
 	var tick func()
@@ -33,7 +33,7 @@
 			core.Tick()
 			e.sendHeartbeats()
 		})
-		e.w.schedule(10*time.Millisecond, tick)
+		e.sim.schedule(10*time.Millisecond, tick)
 	}
 	tick()
 }
@@ -42,17 +42,17 @@
 // process is paused, that happens after the pause.
 func (e *simEntry) do(f func()) {
 	core := e.core
-	if wait := e.pausedUntil.Sub(e.w.clock.Now()); wait > 0 {
-		e.w.schedule(wait, func() { e.do(f) })
+	if wait := e.pausedUntil.Sub(e.sim.clock.Now()); wait > 0 {
+		e.sim.schedule(wait, func() { e.do(f) })
 		return
 	}
 	if e.down || e.core != core {
 		return
 	}
-	if now := e.w.clock.Now(); now.Sub(e.activeAt) > minPause {
+	if now := e.sim.clock.Now(); now.Sub(e.activeAt) > minPause {
 		e.core.Resumed()
 	}
-	e.activeAt = e.w.clock.Now()
+	e.activeAt = e.sim.clock.Now()
 	f()
 	e.applyEffects()
 }
@@ -72,16 +72,16 @@
 
 // reply delivers an answer to its caller, if that is still connected.
 func (e *simEntry) reply(m scheduler.Reply) {
-	r := e.w.results[e.tickets[m.Ticket]]
+	r := e.sim.results[e.tickets[m.Ticket]]
 	delete(e.tickets, m.Ticket)
 	if e.disconnected[m.Ticket] {
 		return
 	}
-	e.w.schedule(linkDelay, func() {
-		if !r.got {
-			r.got = true
+	e.sim.schedule(linkDelay, func() {
+		if !r.answered {
+			r.answered = true
 			r.answer = m.Answer
-			r.took = e.w.clock.Since(r.sent)
+			r.took = e.sim.clock.Since(r.sent)
 		}
 	})
 }
@@ -91,7 +91,7 @@
 func (e *simEntry) disconnectUnnoticed(ticket uint64) {
 	if !e.disconnected[ticket] {
 		e.disconnected[ticket] = true
-		e.w.resend(e.w.results[e.tickets[ticket]].job)
+		e.sim.resend(e.sim.results[e.tickets[ticket]].job)
 	}
 }
 
@@ -101,16 +101,16 @@
 	e.down = true
 	for _, ticket := range slices.Sorted(maps.Keys(e.tickets)) {
 		if !e.disconnected[ticket] {
-			e.w.resend(e.w.results[e.tickets[ticket]].job)
+			e.sim.resend(e.sim.results[e.tickets[ticket]].job)
 		}
 	}
 	e.tickets = make(map[uint64]string)
-	for _, a := range e.w.agents {
+	for _, a := range e.sim.agents {
 		if l := a.links[e.name]; l != nil {
 			l.close()
 		}
 	}
-	e.w.schedule(downtime, e.boot)
+	e.sim.schedule(downtime, e.boot)
 }
 
 // connect opens a link to an agent, and opens it again after it closes, as long as core
@@ -120,12 +120,12 @@
 		return
 	}
 	if l := a.links[e.name]; l != nil && l.open && l.entry == e {
-		e.w.schedule(20*time.Millisecond, func() { e.connect(a, core) })
+		e.sim.schedule(20*time.Millisecond, func() { e.connect(a, core) })
 		return
 	}
 	old := a.links[e.name]
 	if !a.down && (old == nil || !old.cut) {
-		l := &simLink{entry: e, agent: a, open: true, openedAt: e.w.clock.Now(), lastReportAt: e.w.clock.Now()}
+		l := &simLink{entry: e, agent: a, open: true, openedAt: e.sim.clock.Now(), lastReportAt: e.sim.clock.Now()}
 		a.links[e.name] = l
 		e.do(func() {
 			e.links[a.name] = l
@@ -133,14 +133,14 @@
 			l.toAgent(messenger.Hello{Entry: e.name, Incarnation: e.incarnation, Upstream: core.Upstream(a.name)})
 		})
 	}
-	e.w.schedule(20*time.Millisecond, func() { e.connect(a, core) })
+	e.sim.schedule(20*time.Millisecond, func() { e.connect(a, core) })
 }
 
 // sendHeartbeats sends heartbeats that are due and closes links without traffic.
 func (e *simEntry) sendHeartbeats() {
-	now := e.w.clock.Now()
+	now := e.sim.clock.Now()
 	early := e.core.EarlyHeartbeatDue()
-	for _, a := range e.w.agents {
+	for _, a := range e.sim.agents {
 		l := e.links[a.name]
 		if l == nil || !l.open {
 			continue
@@ -163,7 +163,7 @@
 		return
 	}
 	core := l.agent.core
-	l.agent.w.schedule(l.agent.w.linkDelay, func() {
+	l.agent.sim.schedule(l.agent.sim.linkDelay, func() {
 		if !l.open || l.cut || l.agent.core != core {
 			return
 		}
@@ -177,12 +177,12 @@
 			case messenger.Heartbeat:
 				core.HandleHeartbeat(l.entry.name, m)
 			case messenger.Place:
-				l.agent.w.placedRuns += len(m.Tasks)
+				l.agent.sim.placedRuns += len(m.Tasks)
 				core.HandlePlace(l.entry.name, m)
 			case messenger.Withdraw:
 				core.HandleWithdraw(l.entry.name, m)
 			case messenger.Reserve:
-				if !l.agent.w.ignoreReserve {
+				if !l.agent.sim.ignoreReserve {
 					core.HandleReserve(l.entry.name, m)
 				}
 			}
@@ -193,18 +193,18 @@
 // toEntry delivers a report to the entry after the link's delay, unless the link is
 // closed or replaced by then.
 func (l *simLink) toEntry(r messenger.Report) {
-	if l.agent.w.withoutSpeeds {
+	if l.agent.sim.withoutSpeeds {
 		r.Speed, r.SpeedJobs = 0, 0
 	}
 	core := l.entry.core
-	l.entry.w.schedule(l.entry.w.linkDelay, func() {
+	l.entry.sim.schedule(l.entry.sim.linkDelay, func() {
 		if !l.open || l.cut || l.entry.core != core || l.agent.links[l.entry.name] != l {
 			return
 		}
 		l.entry.do(func() {
-			l.lastReportAt = l.entry.w.clock.Now()
+			l.lastReportAt = l.entry.sim.clock.Now()
 			l.echo = r.Timestamp
-			l.agent.w.countNoRoom(r.Refused)
+			l.agent.sim.countNoRoom(r.Refused)
 			core.HandleReport(r)
 		})
 	})
@@ -226,21 +226,21 @@
 
 // boot starts an agent.
 func (a *simAgent) boot() {
-	now := a.w.clock.Now()
+	now := a.sim.clock.Now()
 	a.down = false
 	a.incarnation = now.UnixMilli()
-	a.core = executor.NewExecutor(a.w.clock, executor.Identity{
+	a.core = executor.NewExecutor(a.sim.clock, executor.Identity{
 		Agent: a.name, DataCentre: a.dataCentre, Incarnation: a.incarnation, Token: uint64(now.UnixMilli()) * 1000,
 	}, executor.Config{DrainTimeout: 2 * time.Second})
 	core := a.core
-	a.core.SetUpstream(a.worker.up)
+	a.core.SetUpstream(a.worker.upstream)
 	var tick func()
 	tick = func() {
 		if a.core != core || a.down {
 			return
 		}
 		a.do(func() { core.Tick() })
-		a.w.schedule(20*time.Millisecond, tick)
+		a.sim.schedule(20*time.Millisecond, tick)
 	}
 	tick()
 }
@@ -249,8 +249,8 @@
 // process is paused, that happens after the pause.
 func (a *simAgent) do(f func()) {
 	core := a.core
-	if wait := a.pausedUntil.Sub(a.w.clock.Now()); wait > 0 {
-		a.w.schedule(wait, func() {
+	if wait := a.pausedUntil.Sub(a.sim.clock.Now()); wait > 0 {
+		a.sim.schedule(wait, func() {
 			if a.core == core {
 				a.do(f)
 			}
@@ -272,14 +272,14 @@
 		l.close()
 	}
 	a.links = make(map[string]*simLink)
-	a.w.schedule(downtime, a.boot)
+	a.sim.schedule(downtime, a.boot)
 }
 
 // restartWorker restarts the worker, which announces itself after delay.
 func (a *simAgent) restartWorker(delay time.Duration) {
 	a.worker.restart()
-	up := a.worker.up
-	a.w.schedule(delay, func() { a.do(func() { a.core.SetUpstream(up) }) })
+	up := a.worker.upstream
+	a.sim.schedule(delay, func() { a.do(func() { a.core.SetUpstream(up) }) })
 }
 
 func (a *simAgent) applyEffects() {
@@ -288,16 +288,16 @@
 		case executor.Start:
 			a.start(e)
 		case executor.Stop:
-			delay := localDelay + time.Duration(a.w.rng.Int64N(int64(maxStopDelay)))
-			if a.w.clock.Now().Before(a.worker.lateStopsUntil) {
+			delay := localDelay + time.Duration(a.sim.rng.Int64N(int64(maxStopDelay)))
+			if a.sim.clock.Now().Before(a.worker.lateStopsUntil) {
 				delay += 2 * time.Second
 			}
-			a.w.schedule(delay, func() { a.worker.stop(e) })
+			a.sim.schedule(delay, func() { a.worker.stop(e) })
 		case executor.Poll:
 			a.poll(e)
 		case executor.TickAfter:
 			core := a.core
-			a.w.schedule(e.Delay, func() {
+			a.sim.schedule(e.Delay, func() {
 				a.do(func() {
 					if a.core == core {
 						core.Tick()
@@ -324,24 +324,24 @@
 			}
 		})
 	}
-	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
-		startDelay := time.Duration(a.w.rng.Int64N(int64(3 * time.Second)))
-		a.w.schedule(startDelay, func() { a.worker.start(s, deadline) })
-		a.w.schedule(s.Timeout, func() { answer(executor.Unanswered) })
+	if a.sim.clock.Now().Before(a.worker.unresponsiveUntil) {
+		startDelay := time.Duration(a.sim.rng.Int64N(int64(3 * time.Second)))
+		a.sim.schedule(startDelay, func() { a.worker.start(s, deadline) })
+		a.sim.schedule(s.Timeout, func() { answer(executor.Unanswered) })
 		return
 	}
-	if lost := a.worker.unansweredShare; lost > 0 && a.w.rng.Float64() < lost {
+	if lost := a.worker.unansweredShare; lost > 0 && a.sim.rng.Float64() < lost {
 		delay := localDelay
-		if a.w.rng.IntN(2) == 0 {
-			delay += time.Duration(a.w.rng.Int64N(int64(2 * callTimeout)))
+		if a.sim.rng.IntN(2) == 0 {
+			delay += time.Duration(a.sim.rng.Int64N(int64(2 * callTimeout)))
 		}
-		a.w.schedule(delay, func() { a.worker.start(s, deadline) })
-		a.w.schedule(s.Timeout, func() { answer(executor.Unanswered) })
+		a.sim.schedule(delay, func() { a.worker.start(s, deadline) })
+		a.sim.schedule(s.Timeout, func() { answer(executor.Unanswered) })
 		return
 	}
-	a.w.schedule(localDelay, func() {
+	a.sim.schedule(localDelay, func() {
 		out := a.worker.start(s, deadline)
-		a.w.schedule(localDelay, func() { answer(out) })
+		a.sim.schedule(localDelay, func() { answer(out) })
 	})
 }
 
@@ -357,23 +357,23 @@
 			}
 		})
 	}
-	if a.w.clock.Now().Before(a.worker.unresponsiveUntil) {
-		a.w.schedule(p.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
+	if a.sim.clock.Now().Before(a.worker.unresponsiveUntil) {
+		a.sim.schedule(p.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
-	if a.w.clock.Now().Before(a.worker.lostAnswersUntil) {
-		a.w.schedule(localDelay, func() {
-			if p.Upstream.Born == a.worker.up.Born && p.Upstream.ID == a.worker.up.ID {
+	if a.sim.clock.Now().Before(a.worker.lostAnswersUntil) {
+		a.sim.schedule(localDelay, func() {
+			if p.Upstream.Born == a.worker.upstream.Born && p.Upstream.ID == a.worker.upstream.ID {
 				a.worker.poll(p, deadline)
 			}
 		})
-		a.w.schedule(p.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
+		a.sim.schedule(p.MaxWait+callTimeout, func() { fail(executor.Unanswered) })
 		return
 	}
-	end := a.w.clock.Now().Add(p.MaxWait)
+	end := a.sim.clock.Now().Add(p.MaxWait)
 	var attempt func()
 	attempt = func() {
-		if p.Upstream.Born != a.worker.up.Born || p.Upstream.ID != a.worker.up.ID {
+		if p.Upstream.Born != a.worker.upstream.Born || p.Upstream.ID != a.worker.upstream.ID {
 			fail(executor.Misdirected)
 			return
 		}
@@ -382,11 +382,11 @@
 			fail(executor.Fenced)
 			return
 		}
-		if len(pollResult.Ended) == 0 && a.w.clock.Now().Before(end) {
-			a.w.schedule(time.Millisecond, attempt)
+		if len(pollResult.Ended) == 0 && a.sim.clock.Now().Before(end) {
+			a.sim.schedule(time.Millisecond, attempt)
 			return
 		}
-		a.w.schedule(localDelay, func() {
+		a.sim.schedule(localDelay, func() {
 			a.do(func() {
 				if a.core == core {
 					core.HandlePollResult(pollResult)
@@ -394,5 +394,5 @@
 			})
 		})
 	}
-	a.w.schedule(localDelay, attempt)
+	a.sim.schedule(localDelay, attempt)
 }
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -12,11 +12,11 @@
 const cores = 36_000
 
 func TestModerateLoadIsServedInTime(t *testing.T) {
-	w := newSimulation(t, 1, 3, 11, cores)
-	w.load(10*time.Second, 0.9)
-	w.run(15 * time.Second)
-	w.check()
-	s := w.summary()
+	sim := newSimulation(t, 1, 3, 11, cores)
+	sim.load(10*time.Second, 0.9)
+	sim.run(15 * time.Second)
+	sim.check()
+	s := sim.summary()
 	require.Zero(t, s.unanswered)
 	require.Zero(t, s.failed)
 	require.Zero(t, s.refused)
@@ -24,14 +24,14 @@
 }
 
 func TestEntryThatGetsMostOfTheLoadUsesMostOfTheRoom(t *testing.T) {
-	w := newSimulation(t, 5, 9, 11, cores)
+	sim := newSimulation(t, 5, 9, 11, cores)
 	for range 6 {
 		// One entry gets what nine would share: nine tenths of the full capacity.
-		w.loadAt(w.entries[:1], 6*time.Second, 0.25)
+		sim.loadAt(sim.entries[:1], 6*time.Second, 0.25)
 	}
-	w.run(10 * time.Second)
-	w.check()
-	s := w.summary()
+	sim.run(10 * time.Second)
+	sim.check()
+	s := sim.summary()
 	t.Logf("%+v", s)
 	require.LessOrEqual(t, float64(s.refused+s.failed), 0.02*float64(s.all))
 }
@@ -39,16 +39,16 @@
 func TestOverloadIsRefusedAtOnceAndStarvesNoKind(t *testing.T) {
 	// The load is a quarter above the full capacity of all workers.
 	const factor = 2.0
-	w := newSimulation(t, 2, 3, 11, cores)
-	w.load(6*time.Second, factor)
-	w.run(12 * time.Second)
-	w.check()
-	s := w.summary()
+	sim := newSimulation(t, 2, 3, 11, cores)
+	sim.load(6*time.Second, factor)
+	sim.run(12 * time.Second)
+	sim.check()
+	s := sim.summary()
 	require.Zero(t, s.unanswered)
 	require.Zero(t, s.failed)
 	require.Less(t, s.slowestRefusal, 400*time.Millisecond)
 	// Half of each kind is the minimum that its callers accept on a bad day.
-	for k, share := range w.served() {
+	for k, share := range sim.served() {
 		require.GreaterOrEqual(t, share, 0.5, "kind %d", k)
 	}
 	require.GreaterOrEqual(t, float64(s.inTime), 0.7*float64(s.all))
@@ -66,14 +66,14 @@
 		duration = 2 * time.Second
 	)
 	simulate := func(entries int, delay time.Duration) *simulation {
-		w := newSimulation(t, 50, entries, agents, cores)
-		w.linkDelay = delay
-		w.loadAt(w.entries[:1], duration, factor/4)
-		w.loadAt(w.entries[entries-1:], duration, factor/4)
-		w.loadAt(w.entries, duration, factor/2)
-		w.run(duration + 2*time.Second)
-		w.check()
-		return w
+		sim := newSimulation(t, 50, entries, agents, cores)
+		sim.linkDelay = delay
+		sim.loadAt(sim.entries[:1], duration, factor/4)
+		sim.loadAt(sim.entries[entries-1:], duration, factor/4)
+		sim.loadAt(sim.entries, duration, factor/2)
+		sim.run(duration + 2*time.Second)
+		sim.check()
+		return sim
 	}
 	inTimeShare := func(s summary) float64 { return float64(s.inTime) / float64(s.all) }
 	for _, delay := range []time.Duration{linkDelay, 2 * linkDelay} {
@@ -94,16 +94,16 @@
 		{"fails all", func(v *simWorker) { v.failsAll = true }},
 		{"hangs", func(v *simWorker) { v.hangs = true }},
 		{"slow", func(v *simWorker) { v.slowdown = 6.5 }},
-		{"no answers for five seconds", func(v *simWorker) { v.unresponsiveUntil = v.w.clock.Now().Add(5 * time.Second) }},
+		{"no answers for five seconds", func(v *simWorker) { v.unresponsiveUntil = v.sim.clock.Now().Add(5 * time.Second) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newSimulation(t, 3, 3, 11, cores)
-			w.load(8*time.Second, 0.8)
-			w.schedule(time.Second, func() { tt.injectFault(w.agents[4].worker) })
-			w.run(14 * time.Second)
-			w.check()
-			s := w.summary()
+			sim := newSimulation(t, 3, 3, 11, cores)
+			sim.load(8*time.Second, 0.8)
+			sim.schedule(time.Second, func() { tt.injectFault(sim.agents[4].worker) })
+			sim.run(14 * time.Second)
+			sim.check()
+			s := sim.summary()
 			t.Logf("%+v", s)
 			require.Zero(t, s.unanswered)
 			require.GreaterOrEqual(t, float64(s.inTime), 0.95*float64(s.all))
@@ -122,14 +122,14 @@
 		// scarceLoad is a load factor at which every worker with free capacity is used.
 		scarceLoad = 1.7
 	)
-	w := newSimulation(t, 3, entries, 11, cores)
-	w.load(9*time.Second, scarceLoad)
-	slow := w.agents[4].worker
-	w.schedule(time.Second, func() { slow.slowdown = 8 })
-	w.run(3 * time.Second)
+	sim := newSimulation(t, 3, entries, 11, cores)
+	sim.load(9*time.Second, scarceLoad)
+	slow := sim.agents[4].worker
+	sim.schedule(time.Second, func() { slow.slowdown = 8 })
+	sim.run(3 * time.Second)
 	startsBefore := slow.starts
-	w.run(6 * time.Second)
-	w.check()
+	sim.run(6 * time.Second)
+	sim.check()
 	require.LessOrEqual(t, slow.starts-startsBefore, entries*(probes+1))
 }
 
@@ -141,28 +141,28 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", 100+seed), func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, 100+seed, 3, 7, cores)
-			w.load(8*time.Second, 0.6)
+			sim := newSimulation(t, 100+seed, 3, 7, cores)
+			sim.load(8*time.Second, 0.6)
 			for range 14 {
-				at := time.Duration(w.rng.Int64N(int64(8 * time.Second)))
-				duration := 200*time.Millisecond + time.Duration(w.rng.Int64N(int64(3*time.Second)))
-				w.schedule(at, fault(w, duration))
+				at := time.Duration(sim.rng.Int64N(int64(8 * time.Second)))
+				duration := 200*time.Millisecond + time.Duration(sim.rng.Int64N(int64(3*time.Second)))
+				sim.schedule(at, fault(sim, duration))
 			}
-			w.run(16 * time.Second)
-			w.check()
-			t.Logf("%+v", w.summary())
+			sim.run(16 * time.Second)
+			sim.check()
+			t.Logf("%+v", sim.summary())
 		})
 	}
 }
 
 // fault returns a random fault that lasts for the given duration.
-func fault(w *simulation, duration time.Duration) func() {
-	e := w.entries[w.rng.IntN(len(w.entries))]
-	a := w.agents[w.rng.IntN(len(w.agents))]
-	switch w.rng.IntN(7) {
+func fault(sim *simulation, duration time.Duration) func() {
+	e := sim.entries[sim.rng.IntN(len(sim.entries))]
+	a := sim.agents[sim.rng.IntN(len(sim.agents))]
+	switch sim.rng.IntN(7) {
 	case 6:
 		return func() {
-			if !a.down && !w.clock.Now().Before(a.pausedUntil) {
+			if !a.down && !sim.clock.Now().Before(a.pausedUntil) {
 				a.restartWorker(duration)
 			}
 		}
@@ -179,17 +179,17 @@
 			}
 		}
 	case 2:
-		return func() { e.pausedUntil = w.clock.Now().Add(duration) }
+		return func() { e.pausedUntil = sim.clock.Now().Add(duration) }
 	case 3:
-		return func() { a.pausedUntil = w.clock.Now().Add(duration) }
+		return func() { a.pausedUntil = sim.clock.Now().Add(duration) }
 	case 4:
-		return func() { a.worker.unresponsiveUntil = w.clock.Now().Add(duration) }
+		return func() { a.worker.unresponsiveUntil = sim.clock.Now().Add(duration) }
 	default:
 		return func() {
 			for _, l := range a.links {
 				l.cut = true
 			}
-			w.schedule(duration, func() {
+			sim.schedule(duration, func() {
 				for _, l := range a.links {
 					l.cut = false
 				}
@@ -202,13 +202,13 @@
 // same worker because their reports are slightly out of date, while others have free
 // capacity.
 func TestEntriesSeldomPlaceTasksWithoutRoom(t *testing.T) {
-	w := newSimulation(t, 7, 9, 22, cores)
-	w.load(4*time.Second, 1.6)
-	w.run(6 * time.Second)
-	w.check()
-	s := w.summary()
-	t.Logf("%+v, %d runs refused of %d", s, w.refusedNoRoom, w.placedRuns)
+	sim := newSimulation(t, 7, 9, 22, cores)
+	sim.load(4*time.Second, 1.6)
+	sim.run(6 * time.Second)
+	sim.check()
+	s := sim.summary()
+	t.Logf("%+v, %d runs refused of %d", s, sim.refusedNoRoom, sim.placedRuns)
 	require.Equal(t, s.all, s.inTime)
 	// A refused run delays its job by several messages.
-	require.LessOrEqual(t, float64(w.refusedNoRoom), 0.1*float64(w.placedRuns))
+	require.LessOrEqual(t, float64(sim.refusedNoRoom), 0.1*float64(sim.placedRuns))
 }
--- a/scheduler/simworker_test.go
+++ b/scheduler/simworker_test.go
@@ -21,9 +21,9 @@
 // simWorker is a simulated worker that follows the rules of leases, tokens and run
 // numbers.
 type simWorker struct {
-	w    *simulation
-	name string
-	up   messenger.Upstream
+	sim      *simulation
+	name     string
+	upstream messenger.Upstream
 	// slowdown multiplies the work of runs that start; 0 counts as 1.
 	slowdown float64
 	// hangs makes runs neither progress nor end; failsAll makes them fail after 5 ms.
@@ -48,7 +48,7 @@
 }
 
 func (v *simWorker) free() messenger.Resources {
-	d := v.up.Capacity
+	d := v.upstream.Capacity
 	for _, r := range v.running {
 		d = d.Minus(r.demand)
 	}
@@ -57,8 +57,8 @@
 
 // start handles the call to start a run and returns its outcome.
 func (v *simWorker) start(s executor.Start, deadline time.Time) executor.CallResult {
-	now := v.w.clock.Now()
-	if s.Upstream.Born != v.up.Born || s.Upstream.ID != v.up.ID {
+	now := v.sim.clock.Now()
+	if s.Upstream.Born != v.upstream.Born || s.Upstream.ID != v.upstream.ID {
 		return executor.Misdirected
 	}
 	if s.Token < v.token {
@@ -74,19 +74,19 @@
 	if now.After(deadline) {
 		return executor.Expired
 	}
-	t := v.w.tasks[s.Run.Task]
+	t := v.sim.tasks[s.Run.Task]
 	if !t.demand.FitsIn(v.free()) {
 		return executor.Full
 	}
 	v.extendLease(deadline)
-	v.w.runStarted(v, s.Run)
+	v.sim.runStarted(v, s.Run)
 	v.starts++
 	work := t.work
 	if v.slowdown > 0 {
 		work = time.Duration(float64(work) * v.slowdown)
 	}
-	if t.rack != "" && !slices.Contains(v.up.Labels, t.rack) {
-		work = time.Duration(float64(work) * max(v.w.farFactor, 1))
+	if t.rack != "" && !slices.Contains(v.upstream.Labels, t.rack) {
+		work = time.Duration(float64(work) * max(v.sim.farFactor, 1))
 	}
 	r := &simRun{run: s.Run, startedAt: now, work: work, fails: v.failsAll || t.fails, demand: t.demand}
 	v.running[s.Run.Task] = r
@@ -94,7 +94,7 @@
 		work = 5 * time.Millisecond
 	}
 	if !v.hangs {
-		v.w.schedule(work, func() { v.finish(r) })
+		v.sim.schedule(work, func() { v.finish(r) })
 	}
 	return executor.Accepted
 }
@@ -107,7 +107,7 @@
 	if r.fails {
 		reason = messenger.RunFailed
 	} else {
-		v.w.done[r.run.Task] = true
+		v.sim.done[r.run.Task] = true
 	}
 	v.endRun(r, reason)
 }
@@ -118,11 +118,11 @@
 	v.highestNumber[r.run.Task] = max(v.highestNumber[r.run.Task], r.run.Number)
 	v.endNumber++
 	v.ends = append(v.ends, executor.EndRecord{Number: v.endNumber, RunEnd: messenger.RunEnd{Run: r.run, Reason: reason}})
-	v.w.runEnded(v, r.run)
+	v.sim.runEnded(v, r.run)
 }
 
 func (v *simWorker) stop(s executor.Stop) {
-	if s.Token < v.token || s.Upstream.Born != v.up.Born || s.Upstream.ID != v.up.ID {
+	if s.Token < v.token || s.Upstream.Born != v.upstream.Born || s.Upstream.ID != v.upstream.ID {
 		return
 	}
 	v.token = s.Token
@@ -139,7 +139,7 @@
 
 // expireLease ends all runs if the lease has run out.
 func (v *simWorker) expireLease() {
-	if len(v.running) == 0 || !v.w.clock.Now().After(v.leaseEnd) {
+	if len(v.running) == 0 || !v.sim.clock.Now().After(v.leaseEnd) {
 		return
 	}
 	for _, r := range v.sortedRuns() {
@@ -169,8 +169,8 @@
 		v.extendLease(deadline)
 	}
 	v.ends = slices.DeleteFunc(v.ends, func(e executor.EndRecord) bool { return e.Number <= p.AckedEnd })
-	s := executor.PollResult{Number: p.Number, Born: v.up.Born, Ended: slices.Clone(v.ends)}
-	now := v.w.clock.Now()
+	s := executor.PollResult{Number: p.Number, Born: v.upstream.Born, Ended: slices.Clone(v.ends)}
+	now := v.sim.clock.Now()
 	for _, r := range v.sortedRuns() {
 		percent := int(100 * now.Sub(r.startedAt) / max(r.work, 1))
 		if v.hangs {
@@ -184,7 +184,7 @@
 // restart starts a new incarnation of the worker, without runs and state.
 func (v *simWorker) restart() {
 	for _, r := range v.sortedRuns() {
-		v.w.runEnded(v, r.run)
+		v.sim.runEnded(v, r.run)
 	}
 	v.running = make(map[string]*simRun)
 	v.highestNumber = make(map[string]int)
@@ -192,5 +192,5 @@
 	v.endNumber = 0
 	v.token = 0
 	v.leaseEnd = time.Time{}
-	v.up.Born++
+	v.upstream.Born++
 }
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -38,25 +38,25 @@
 
 func (m mixedSizesScenario) run(t testing.TB) *simulation {
 	t.Helper()
-	w := newSimulation(t, m.seed, m.entries, m.agents, cores)
-	w.ignoreReserve = m.withoutReservations
+	sim := newSimulation(t, m.seed, m.entries, m.agents, cores)
+	sim.ignoreReserve = m.withoutReservations
 	if m.fault != nil {
-		m.fault(w)
+		m.fault(sim)
 	}
 	mean := (float64(jobsPerLarge-1)*smallCPU*smallWork.Seconds() + largeCPU*largeWork.Seconds()) / jobsPerLarge
 	gap := time.Duration(float64(time.Second) * mean / (m.loadShare * float64(cores*m.agents)))
 	n := 0
-	for at := time.Duration(0); at < mixedLoadDuration; at += time.Duration(float64(gap) * 2 * w.rng.Float64()) {
+	for at := time.Duration(0); at < mixedLoadDuration; at += time.Duration(float64(gap) * 2 * sim.rng.Float64()) {
 		n++
 		cpu, work := smallCPU, smallWork
 		if n%jobsPerLarge == 0 {
 			cpu, work = largeCPU, largeWork
 		}
-		w.schedule(at, func() { w.submitOne(w.entries[w.rng.IntN(len(w.entries))], cpu, work, m.estimateError) })
+		sim.schedule(at, func() { sim.submitOne(sim.entries[sim.rng.IntN(len(sim.entries))], cpu, work, m.estimateError) })
 	}
-	w.run(mixedLoadDuration + 3*time.Second)
-	w.check()
-	return w
+	sim.run(mixedLoadDuration + 3*time.Second)
+	sim.check()
+	return sim
 }
 
 // runAll simulates the load once with each seed.
@@ -71,20 +71,20 @@
 }
 
 // submitOne submits a job of one task whose caller allows a wait of a second.
-func (w *simulation) submitOne(e *simEntry, cpu int, mean time.Duration, maxError float64) {
-	w.jobs++
-	id := fmt.Sprintf("%016x", w.jobs)
-	work := time.Duration(float64(mean) * (0.5 + w.rng.Float64()))
-	estimate := time.Duration(float64(work) * (1 - maxError + 2*maxError*w.rng.Float64()))
+func (sim *simulation) submitOne(e *simEntry, cpu int, mean time.Duration, maxError float64) {
+	sim.jobs++
+	id := fmt.Sprintf("%016x", sim.jobs)
+	work := time.Duration(float64(mean) * (0.5 + sim.rng.Float64()))
+	estimate := time.Duration(float64(work) * (1 - maxError + 2*maxError*sim.rng.Float64()))
 	q := quotes()
 	q.Slack = time.Second
 	j := scheduler.Job{
-		ID: id, Queue: q, Spec: "spec", Deadline: w.clock.Now().Add(2 * time.Second),
+		ID: id, Queue: q, Spec: "spec", Deadline: sim.clock.Now().Add(2 * time.Second),
 		Steps: []scheduler.Step{{Count: 1, Demand: messenger.Resources{CPU: cpu, Memory: 64}, Estimate: estimate}},
 	}
-	w.tasks[id+".0.0.0"] = simTask{work: work, demand: j.Steps[0].Demand}
-	w.results[id] = &result{job: j, sent: w.clock.Now()}
-	w.send(e, j)
+	sim.tasks[id+".0.0.0"] = simTask{work: work, demand: j.Steps[0].Demand}
+	sim.results[id] = &result{job: j, sent: sim.clock.Now()}
+	sim.send(e, j)
 }
 
 // sizeStats holds the statistics of the jobs of one size, as their callers saw them.
@@ -149,7 +149,7 @@
 	wait := r.took
 	at, started := w.firstStartAt[task]
 	switch {
-	case !r.got:
+	case !r.answered:
 		s.unanswered++
 	case started:
 		wait = at.Sub(r.sent)
@@ -225,10 +225,10 @@
 
 // reservingAgent returns an agent with a reservation, and the entry that the
 // reservation is for; nil when there is none.
-func (w *simulation) reservingAgent() (*simAgent, *simEntry) {
-	for _, a := range w.agents {
+func (sim *simulation) reservingAgent() (*simAgent, *simEntry) {
+	for _, a := range sim.agents {
 		holder := a.core.Dump().Holder
-		for _, e := range w.entries {
+		for _, e := range sim.entries {
 			if !a.down && e.name == holder {
 				return a, e
 			}
@@ -247,10 +247,10 @@
 		// that sends nothing.
 		releaseTimeout = messenger.IdleTimeout + 100*time.Millisecond
 	)
-	tests := map[string]func(w *simulation, a *simAgent, e *simEntry){
+	tests := map[string]func(sim *simulation, a *simAgent, e *simEntry){
 		"entry killed":      func(_ *simulation, _ *simAgent, e *simEntry) { e.kill(time.Second) },
-		"entry paused":      func(w *simulation, _ *simAgent, e *simEntry) { e.pausedUntil = w.clock.Now().Add(time.Second) },
-		"link cut":          func(w *simulation, a *simAgent, e *simEntry) { a.links[e.name].cut = true },
+		"entry paused":      func(sim *simulation, _ *simAgent, e *simEntry) { e.pausedUntil = sim.clock.Now().Add(time.Second) },
+		"link cut":          func(sim *simulation, a *simAgent, e *simEntry) { a.links[e.name].cut = true },
 		"agent killed":      func(_ *simulation, a *simAgent, _ *simEntry) { a.kill(500 * time.Millisecond) },
 		"worker turns slow": func(_ *simulation, a *simAgent, _ *simEntry) { a.worker.slowdown = 8 },
 		"worker restarted":  func(_ *simulation, a *simAgent, _ *simEntry) { a.restartWorker(500 * time.Millisecond) },
@@ -261,18 +261,18 @@
 				t.Parallel()
 				injected := false
 				m := mixedSizesScenario{entries: entries, agents: 11, loadShare: 0.9, estimateError: 0.4, seed: 33}
-				m.fault = func(w *simulation) {
+				m.fault = func(sim *simulation) {
 					var watch func()
 					watch = func() {
-						a, e := w.reservingAgent()
+						a, e := sim.reservingAgent()
 						if a == nil {
-							w.schedule(time.Millisecond, watch)
+							sim.schedule(time.Millisecond, watch)
 							return
 						}
 						injected = true
-						inject(w, a, e)
-						w.schedule(releaseTimeout, func() {
-							if e.down || w.clock.Now().Before(e.pausedUntil) {
+						inject(sim, a, e)
+						sim.schedule(releaseTimeout, func() {
+							if e.down || sim.clock.Now().Before(e.pausedUntil) {
 								require.NotEqual(t, e.name, a.core.Dump().Holder)
 							}
 							if l := a.links[e.name]; l != nil {
@@ -280,14 +280,14 @@
 							}
 						})
 					}
-					w.schedule(faultAfter, watch)
+					sim.schedule(faultAfter, watch)
 				}
-				w := m.run(t)
+				sim := m.run(t)
 				require.True(t, injected)
-				for _, a := range w.agents {
+				for _, a := range sim.agents {
 					require.Empty(t, a.core.Dump().Holder, a.name)
 				}
-				small, large := statsFor(smallCPU, w), statsFor(largeCPU, w)
+				small, large := statsFor(smallCPU, sim), statsFor(largeCPU, sim)
 				t.Logf("small %s, large %s", small, large)
 				require.Zero(t, small.unanswered+large.unanswered)
 			})
--- a/scheduler/speed_test.go
+++ b/scheduler/speed_test.go
@@ -156,23 +156,23 @@
 // 4% of the starts are not answered, which used to delay every fourth of the short wide
 // jobs by half of its slack.
 func TestLostAnswersToStartsDelayJobsLittle(t *testing.T) {
-	w := newSimulation(t, 800, 3, 11, cores)
-	for _, a := range w.agents {
+	sim := newSimulation(t, 800, 3, 11, cores)
+	for _, a := range sim.agents {
 		a.worker.unansweredShare = 0.04
 	}
-	w.load(10*time.Second, 0.5*1.53)
-	w.run(14 * time.Second)
-	w.check()
-	require.Empty(t, w.rerunAfterDone)
+	sim.load(10*time.Second, 0.5*1.53)
+	sim.run(14 * time.Second)
+	sim.check()
+	require.Empty(t, sim.rerunAfterDone)
 	var excess []time.Duration
-	for _, r := range w.results {
-		if r.got && r.answer.Outcome == scheduler.Complete && len(r.job.Steps) == 1 && r.job.Steps[0].Count == jobKinds[0].tasks {
-			excess = append(excess, r.took-w.longestTask(r.job))
+	for _, r := range sim.results {
+		if r.answered && r.answer.Outcome == scheduler.Complete && len(r.job.Steps) == 1 && r.job.Steps[0].Count == jobKinds[0].tasks {
+			excess = append(excess, r.took-sim.longestTask(r.job))
 		}
 	}
 	slices.Sort(excess)
 	p90 := excess[len(excess)*9/10]
-	t.Logf("%+v, p90 of the short wide jobs' time beyond their work: %v", w.summary(), p90)
+	t.Logf("%+v, p90 of the short wide jobs' time beyond their work: %v", sim.summary(), p90)
 	require.LessOrEqual(t, p90, 25*time.Millisecond)
 }
 
@@ -186,27 +186,27 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", 900+seed), func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, 900+seed, 3, 7, cores)
-			for i, a := range w.agents {
+			sim := newSimulation(t, 900+seed, 3, 7, cores)
+			for i, a := range sim.agents {
 				a.worker.unansweredShare = 0.05 * float64(i)
 			}
-			w.load(6*time.Second, 0.6)
+			sim.load(6*time.Second, 0.6)
 			for range 6 {
-				at := time.Duration(w.rng.Int64N(int64(6 * time.Second)))
-				w.schedule(at, fault(w, 200*time.Millisecond+time.Duration(w.rng.Int64N(int64(2*time.Second)))))
+				at := time.Duration(sim.rng.Int64N(int64(6 * time.Second)))
+				sim.schedule(at, fault(sim, 200*time.Millisecond+time.Duration(sim.rng.Int64N(int64(2*time.Second)))))
 			}
-			w.run(12 * time.Second)
-			w.check()
-			t.Logf("%+v", w.summary())
+			sim.run(12 * time.Second)
+			sim.check()
+			t.Logf("%+v", sim.summary())
 		})
 	}
 }
 
 // speedReport returns a report with a speed, of an agent among four.
-func speedReport(b *fixture, agent string, speed float64) messenger.Report {
+func speedReport(f *fixture, agent string, speed float64) messenger.Report {
 	r := newReport(agent, 0)
 	r.Upstream = nil
-	r.Echo = b.clock.Since(b.linkOpenedAt[agent])
+	r.Echo = f.clock.Since(f.linkOpenedAt[agent])
 	r.Speed, r.SpeedJobs = speed, 16
 	return r
 }
@@ -223,43 +223,43 @@
 
 // reportSpeeds has agents a, b and so on report their speeds, and has the scheduler
 // compare them.
-func (b *fixture) reportSpeeds(speeds ...float64) {
+func (f *fixture) reportSpeeds(speeds ...float64) {
 	for i, v := range speeds {
-		b.s.HandleReport(speedReport(b, string(rune('a'+i)), v))
+		f.s.HandleReport(speedReport(f, string(rune('a'+i)), v))
 	}
-	b.clock.Advance(100 * time.Millisecond)
+	f.clock.Advance(100 * time.Millisecond)
 	for i := range speeds {
-		r := speedReport(b, string(rune('a'+i)), 0)
+		r := speedReport(f, string(rune('a'+i)), 0)
 		r.SpeedJobs = 0
-		b.s.HandleReport(r)
+		f.s.HandleReport(r)
 	}
-	b.s.Tick()
-	b.drain()
+	f.s.Tick()
+	f.takeEffects()
 }
 
 // reportFree has agents report that they have only the given CPU left free.
-func (b *fixture) reportFree(free int, agents ...string) {
+func (f *fixture) reportFree(free int, agents ...string) {
 	for _, a := range agents {
-		r := speedReport(b, a, 0)
+		r := speedReport(f, a, 0)
 		r.Free = messenger.Resources{CPU: free, Memory: 64_000}
-		b.s.HandleReport(r)
+		f.s.HandleReport(r)
 	}
-	b.drain()
+	f.takeEffects()
 }
 
 // relativeSpeeds returns the relative speeds that are in effect for the agents.
-func (b *fixture) relativeSpeeds() []float64 {
+func (f *fixture) relativeSpeeds() []float64 {
 	var out []float64
-	for _, a := range b.s.Dump().Agents {
+	for _, a := range f.s.Dump().Agents {
 		out = append(out, a.Speed)
 	}
 	return out
 }
 
 // placedAgents returns the agents of the last Place messages.
-func (b *fixture) placedAgents() []string {
+func (f *fixture) placedAgents() []string {
 	var out []string
-	for _, e := range b.s.TakeEffects() {
+	for _, e := range f.s.TakeEffects() {
 		if m, ok := e.(scheduler.Send); ok {
 			if _, ok := m.Message.(messenger.Place); ok {
 				out = append(out, m.Agent)
@@ -311,11 +311,11 @@
 			b.clock.Advance(130 * time.Millisecond)
 			b.reportFree(1000, "a", "b", "c", "d")
 			b.s.Submit(1, b.job(jobID, 2))
-			b.drain()
+			b.takeEffects()
 			r := speedReport(b, tt.agent, 0)
 			r.Free = messenger.Resources{CPU: 7000, Memory: 64_000}
 			b.s.HandleReport(r)
-			require.Equal(t, tt.first, b.drain()[0].(messenger.Place).Job)
+			require.Equal(t, tt.first, b.takeEffects()[0].(messenger.Place).Job)
 		})
 	}
 }
@@ -334,7 +334,7 @@
 			b.clock.Advance(150 * time.Millisecond)
 			b.reportFree(1000, "a", "b", "c", "d")
 			b.s.Tick()
-			b.drain()
+			b.takeEffects()
 			require.Empty(t, b.replies)
 			b.clock.Advance(40 * time.Millisecond)
 			r := speedReport(b, agent, 0)
@@ -343,7 +343,7 @@
 			require.Equal(t, agent == "d", len(b.placedAgents()) > 0)
 			b.clock.Advance(200 * time.Millisecond)
 			b.s.Tick()
-			b.drain()
+			b.takeEffects()
 			require.Equal(t, agent == "a", len(b.replies) > 0, "refused unless it runs")
 		})
 	}
@@ -365,26 +365,26 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
+			f := newFixture(t)
 			for _, a := range []string{"a", "b", "c", "d"} {
-				b.connect(a)
+				f.connect(a)
 			}
-			b.reportSpeeds(1, 1, 1, tt.speed)
-			b.reportFree(1000, "a", "b", "c")
-			j := b.longJob()
+			f.reportSpeeds(1, 1, 1, tt.speed)
+			f.reportFree(1000, "a", "b", "c")
+			j := f.longJob()
 			j.Steps[0].Estimate = 500 * time.Millisecond
-			b.s.Submit(1, j)
-			require.Equal(t, []string{"d"}, b.placedAgents())
-			b.clock.Advance(500 * time.Millisecond)
-			b.reportFree(1000, "a", "b", "c")
-			r := speedReport(b, "d", 0)
+			f.s.Submit(1, j)
+			require.Equal(t, []string{"d"}, f.placedAgents())
+			f.clock.Advance(500 * time.Millisecond)
+			f.reportFree(1000, "a", "b", "c")
+			r := speedReport(f, "d", 0)
 			r.AckedPlace = 1
 			r.ConsecutiveFailedJobs = 2
 			r.Runs = []messenger.Progress{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Percent: tt.percent, Age: 500 * time.Millisecond}}
-			b.s.HandleReport(r)
-			b.s.Tick()
+			f.s.HandleReport(r)
+			f.s.Tick()
 			withdrawn := false
-			for _, m := range b.drain() {
+			for _, m := range f.takeEffects() {
 				_, ok := m.(messenger.Withdraw)
 				withdrawn = withdrawn || ok
 			}
@@ -448,20 +448,20 @@
 
 // reportSampledSpeeds has each agent report a speed that is the geometric mean over the
 // given number of jobs, whose estimates are wrong by up to 40%.
-func (b *fixture) reportSampledSpeeds(seed uint64, jobs int, speed func(i int) float64) {
+func (f *fixture) reportSampledSpeeds(seed uint64, jobs int, speed func(i int) float64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	for i := range len(b.linkOpenedAt) {
+	for i := range len(f.linkOpenedAt) {
 		var sum float64
 		for range jobs {
 			sum += math.Log(speed(i) * (0.6 + 0.8*rng.Float64()))
 		}
-		r := speedReport(b, string(rune('a'+i)), math.Exp(sum/float64(jobs)))
+		r := speedReport(f, string(rune('a'+i)), math.Exp(sum/float64(jobs)))
 		r.SpeedJobs = jobs
-		b.s.HandleReport(r)
+		f.s.HandleReport(r)
 	}
-	b.clock.Advance(100 * time.Millisecond)
-	b.s.Tick()
-	b.drain()
+	f.clock.Advance(100 * time.Millisecond)
+	f.s.Tick()
+	f.takeEffects()
 }
 
 // TestSpeedWithFewJobsBehindItDoesNotCount guards against a worker that is chosen
@@ -482,24 +482,24 @@
 func TestSpeedOfAnAgentThatRestartsIsForgotten(t *testing.T) {
 	tests := []struct {
 		name    string
-		restart func(b *fixture)
+		restart func(f *fixture)
 	}{
-		{"the agent", func(b *fixture) { b.connect("d") }},
-		{"the worker", func(b *fixture) {
+		{"the agent", func(f *fixture) { f.connect("d") }},
+		{"the worker", func(f *fixture) {
 			r := newReport("d", 0)
 			r.Upstream.Born = 2
-			b.s.HandleReport(r)
+			f.s.HandleReport(r)
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newSpeedFixture(t)
-			require.Greater(t, b.relativeSpeeds()[3], 2.0)
-			tt.restart(b)
-			require.InDelta(t, 1, b.relativeSpeeds()[3], 0)
-			b.clock.Advance(100 * time.Millisecond)
-			b.s.Tick()
-			require.InDelta(t, 1, b.relativeSpeeds()[3], 0)
+			f := newSpeedFixture(t)
+			require.Greater(t, f.relativeSpeeds()[3], 2.0)
+			tt.restart(f)
+			require.InDelta(t, 1, f.relativeSpeeds()[3], 0)
+			f.clock.Advance(100 * time.Millisecond)
+			f.s.Tick()
+			require.InDelta(t, 1, f.relativeSpeeds()[3], 0)
 		})
 	}
 }
@@ -517,14 +517,14 @@
 	b.clock.Advance(150 * time.Millisecond)
 	b.reportFree(1000, "a", "b", "c", "d")
 	b.s.Tick()
-	b.drain()
+	b.takeEffects()
 	require.Empty(t, b.replies)
 	b.clock.Advance(40 * time.Millisecond)
 	r := speedReport(b, "d", 0)
 	// Capacity for five tasks leaves less than the required headroom.
 	r.Free = messenger.Resources{CPU: 5 * j.Steps[0].Demand.CPU, Memory: 64_000}
 	b.s.HandleReport(r)
-	places := b.drain()
+	places := b.takeEffects()
 	require.Len(t, places, 1)
 	require.Len(t, places[0].(messenger.Place).Tasks, 4)
 }
--- a/scheduler/withdrawn_test.go
+++ b/scheduler/withdrawn_test.go
@@ -17,7 +17,7 @@
 	f.connect("b")
 	run := f.submitPlaced(1, f.job(jobID, 1))
 	f.s.CallerLeft(1)
-	require.Equal(f.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.drain())
+	require.Equal(f.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.takeEffects())
 	return run
 }
 
@@ -44,7 +44,7 @@
 			r.RunsComplete = true
 			r.Runs = []messenger.Progress{{Run: run, Percent: 50}}
 			f.s.HandleReport(r)
-			require.Equal(f.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.drain())
+			require.Equal(f.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.takeEffects())
 			r.Runs = nil
 			f.s.HandleReport(r)
 		}, 2},
@@ -62,13 +62,13 @@
 			f := newFixture(t)
 			run := f.withdrawnRun()
 			f.s.Submit(2, f.longJob())
-			require.Empty(t, f.drain(), "run 1 may not have ended")
+			require.Empty(t, f.takeEffects(), "run 1 may not have ended")
 			f.clock.Advance(100 * time.Millisecond)
 			f.s.HandleReport(newReport("b", 0))
 			f.s.Tick()
-			require.Empty(t, f.drain(), "run 1 may still not have ended")
+			require.Empty(t, f.takeEffects(), "run 1 may still not have ended")
 			tt.end(f, run)
-			f.drain()
+			f.takeEffects()
 			require.Equal(t, tt.run, f.placed().Tasks[0].Number)
 		})
 	}
@@ -80,9 +80,9 @@
 	run := f.submitPlaced(1, f.longJob())
 	f.s.LinkClosed("a")
 	f.s.CallerLeft(1)
-	f.drain()
+	f.takeEffects()
 	f.reconnectRestarted("a", messenger.Progress{Run: run})
-	require.Equal(t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.drain())
+	require.Equal(t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.takeEffects())
 }
 
 func TestTaskThatWasDoneInTheLastTryIsNotRunAgain(t *testing.T) {
@@ -92,7 +92,7 @@
 	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
 	f.s.HandleReport(r)
-	require.Empty(t, f.drain())
+	require.Empty(t, f.takeEffects())
 	require.Equal(t, scheduler.Complete, f.replies[2].Outcome)
 }
 
@@ -102,7 +102,7 @@
 	j := f.job(jobID, 1)
 	j.Deadline = f.clock.Now().Add(20 * time.Millisecond)
 	f.s.Submit(2, j)
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, scheduler.Unsettled, f.replies[2].Outcome)
 }
 
@@ -110,13 +110,13 @@
 	f := newFixture(t)
 	f.connect("a")
 	f.s.Submit(1, f.job(jobID, 1))
-	f.drain()
+	f.takeEffects()
 	r := newReport("a", 1)
 	r.Refused = []messenger.Refusal{{Run: f.placed().Tasks[0].Run, Reason: messenger.RefusedSuperseded}}
 	f.s.HandleReport(r)
 	f.clock.Advance(1500 * time.Millisecond)
 	f.s.Tick()
-	f.drain()
+	f.takeEffects()
 	require.Equal(t, scheduler.Unsettled, f.replies[1].Outcome)
 }
 
@@ -124,7 +124,7 @@
 	f := newFixture(t)
 	f.connect("a")
 	f.s.Submit(1, f.longJob())
-	f.drain()
+	f.takeEffects()
 	ackedPlace := uint64(0)
 	for len(f.replies) == 0 {
 		run := f.placed().Tasks[0].Run
@@ -132,22 +132,22 @@
 		r := newReport("a", ackedPlace)
 		r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunFailed}}
 		f.s.HandleReport(r)
-		f.drain()
-		for len(f.replies) == 0 && len(f.sent) == 0 {
+		f.takeEffects()
+		for len(f.replies) == 0 && len(f.sentMessages) == 0 {
 			f.clock.Advance(100 * time.Millisecond)
 			f.s.HandleReport(newReport("a", ackedPlace))
 			f.s.Tick()
-			f.drain()
+			f.takeEffects()
 		}
 	}
 	// Once the record of the job has expired, the caller sends the job again.
 	f.clock.Advance(16 * time.Second)
 	f.s.Tick()
 	f.s.HandleReport(newReport("a", ackedPlace))
-	f.drain()
+	f.takeEffects()
 	f.s.Submit(2, f.longJob())
-	f.drain()
-	require.NotEmpty(t, f.sent, "all runs of the job's earlier submission have ended")
+	f.takeEffects()
+	require.NotEmpty(t, f.sentMessages, "all runs of the job's earlier submission have ended")
 }
 
 func TestRunThatARestartedAgentFoundShowsThatItsJobMayHaveStarted(t *testing.T) {
@@ -161,6 +161,6 @@
 	f.s.HandleReport(r)
 	f.clock.Advance(400 * time.Millisecond)
 	f.s.Tick()
-	f.drain()
+	f.takeEffects()
 	require.NotEqual(t, scheduler.Overloaded, f.replies[1].Outcome)
 }
