--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -27,34 +27,34 @@
 }
 
 // Plus returns the sum of d and o.
-func (d Resources) Plus(o Resources) Resources {
-	return Resources{CPU: d.CPU + o.CPU, Memory: d.Memory + o.Memory, GPU: d.GPU + o.GPU}
+func (r Resources) Plus(o Resources) Resources {
+	return Resources{CPU: r.CPU + o.CPU, Memory: r.Memory + o.Memory, GPU: r.GPU + o.GPU}
 }
 
 // Minus returns d less o.
-func (d Resources) Minus(o Resources) Resources {
-	return Resources{CPU: d.CPU - o.CPU, Memory: d.Memory - o.Memory, GPU: d.GPU - o.GPU}
+func (r Resources) Minus(o Resources) Resources {
+	return Resources{CPU: r.CPU - o.CPU, Memory: r.Memory - o.Memory, GPU: r.GPU - o.GPU}
 }
 
 // Min returns the smaller of d and o for each resource.
-func (d Resources) Min(o Resources) Resources {
-	return Resources{CPU: min(d.CPU, o.CPU), Memory: min(d.Memory, o.Memory), GPU: min(d.GPU, o.GPU)}
+func (r Resources) Min(o Resources) Resources {
+	return Resources{CPU: min(r.CPU, o.CPU), Memory: min(r.Memory, o.Memory), GPU: min(r.GPU, o.GPU)}
 }
 
 // Max returns the larger of d and o for each resource.
-func (d Resources) Max(o Resources) Resources {
-	return Resources{CPU: max(d.CPU, o.CPU), Memory: max(d.Memory, o.Memory), GPU: max(d.GPU, o.GPU)}
+func (r Resources) Max(o Resources) Resources {
+	return Resources{CPU: max(r.CPU, o.CPU), Memory: max(r.Memory, o.Memory), GPU: max(r.GPU, o.GPU)}
 }
 
 // NonNegative returns d with negative amounts replaced by 0.
-func (d Resources) NonNegative() Resources { return d.Max(Resources{}) }
+func (r Resources) NonNegative() Resources { return r.Max(Resources{}) }
 
 // IsZero reports whether all amounts of d are zero.
-func (d Resources) IsZero() bool { return d == Resources{} }
+func (r Resources) IsZero() bool { return r == Resources{} }
 
 // FitsIn reports whether capacity has at least d of each resource.
-func (d Resources) FitsIn(capacity Resources) bool {
-	return d.CPU <= capacity.CPU && d.Memory <= capacity.Memory && d.GPU <= capacity.GPU
+func (r Resources) FitsIn(capacity Resources) bool {
+	return r.CPU <= capacity.CPU && r.Memory <= capacity.Memory && r.GPU <= capacity.GPU
 }
 
 // Run identifies one run of a task. The run numbers of a task increase from 1.
@@ -118,20 +118,20 @@
 }
 
 // With returns w with one more task, whose demand is d.
-func (w Backlog) With(d Resources) Backlog {
-	if w.Tasks == 0 {
-		return Backlog{Tasks: 1, Total: d, Min: d, WantsForecast: w.WantsForecast}
+func (b Backlog) With(d Resources) Backlog {
+	if b.Tasks == 0 {
+		return Backlog{Tasks: 1, Total: d, Min: d, WantsForecast: b.WantsForecast}
 	}
-	return Backlog{Tasks: w.Tasks + 1, Total: w.Total.Plus(d), Min: w.Min.Min(d), WantsForecast: w.WantsForecast}
+	return Backlog{Tasks: b.Tasks + 1, Total: b.Total.Plus(d), Min: b.Min.Min(d), WantsForecast: b.WantsForecast}
 }
 
 // Without returns w less the given number of tasks, whose total demand is sum. Min is
 // not raised and may be too low afterwards.
-func (w Backlog) Without(tasks int, sum Resources) Backlog {
-	if tasks >= w.Tasks {
+func (b Backlog) Without(tasks int, total Resources) Backlog {
+	if tasks >= b.Tasks {
 		return Backlog{}
 	}
-	return Backlog{Tasks: w.Tasks - tasks, Total: w.Total.Minus(sum), Min: w.Min, WantsForecast: w.WantsForecast}
+	return Backlog{Tasks: b.Tasks - tasks, Total: b.Total.Minus(total), Min: b.Min, WantsForecast: b.WantsForecast}
 }
 
 // Place asks an agent to run tasks of one step.
--- a/scheduler/availability.go
+++ b/scheduler/availability.go
@@ -16,9 +16,9 @@
 	horizon int
 	// freeShare is the capacity that is free now over the capacity needed.
 	freeShare float64
-	// order is the agent's position in the job's own order of agents, so that entries
+	// tieBreak is the agent's position in the job's own order of agents, so that entries
 	// ask different agents among equal ones.
-	order uint64
+	tieBreak uint64
 }
 
 // Values of availability.horizon apart from the indexes of ForecastHorizons.
@@ -36,7 +36,7 @@
 	case a.freeShare != other.freeShare:
 		return a.freeShare > other.freeShare
 	}
-	return a.order < other.order
+	return a.tieBreak < other.tieBreak
 }
 
 // soonestAgent returns the agent at which capacity for a task is expected first; nil
@@ -74,7 +74,7 @@
 func (a *agent) availability(t *task) availability {
 	d := t.demand()
 	capacity := a.free().NonNegative()
-	result := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(capacity, d), order: t.job.agentOrder(a)}
+	result := availability{near: a.near(t.job.Steps[t.step]), horizon: horizonUnknown, freeShare: coverage(capacity, d), tieBreak: t.job.agentOrder(a)}
 	if len(a.report.Forecast) == 0 {
 		return result
 	}
--- a/scheduler/heldjobs_test.go
+++ b/scheduler/heldjobs_test.go
@@ -117,7 +117,7 @@
 	require.NotContains(t, f.heartbeat("a", 2), jobID)
 }
 
-func TestJobThatWaitsAtAnotherEntryIsGivenUp(t *testing.T) {
+func TestJobThatYieldsAtAnotherEntryIsGivenUp(t *testing.T) {
 	tests := []struct {
 		name   string
 		submit func(f *fixture)
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -61,45 +61,45 @@
 
 // chooseNearOrFar decides between near and far workers for tasks of which an agent can
 // take the first n. It returns how many of them the agent gets.
-func (s *Scheduler) chooseNearOrFar(a *agent, n int, j *job, step int, todo []*task, now time.Time) int {
+func (s *Scheduler) chooseNearOrFar(a *agent, n int, j *job, step int, waiting []*task, now time.Time) int {
 	st := j.Steps[step]
 	if st.Rack == "" || s.config.FarFactor <= 1 {
 		return n
 	}
 	if a.near(st) {
-		s.noteLocality(j, a, "near now", fmt.Sprintf("free capacity for %d of %d tasks", n, len(todo)), now)
+		s.noteLocality(j, a, "near now", fmt.Sprintf("free capacity for %d of %d tasks", n, len(waiting)), now)
 		return n
 	}
-	f := s.forecastNear(j, step, todo, now)
-	deferCount := min(f.tasksToDefer(), len(todo))
-	n = min(n, len(todo)-deferCount)
-	s.deferForNear(j, todo, deferCount, f, now)
+	f := s.forecastNear(j, step, waiting, now)
+	deferCount := min(f.tasksToDefer(), len(waiting))
+	n = min(n, len(waiting)-deferCount)
+	s.deferForNear(j, waiting, deferCount, f, now)
 	if n > 0 {
-		s.noteLocality(j, a, "far", fmt.Sprintf("%d of %d tasks, %v", n, len(todo), f), now)
+		s.noteLocality(j, a, "far", fmt.Sprintf("%d of %d tasks, %v", n, len(waiting), f), now)
 	}
 	return n
 }
 
 // deferForNear marks the last of the tasks as deferred for a near worker, and the others
 // as not deferred.
-func (s *Scheduler) deferForNear(j *job, todo []*task, deferCount int, f nearForecast, now time.Time) {
+func (s *Scheduler) deferForNear(j *job, waiting []*task, deferCount int, f nearForecast, now time.Time) {
 	newlyDeferred := 0
-	for i, t := range todo {
+	for i, t := range waiting {
 		wasDeferred := t.deferred
-		t.deferred = i >= len(todo)-deferCount
+		t.deferred = i >= len(waiting)-deferCount
 		if t.deferred && !wasDeferred {
 			newlyDeferred++
 		}
 	}
 	if newlyDeferred > 0 {
-		s.noteLocality(j, nil, "near soon", fmt.Sprintf("%d of %d tasks, %v", newlyDeferred, len(todo), f), now)
+		s.noteLocality(j, nil, "near soon", fmt.Sprintf("%d of %d tasks, %v", newlyDeferred, len(waiting), f), now)
 	}
 }
 
 // clearDeferred marks tasks as not deferred: no agent has free capacity, so they go to
 // any agent that gets some.
-func clearDeferred(todo []*task) {
-	for _, t := range todo {
+func clearDeferred(waiting []*task) {
+	for _, t := range waiting {
 		t.deferred = false
 	}
 }
@@ -141,17 +141,17 @@
 
 // forecastNear returns how long tasks may wait for near workers, and for how many of
 // them these workers are expected to have free capacity.
-func (s *Scheduler) forecastNear(j *job, step int, todo []*task, now time.Time) nearForecast {
+func (s *Scheduler) forecastNear(j *job, step int, waiting []*task, now time.Time) nearForecast {
 	farDuration := scaled(j.Steps[step].Estimate, s.config.FarFactor)
 	f := nearForecast{
-		maxWait:   s.maxNearWait(j, todo[0], now),
+		maxWait:   s.maxNearWait(j, waiting[0], now),
 		farInTime: !now.Add(farDuration).After(j.stepDueAt(step)),
 		scarce:    s.capacityScarce,
 	}
 	if f.maxWait <= 0 {
 		return f
 	}
-	near := s.nearAgents(j, step, todo[0], now)
+	near := s.nearAgents(j, step, waiting[0], now)
 	f.tasksBefore = s.nearTasksBefore(j.Steps[step].Rack, len(near))
 	var nearTasks float64
 	for _, a := range near {
@@ -161,7 +161,7 @@
 		if f.farInTime {
 			sharers = max(a.report.ConnectedEntries, 1)
 		}
-		limit := sharers * (f.tasksBefore + len(todo))
+		limit := sharers * (f.tasksBefore + len(waiting))
 		nearTasks += a.forecastTasks(j, step, limit, f.maxWait, now) / float64(sharers)
 	}
 	f.nearCapacity = int(nearTasks)
--- a/scheduler/locality_test.go
+++ b/scheduler/locality_test.go
@@ -29,35 +29,35 @@
 }
 
 func newRackFixture(t *testing.T, farFactor float64) *rackFixture {
-	b := &rackFixture{fixture: newFixture(t), connectedEntries: 1, lastPlace: make(map[string]uint64), runsListed: make(map[string]bool)}
-	b.s.Configure(configuration().WithFarFactor(farFactor))
+	f := &rackFixture{fixture: newFixture(t), connectedEntries: 1, lastPlace: make(map[string]uint64), runsListed: make(map[string]bool)}
+	f.s.Configure(configuration().WithFarFactor(farFactor))
 	for _, name := range []string{"far", "near"} {
-		b.s.LinkOpened(name)
-		b.reportCapacity(name, 0, nil)
+		f.s.LinkOpened(name)
+		f.reportCapacity(name, 0, nil)
 	}
-	b.drain()
-	return b
+	f.collectEffects()
+	return f
 }
 
 // reportCapacity has an agent report its free capacity and its forecast for each
 // horizon.
-func (b *rackFixture) reportCapacity(name string, free int, forecast []int) {
-	b.s.HandleReport(b.report(name, free, forecast))
+func (f *rackFixture) reportCapacity(name string, free int, forecast []int) {
+	f.s.HandleReport(f.report(name, free, forecast))
 }
 
 // reportWith has an agent without free capacity send a report with a further change.
-func (b *rackFixture) reportWith(name string, forecast []int, change func(*messenger.Report)) {
-	r := b.report(name, 0, forecast)
+func (f *rackFixture) reportWith(name string, forecast []int, change func(*messenger.Report)) {
+	r := f.report(name, 0, forecast)
 	change(&r)
-	b.s.HandleReport(r)
+	f.s.HandleReport(r)
 }
 
 // report returns a report of an agent's free capacity and forecast.
-func (b *rackFixture) report(name string, free int, forecast []int) messenger.Report {
-	r := newReport(name, b.lastPlace[name])
-	r.RunsComplete = !b.runsListed[name]
-	b.runsListed[name] = true
-	r.ConnectedEntries = b.connectedEntries
+func (f *rackFixture) report(name string, free int, forecast []int) messenger.Report {
+	r := newReport(name, f.lastPlace[name])
+	r.RunsComplete = !f.runsListed[name]
+	f.runsListed[name] = true
+	r.ConnectedEntries = f.connectedEntries
 	r.Free = taskCapacity(free)
 	for _, n := range forecast {
 		r.Forecast = append(r.Forecast, taskCapacity(n))
@@ -72,37 +72,37 @@
 	return messenger.Resources{CPU: 3100 * tasks, Memory: 64_000}
 }
 
-func (b *rackFixture) drain() {
-	b.places = make(map[string][]messenger.Place)
-	b.notes = nil
-	for _, e := range b.s.TakeEffects() {
+func (f *rackFixture) collectEffects() {
+	f.places = make(map[string][]messenger.Place)
+	f.notes = nil
+	for _, e := range f.s.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Reply:
-			b.replies[e.Ticket] = e.Answer
+			f.replies[e.Ticket] = e.Answer
 		case scheduler.Note:
-			b.notes = append(b.notes, e)
+			f.notes = append(f.notes, e)
 		case scheduler.Send:
 			if p, ok := e.Message.(messenger.Place); ok {
-				b.places[e.Agent] = append(b.places[e.Agent], p)
-				b.lastPlace[e.Agent] = p.Number
+				f.places[e.Agent] = append(f.places[e.Agent], p)
+				f.lastPlace[e.Agent] = p.Number
 			}
 		}
 	}
 }
 
 // placedAt counts the tasks that the last effects place at an agent.
-func (b *rackFixture) placedAt(name string) int {
+func (f *rackFixture) placedAt(name string) int {
 	n := 0
-	for _, p := range b.places[name] {
+	for _, p := range f.places[name] {
 		n += len(p.Tasks)
 	}
 	return n
 }
 
 // countNotes counts the notes with the given What among the last effects.
-func (b *rackFixture) countNotes(what string) int {
+func (f *rackFixture) countNotes(what string) int {
 	n := 0
-	for _, m := range b.notes {
+	for _, m := range f.notes {
 		if m.What == what {
 			n++
 		}
@@ -111,17 +111,17 @@
 }
 
 // rackJob returns a job with the given number of tasks whose data is on the rack.
-func (b *rackFixture) rackJob(number, tasks int, estimate time.Duration) scheduler.Job {
-	j := b.job(fmt.Sprintf("%016x", number), tasks)
+func (f *rackFixture) rackJob(number, tasks int, estimate time.Duration) scheduler.Job {
+	j := f.job(fmt.Sprintf("%016x", number), tasks)
 	j.Steps[0].Rack = rackLabel
 	j.Steps[0].Estimate = estimate
 	return j
 }
 
 // submit submits a job.
-func (b *rackFixture) submit(j scheduler.Job) {
-	b.s.Submit(uint64(len(b.replies)+100), j)
-	b.drain()
+func (f *rackFixture) submit(j scheduler.Job) {
+	f.s.Submit(uint64(len(f.replies)+100), j)
+	f.collectEffects()
 }
 
 // TestChoiceBetweenNearAndFar guards against far work that makes a job miss its
@@ -160,27 +160,27 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newRackFixture(t, tt.farFactor)
-			b.connectedEntries = tt.entries
+			f := newRackFixture(t, tt.farFactor)
+			f.connectedEntries = tt.entries
 			if tt.blockedJob {
-				large := b.job("00000000000000ff", 1)
+				large := f.job("00000000000000ff", 1)
 				large.Steps[0].Demand = messenger.Resources{CPU: 31_000}
 				large.Steps[0].Estimate = 2 * tt.estimate
-				b.submit(large)
+				f.submit(large)
 			}
-			b.reportCapacity("near", tt.near, tt.forecast)
-			b.reportCapacity("far", 5, nil)
-			b.drain()
-			b.submit(b.rackJob(1, tt.tasks, tt.estimate))
-			require.Equal(t, tt.atNear, b.placedAt("near"), "near")
-			require.Equal(t, tt.atFar, b.placedAt("far"), "far")
+			f.reportCapacity("near", tt.near, tt.forecast)
+			f.reportCapacity("far", 5, nil)
+			f.collectEffects()
+			f.submit(f.rackJob(1, tt.tasks, tt.estimate))
+			require.Equal(t, tt.atNear, f.placedAt("near"), "near")
+			require.Equal(t, tt.atFar, f.placedAt("far"), "far")
 			if tt.farFactor <= 1 {
-				require.Zero(t, b.countNotes("near now")+b.countNotes("near soon")+b.countNotes("far"))
+				require.Zero(t, f.countNotes("near now")+f.countNotes("near soon")+f.countNotes("far"))
 				return
 			}
-			require.Len(t, b.places["near"], b.countNotes("near now"), "one note per placement")
-			require.Len(t, b.places["far"], b.countNotes("far"), "one note per placement")
-			require.Equal(t, min(tt.tasks-tt.atNear-tt.atFar, 1), b.countNotes("near soon"))
+			require.Len(t, f.places["near"], f.countNotes("near now"), "one note per placement")
+			require.Len(t, f.places["far"], f.countNotes("far"), "one note per placement")
+			require.Equal(t, min(tt.tasks-tt.atNear-tt.atFar, 1), f.countNotes("near soon"))
 		})
 	}
 }
@@ -198,13 +198,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.farFactor), func(t *testing.T) {
-			b := newRackFixture(t, tt.farFactor)
-			b.reportCapacity("near", 1, nil)
-			b.reportCapacity("far", 1, nil)
-			b.drain()
-			b.submit(b.rackJob(1, 2, 60*time.Millisecond))
-			require.Equal(t, tt.near, b.places["near"][0].Tasks[0].Estimate)
-			require.Equal(t, tt.far, b.places["far"][0].Tasks[0].Estimate)
+			f := newRackFixture(t, tt.farFactor)
+			f.reportCapacity("near", 1, nil)
+			f.reportCapacity("far", 1, nil)
+			f.collectEffects()
+			f.submit(f.rackJob(1, 2, 60*time.Millisecond))
+			require.Equal(t, tt.near, f.places["near"][0].Tasks[0].Estimate)
+			require.Equal(t, tt.far, f.places["far"][0].Tasks[0].Estimate)
 		})
 	}
 }
@@ -212,14 +212,14 @@
 // TestJobsDoNotPileUpForASaturatedRack guards against jobs that are all deferred for
 // the same near capacity, most of which would be late.
 func TestJobsDoNotPileUpForASaturatedRack(t *testing.T) {
-	b := newRackFixture(t, 2)
-	b.reportCapacity("near", 0, []int{6, 6, 6, 6, 6})
-	b.reportCapacity("far", 10, nil)
-	b.drain()
+	f := newRackFixture(t, 2)
+	f.reportCapacity("near", 0, []int{6, 6, 6, 6, 6})
+	f.reportCapacity("far", 10, nil)
+	f.collectEffects()
 	far := 0
 	for i := range 4 {
-		b.submit(b.rackJob(i+1, 3, 60*time.Millisecond))
-		far += b.placedAt("far")
+		f.submit(f.rackJob(i+1, 3, 60*time.Millisecond))
+		far += f.placedAt("far")
 	}
 	require.Equal(t, 6, far, "6 of 12 tasks are deferred, as many as the rack will have capacity for")
 }
@@ -234,45 +234,45 @@
 	tests := []struct {
 		name string
 		// onTick is called at each tick and acts for the near agent.
-		onTick func(b *rackFixture)
+		onTick func(f *rackFixture)
 		// maxWait is the maximum time that the job may wait.
 		maxWait time.Duration
 	}{
-		{"forecast never comes true", func(b *rackFixture) { b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9}) }, waitLimit + tick},
+		{"forecast never comes true", func(f *rackFixture) { f.reportCapacity("near", 0, []int{9, 9, 9, 9, 9}) }, waitLimit + tick},
 		{"near agent sends nothing more", func(*rackFixture) {}, waitLimit + tick},
-		{"link of the near agent closes", func(b *rackFixture) { b.s.LinkClosed("near") }, tick},
-		{"near agent is leaving", func(b *rackFixture) {
-			b.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Leaving = true })
+		{"link of the near agent closes", func(f *rackFixture) { f.s.LinkClosed("near") }, tick},
+		{"near agent is leaving", func(f *rackFixture) {
+			f.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Leaving = true })
 		}, tick},
-		{"near worker drains", func(b *rackFixture) {
-			b.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Upstream.Draining = true })
+		{"near worker drains", func(f *rackFixture) {
+			f.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.Upstream.Draining = true })
 		}, tick},
-		{"near data centre is evacuated", func(b *rackFixture) {
-			b.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.DataCentre = "b"; r.Upstream.DataCentre = "b" })
-			b.s.Configure(configuration().WithFarFactor(3).WithEvacuated(map[string]bool{"b": true}, 1))
+		{"near data centre is evacuated", func(f *rackFixture) {
+			f.reportWith("near", []int{9, 9, 9, 9, 9}, func(r *messenger.Report) { r.DataCentre = "b"; r.Upstream.DataCentre = "b" })
+			f.s.Configure(configuration().WithFarFactor(3).WithEvacuated(map[string]bool{"b": true}, 1))
 		}, tick},
-		{"forecast is withdrawn", func(b *rackFixture) { b.reportCapacity("near", 0, nil) }, tick},
+		{"forecast is withdrawn", func(f *rackFixture) { f.reportCapacity("near", 0, nil) }, tick},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newRackFixture(t, 3)
-			b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
-			b.reportCapacity("far", 10, nil)
-			b.drain()
-			b.submit(b.rackJob(1, 4, 60*time.Millisecond))
-			require.Zero(t, b.placedAt("far"))
+			f := newRackFixture(t, 3)
+			f.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
+			f.reportCapacity("far", 10, nil)
+			f.collectEffects()
+			f.submit(f.rackJob(1, 4, 60*time.Millisecond))
+			require.Zero(t, f.placedAt("far"))
 			for at := tick; at <= tt.maxWait; at += tick {
-				b.clock.Advance(tick)
-				tt.onTick(b)
-				b.reportCapacity("far", 10, nil)
-				b.s.Tick()
-				b.drain()
-				if b.placedAt("far") > 0 {
-					require.Equal(t, 4, b.placedAt("far"))
+				f.clock.Advance(tick)
+				tt.onTick(f)
+				f.reportCapacity("far", 10, nil)
+				f.s.Tick()
+				f.collectEffects()
+				if f.placedAt("far") > 0 {
+					require.Equal(t, 4, f.placedAt("far"))
 					return
 				}
 			}
-			t.Fatalf("not placed within %v: %+v", tt.maxWait, b.replies)
+			t.Fatalf("not placed within %v: %+v", tt.maxWait, f.replies)
 		})
 	}
 }
@@ -280,13 +280,13 @@
 // TestStaleForecastDefersNothing guards against jobs that wait for an agent whose last
 // report is too old for placements.
 func TestStaleForecastDefersNothing(t *testing.T) {
-	b := newRackFixture(t, 2)
-	b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
-	b.clock.Advance(251 * time.Millisecond)
-	b.reportCapacity("far", 10, nil)
-	b.drain()
-	b.submit(b.rackJob(1, 4, 60*time.Millisecond))
-	require.Equal(t, 4, b.placedAt("far"))
+	f := newRackFixture(t, 2)
+	f.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
+	f.clock.Advance(251 * time.Millisecond)
+	f.reportCapacity("far", 10, nil)
+	f.collectEffects()
+	f.submit(f.rackJob(1, 4, 60*time.Millisecond))
+	require.Equal(t, 4, f.placedAt("far"))
 }
 
 // TestLaterStepWaitsOnlyWithinItsSlack guards against later steps that never wait for a
@@ -310,42 +310,42 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newRackFixture(t, 2)
-			b.reportCapacity("far", 5, nil)
-			b.drain()
-			j := b.rackJob(1, 1, work)
+			f := newRackFixture(t, 2)
+			f.reportCapacity("far", 5, nil)
+			f.collectEffects()
+			j := f.rackJob(1, 1, work)
 			first := j.Steps[0]
 			first.Rack = ""
 			second := j.Steps[0]
 			second.After = []int{0}
 			j.Steps = []scheduler.Step{first, second}
-			b.submit(j)
-			require.Equal(t, 1, b.placedAt("far"))
-			run := b.places["far"][0].Tasks[0].Run
-			b.clock.Advance(work)
-			b.reportCapacity("near", 0, tt.forecast)
-			r := newReport("far", b.lastPlace["far"])
+			f.submit(j)
+			require.Equal(t, 1, f.placedAt("far"))
+			run := f.places["far"][0].Tasks[0].Run
+			f.clock.Advance(work)
+			f.reportCapacity("near", 0, tt.forecast)
+			r := newReport("far", f.lastPlace["far"])
 			r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
-			b.s.HandleReport(r)
-			b.drain()
-			far := b.placedAt("far")
+			f.s.HandleReport(r)
+			f.collectEffects()
+			far := f.placedAt("far")
 			require.Equal(t, tt.far, far)
 			for waited := time.Duration(0); far == 0; waited += tick {
 				require.LessOrEqual(t, waited, 6*slack/10)
-				b.clock.Advance(tick)
-				b.reportCapacity("near", 0, tt.forecast)
-				b.reportCapacity("far", 5, nil)
-				b.s.Tick()
-				b.drain()
-				far += b.placedAt("far")
+				f.clock.Advance(tick)
+				f.reportCapacity("near", 0, tt.forecast)
+				f.reportCapacity("far", 5, nil)
+				f.s.Tick()
+				f.collectEffects()
+				far += f.placedAt("far")
 			}
 		})
 	}
 }
 
-// TestForecastIsAskedForOnlyWhereItIsUsed guards against longer reports in deployments
+// TestForecastIsRequestedOnlyWhereItIsUsed guards against longer reports in deployments
 // whose jobs have no rack, or in which the forecast makes no difference.
-func TestForecastIsAskedForOnlyWhereItIsUsed(t *testing.T) {
+func TestForecastIsRequestedOnlyWhereItIsUsed(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
 		farFactor     float64
@@ -358,13 +358,13 @@
 		{"factor of 1", 1, rackLabel, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newRackFixture(t, tt.farFactor)
-			j := b.rackJob(1, 1, 60*time.Millisecond)
+			f := newRackFixture(t, tt.farFactor)
+			j := f.rackJob(1, 1, 60*time.Millisecond)
 			j.Steps[0].Rack = tt.rack
-			require.False(t, b.s.Backlog().WantsForecast, "nothing waits")
-			b.submit(j)
-			require.Equal(t, 1, b.s.Backlog().Tasks)
-			require.Equal(t, tt.wantsForecast, b.s.Backlog().WantsForecast)
+			require.False(t, f.s.Backlog().WantsForecast, "nothing waits")
+			f.submit(j)
+			require.Equal(t, 1, f.s.Backlog().Tasks)
+			require.Equal(t, tt.wantsForecast, f.s.Backlog().WantsForecast)
 		})
 	}
 }
@@ -376,8 +376,8 @@
 	const farCapacity = 10
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		b := newRackFixture(t, 1.2+2*rng.Float64())
-		b.connectedEntries = 1 + rng.IntN(4)
+		f := newRackFixture(t, 1.2+2*rng.Float64())
+		f.connectedEntries = 1 + rng.IntN(4)
 		forecast := make([]int, len(messenger.ForecastHorizons))
 		for i := range forecast {
 			forecast[i] = rng.IntN(4)
@@ -385,27 +385,27 @@
 				forecast[i] += forecast[i-1]
 			}
 		}
-		b.reportCapacity("near", 0, forecast)
+		f.reportCapacity("near", 0, forecast)
 		tasks, far := 0, 0
 		for i := range 1 + rng.IntN(4) {
-			b.reportCapacity("far", farCapacity, nil)
-			b.drain()
+			f.reportCapacity("far", farCapacity, nil)
+			f.collectEffects()
 			n := 1 + rng.IntN(4)
-			b.submit(b.rackJob(i+1, n, time.Duration(20+rng.IntN(300))*time.Millisecond))
+			f.submit(f.rackJob(i+1, n, time.Duration(20+rng.IntN(300))*time.Millisecond))
 			tasks += n
-			far += b.placedAt("far")
+			far += f.placedAt("far")
 		}
 		require.LessOrEqual(t, tasks-far, forecast[len(forecast)-1], "seed %d", seed)
 		for waited := time.Duration(0); waited < 360*time.Millisecond; waited += 10 * time.Millisecond {
-			b.clock.Advance(10 * time.Millisecond)
-			b.reportCapacity("near", 0, forecast)
-			b.reportCapacity("far", farCapacity, nil)
-			b.s.Tick()
-			b.drain()
-			far += b.placedAt("far")
+			f.clock.Advance(10 * time.Millisecond)
+			f.reportCapacity("near", 0, forecast)
+			f.reportCapacity("far", farCapacity, nil)
+			f.s.Tick()
+			f.collectEffects()
+			far += f.placedAt("far")
 		}
-		require.Equal(t, tasks, far, "seed %d %+v", seed, b.replies)
-		require.Empty(t, b.replies, "seed %d", seed)
+		require.Equal(t, tasks, far, "seed %d %+v", seed, f.replies)
+		require.Empty(t, f.replies, "seed %d", seed)
 	}
 }
 
@@ -413,38 +413,38 @@
 // expected wait behind tasks that are deferred for a near worker, while other workers
 // have free capacity.
 func TestDeferredTasksCauseNoRefusals(t *testing.T) {
-	b := newRackFixture(t, 3)
-	b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
-	b.reportCapacity("far", 10, nil)
-	b.drain()
-	b.submit(b.rackJob(1, 9, 800*time.Millisecond))
-	require.Equal(t, 1, b.countNotes("near soon"))
-	later := b.rackJob(2, 4, 800*time.Millisecond)
+	f := newRackFixture(t, 3)
+	f.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
+	f.reportCapacity("far", 10, nil)
+	f.collectEffects()
+	f.submit(f.rackJob(1, 9, 800*time.Millisecond))
+	require.Equal(t, 1, f.countNotes("near soon"))
+	later := f.rackJob(2, 4, 800*time.Millisecond)
 	later.Steps[0].Rack = ""
-	b.submit(later)
-	require.Equal(t, 4, b.placedAt("far"))
-	require.Empty(t, b.replies)
+	f.submit(later)
+	require.Equal(t, 4, f.placedAt("far"))
+	require.Empty(t, f.replies)
 }
 
 // TestDeferredTasksCountAsBacklogOnceFarWorkersAreFull guards against jobs that are
 // admitted behind tasks which are no longer deferred because the far workers have
 // filled up.
 func TestDeferredTasksCountAsBacklogOnceFarWorkersAreFull(t *testing.T) {
-	b := newRackFixture(t, 3)
-	b.clock.Advance(200 * time.Millisecond)
-	b.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
-	b.reportCapacity("far", 10, nil)
-	b.drain()
-	b.submit(b.rackJob(1, 9, 800*time.Millisecond))
-	require.Equal(t, 1, b.countNotes("near soon"))
-	b.reportCapacity("far", 0, nil)
-	b.s.Tick()
-	b.drain()
-	later := b.rackJob(2, 4, 800*time.Millisecond)
+	f := newRackFixture(t, 3)
+	f.clock.Advance(200 * time.Millisecond)
+	f.reportCapacity("near", 0, []int{9, 9, 9, 9, 9})
+	f.reportCapacity("far", 10, nil)
+	f.collectEffects()
+	f.submit(f.rackJob(1, 9, 800*time.Millisecond))
+	require.Equal(t, 1, f.countNotes("near soon"))
+	f.reportCapacity("far", 0, nil)
+	f.s.Tick()
+	f.collectEffects()
+	later := f.rackJob(2, 4, 800*time.Millisecond)
 	later.Steps[0].Rack = ""
-	b.submit(later)
-	require.Len(t, b.replies, 1)
-	for _, a := range b.replies {
+	f.submit(later)
+	require.Len(t, f.replies, 1)
+	for _, a := range f.replies {
 		require.Equal(t, scheduler.Overloaded, a.Outcome)
 	}
 }
--- a/scheduler/need_test.go
+++ b/scheduler/need_test.go
@@ -23,7 +23,7 @@
 	require.True(t, f.s.EarlyHeartbeatDue())
 }
 
-func TestShortageBeginsWhenJobsWaitLongAndNotWhenTheyBeginTo(t *testing.T) {
+func TestShortageIsReportedOnlyOnceJobsHaveWaitedLong(t *testing.T) {
 	f := newFixture(t)
 	f.connect("a")
 	f.s.Submit(1, f.job(jobID, 20))
--- a/scheduler/rackload_test.go
+++ b/scheduler/rackload_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// rackWorkers is the number of workers, out of fleetWorkers, on the rack with the
+	// rackWorkers is the number of workers, out of totalWorkers, on the rack with the
 	// data.
 	rackWorkers  = 8
-	fleetWorkers = 24
+	totalWorkers = 24
 	// rackShare is the share of the short wide jobs whose data is on the rack.
 	rackShare = 0.6
 	rackLabel = "rack-1"
@@ -25,18 +25,18 @@
 
 // newRackSimulation returns a simulation in which the first workers are on the rack.
 func newRackSimulation(t testing.TB, seed uint64, entries int, farFactor float64, farFactorKnown bool) *simulation {
-	w := newSimulation(t, seed, entries, fleetWorkers, cores)
-	w.farFactor = farFactor
-	w.farFactorKnown = farFactorKnown
-	for _, a := range w.agents[:rackWorkers] {
+	sim := newSimulation(t, seed, entries, totalWorkers, cores)
+	sim.farFactor = farFactor
+	sim.farFactorKnown = farFactorKnown
+	for _, a := range sim.agents[:rackWorkers] {
 		a.worker.upstream.Labels = []string{rackLabel}
 		a.core.SetUpstream(a.worker.upstream)
 	}
-	for _, e := range w.entries {
-		e.core.Configure(w.configuration())
+	for _, e := range sim.entries {
+		e.core.Configure(sim.configuration())
 	}
-	w.run(300 * time.Millisecond)
-	return w
+	sim.run(300 * time.Millisecond)
+	return sim
 }
 
 // rackLoad submits jobs that take a share of the capacity of all workers, for the given
@@ -47,7 +47,7 @@
 	for i, k := range jobKinds {
 		work += perSecond[i] * float64(k.tasks) * k.work.Seconds() * float64(k.cpu)
 	}
-	factor := load * fleetWorkers * cores / work
+	factor := load * totalWorkers * cores / work
 	for i, k := range jobKinds {
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor))
 		for at := time.Duration(sim.rng.Int64N(int64(gap))); at < duration; at += time.Duration(float64(gap) * (0.5 + sim.rng.Float64())) {
@@ -203,14 +203,14 @@
 }
 
 // rackInTimeShare returns the share of the jobs with data on the rack that are in time.
-func (w *simulation) rackInTimeShare() float64 {
+func (sim *simulation) rackInTimeShare() float64 {
 	var all, inTime float64
-	for _, r := range w.results {
+	for _, r := range sim.results {
 		if r.job.Steps[0].Rack == "" {
 			continue
 		}
 		all++
-		if w.inTime(r) {
+		if sim.inTime(r) {
 			inTime++
 		}
 	}
--- a/scheduler/reservation_test.go
+++ b/scheduler/reservation_test.go
@@ -86,9 +86,9 @@
 	return func(r *messenger.Report) { r.ReservationNumber = number }
 }
 
-// TestRoomIsReservedForALargeTaskThatHasWaited guards against reservations for tasks
+// TestCapacityIsReservedForALargeTaskThatHasWaited guards against reservations for tasks
 // that find capacity without one, and against several reservations for one job.
-func TestRoomIsReservedForALargeTaskThatHasWaited(t *testing.T) {
+func TestCapacityIsReservedForALargeTaskThatHasWaited(t *testing.T) {
 	f := newFullFixture(t, "a", "b")
 	f.s.Submit(1, f.largeJob(jobID))
 	f.advanceFull(29*time.Millisecond, nil, "a", "b")
@@ -144,10 +144,10 @@
 	require.Len(t, f.reserveMessages(), 1)
 }
 
-// TestNoRoomIsReservedWhileSmallTasksWaitLong guards against small jobs that are late
+// TestNoCapacityIsReservedWhileSmallTasksWaitLong guards against small jobs that are late
 // because capacity is reserved for large ones, where both wait because capacity is
 // short altogether.
-func TestNoRoomIsReservedWhileSmallTasksWaitLong(t *testing.T) {
+func TestNoCapacityIsReservedWhileSmallTasksWaitLong(t *testing.T) {
 	for wait, want := range map[time.Duration]int{25 * time.Millisecond: 1, 32 * time.Millisecond: 0} {
 		t.Run(wait.String(), func(t *testing.T) {
 			f := newFullFixture(t, "a")
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestRoomIsAskedForWhereItIsExpectedFirst guards against a long reservation at one
+// TestCapacityIsReservedWhereItIsExpectedFirst guards against a long reservation at one
 // agent while another one would have had the capacity soon.
-func TestRoomIsAskedForWhereItIsExpectedFirst(t *testing.T) {
+func TestCapacityIsReservedWhereItIsExpectedFirst(t *testing.T) {
 	forecast := func(cpu ...int) []messenger.Resources {
 		out := make([]messenger.Resources, len(cpu))
 		for i, c := range cpu {
@@ -232,9 +232,9 @@
 	}
 }
 
-// TestKeptRoomGoesToItsJob guards against a small job of the same entry that takes the
+// TestReservedCapacityGoesToItsJob guards against a small job of the same entry that takes the
 // capacity reserved for the large one.
-func TestKeptRoomGoesToItsJob(t *testing.T) {
+func TestReservedCapacityGoesToItsJob(t *testing.T) {
 	f := newFullFixture(t, "a")
 	r := f.requestReservation("a")
 	small := f.job("0000000000000002", 1)
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestJobsThatArriveAsAllProcessesReturnAreServed(t *testing.T) {
+func TestJobsThatArriveAsAllProcessesRestartAreServed(t *testing.T) {
 	const downtime = 1300 * time.Millisecond
 	sim := newSimulation(t, 7, 3, 11, cores)
 	sim.run(time.Second)
--- a/scheduler/simcluster_test.go
+++ b/scheduler/simcluster_test.go
@@ -99,9 +99,9 @@
 	firstStartAt   map[string]time.Time
 	rerunAfterDone []string
 	jobs           int
-	// placedRuns counts the runs that reached agents, and refusedNoRoom those that
+	// placedRuns counts the runs that reached agents, and capacityRefusals those that
 	// agents refused for lack of capacity.
-	placedRuns, refusedNoRoom int
+	placedRuns, capacityRefusals int
 	// linkDelay is the delay of a message between an entry and an agent.
 	linkDelay time.Duration
 	// farFactor is the factor by which a task takes longer on a worker away from its
@@ -353,11 +353,11 @@
 	}
 }
 
-// countNoRoom counts the runs that were refused for lack of capacity.
-func (sim *simulation) countNoRoom(list []messenger.Refusal) {
+// countCapacityRefusals counts the runs that were refused for lack of capacity.
+func (sim *simulation) countCapacityRefusals(list []messenger.Refusal) {
 	for _, r := range list {
 		if r.Reason == messenger.RefusedNoRoom {
-			sim.refusedNoRoom++
+			sim.capacityRefusals++
 		}
 	}
 }
--- a/scheduler/simprocess_test.go
+++ b/scheduler/simprocess_test.go
@@ -204,7 +204,7 @@
 		l.entry.do(func() {
 			l.lastReportAt = l.entry.sim.clock.Now()
 			l.echo = r.Timestamp
-			l.agent.sim.countNoRoom(r.Refused)
+			l.agent.sim.countCapacityRefusals(r.Refused)
 			core.HandleReport(r)
 		})
 	})
@@ -278,8 +278,8 @@
 // restartWorker restarts the worker, which announces itself after delay.
 func (a *simAgent) restartWorker(delay time.Duration) {
 	a.worker.restart()
-	up := a.worker.upstream
-	a.sim.schedule(delay, func() { a.do(func() { a.core.SetUpstream(up) }) })
+	upstream := a.worker.upstream
+	a.sim.schedule(delay, func() { a.do(func() { a.core.SetUpstream(upstream) }) })
 }
 
 func (a *simAgent) applyEffects() {
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -23,7 +23,7 @@
 	require.GreaterOrEqual(t, float64(s.inTime), 0.98*float64(s.all))
 }
 
-func TestEntryThatGetsMostOfTheLoadUsesMostOfTheRoom(t *testing.T) {
+func TestEntryThatGetsMostOfTheLoadUsesMostOfTheCapacity(t *testing.T) {
 	sim := newSimulation(t, 5, 9, 11, cores)
 	for range 6 {
 		// One entry gets what nine would share: nine tenths of the full capacity.
@@ -55,10 +55,10 @@
 	require.LessOrEqual(t, float64(s.late), 0.05*float64(s.all))
 }
 
-// TestScarceRoomIsSharedByWhatWaits simulates a burst on many entries, one of which
+// TestScarceCapacityIsSharedAmongEntries simulates a burst on many entries, one of which
 // gets a quarter of the callers, and compares it with a single entry, which sees all
 // free capacity at once and races with no other entry.
-func TestScarceRoomIsSharedByWhatWaits(t *testing.T) {
+func TestScarceCapacityIsSharedAmongEntries(t *testing.T) {
 	const (
 		entries  = 9
 		agents   = 44
@@ -198,17 +198,17 @@
 	}
 }
 
-// TestEntriesSeldomPlaceTasksWithoutRoom guards against entries that all choose the
+// TestEntriesSeldomPlaceTasksWithoutFreeCapacity guards against entries that all choose the
 // same worker because their reports are slightly out of date, while others have free
 // capacity.
-func TestEntriesSeldomPlaceTasksWithoutRoom(t *testing.T) {
+func TestEntriesSeldomPlaceTasksWithoutFreeCapacity(t *testing.T) {
 	sim := newSimulation(t, 7, 9, 22, cores)
 	sim.load(4*time.Second, 1.6)
 	sim.run(6 * time.Second)
 	sim.check()
 	s := sim.summary()
-	t.Logf("%+v, %d runs refused of %d", s, sim.refusedNoRoom, sim.placedRuns)
+	t.Logf("%+v, %d runs refused of %d", s, sim.capacityRefusals, sim.placedRuns)
 	require.Equal(t, s.all, s.inTime)
 	// A refused run delays its job by several messages.
-	require.LessOrEqual(t, float64(sim.refusedNoRoom), 0.1*float64(sim.placedRuns))
+	require.LessOrEqual(t, float64(sim.capacityRefusals), 0.1*float64(sim.placedRuns))
 }
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -126,10 +126,10 @@
 func statsFor(cpu int, simulations ...*simulation) sizeStats {
 	var s sizeStats
 	var waits []time.Duration
-	for _, w := range simulations {
-		for id, r := range w.results {
+	for _, sim := range simulations {
+		for id, r := range sim.results {
 			if r.job.Steps[0].Demand.CPU == cpu {
-				waits = append(waits, w.addToStats(&s, id, r))
+				waits = append(waits, sim.addToStats(&s, id, r))
 			}
 		}
 	}
@@ -143,11 +143,11 @@
 }
 
 // addToStats adds a job to the statistics and returns its wait.
-func (w *simulation) addToStats(s *sizeStats, id string, r *result) time.Duration {
+func (sim *simulation) addToStats(s *sizeStats, id string, r *result) time.Duration {
 	task := id + ".0.0.0"
 	s.jobs++
 	wait := r.took
-	at, started := w.firstStartAt[task]
+	at, started := sim.firstStartAt[task]
 	switch {
 	case !r.answered:
 		s.unanswered++
@@ -156,17 +156,17 @@
 	default:
 		s.refused++
 	}
-	if !started || wait > maxWaitInTime(w.tasks[task].work) {
+	if !started || wait > maxWaitInTime(sim.tasks[task].work) {
 		s.late++
 	}
 	return wait
 }
 
-// TestLargeTasksWaitLessForReservedRoom guards against large tasks that wait long
+// TestLargeTasksWaitLessWithReservations guards against large tasks that wait long
 // because small ones fill each gap, and against small jobs that are delayed too much by
 // reservations. The statistics combine several seeds: with one seed, the p99 of the
 // large tasks is about the second longest wait.
-func TestLargeTasksWaitLessForReservedRoom(t *testing.T) {
+func TestLargeTasksWaitLessWithReservations(t *testing.T) {
 	const (
 		// maxLargeLateRatio is the maximum ratio of late large jobs with reservations to those
 		// without at nine tenths of the capacity: a gain of less than a tenth is not
--- a/scheduler/speed.go
+++ b/scheduler/speed.go
@@ -171,7 +171,7 @@
 }
 
 // speedCriteriaOf returns the limits for the tasks of one step.
-func (s *Scheduler) speedCriteriaOf(j *job, step int, todo []*task, now time.Time) speedCriteria {
+func (s *Scheduler) speedCriteriaOf(j *job, step int, waiting []*task, now time.Time) speedCriteria {
 	if !s.speedProfileOf(j.Queue).heterogeneous {
 		return speedCriteria{}
 	}
@@ -179,7 +179,7 @@
 		heterogeneous: true,
 		timeLeft:      j.objectiveAt.Sub(now),
 		worstCase:     j.worstCaseFrom(step),
-		contended:     s.backlog.Tasks > len(todo),
+		contended:     s.backlog.Tasks > len(waiting),
 		fastOnly:      j.fastOnly && s.tooLate(j, now),
 	}
 }
--- a/scheduler/speed_test.go
+++ b/scheduler/speed_test.go
@@ -19,21 +19,21 @@
 	// quarter of the workers and on the others.
 	fastWorkFactor   = 1 / 1.8
 	normalWorkFactor = 1 / 0.83
-	// unevenFullLoad is the load factor that uses the full capacity of twelve workers of
+	// heterogeneousFullLoad is the load factor that uses the full capacity of twelve workers of
 	// different speeds.
-	unevenFullLoad = 1.79
+	heterogeneousFullLoad = 1.79
 )
 
-// newUnevenSimulation returns a simulation in which a quarter of the workers are fast.
-func newUnevenSimulation(t testing.TB, seed uint64) *simulation {
-	w := newSimulation(t, seed, 3, 12, cores)
-	for i, a := range w.agents {
+// newHeterogeneousSimulation returns a simulation in which a quarter of the workers are fast.
+func newHeterogeneousSimulation(t testing.TB, seed uint64) *simulation {
+	sim := newSimulation(t, seed, 3, 12, cores)
+	for i, a := range sim.agents {
 		a.worker.slowdown = normalWorkFactor
 		if i%4 == 0 {
 			a.worker.slowdown = fastWorkFactor
 		}
 	}
-	return w
+	return sim
 }
 
 // speedScenario is a simulated load on workers of different speeds.
@@ -50,16 +50,16 @@
 
 // run simulates one seed.
 func (p speedScenario) run(t testing.TB, seed uint64, withoutSpeeds bool) summary {
-	w := p.newSimulation(t, seed)
-	w.withoutSpeeds = withoutSpeeds
-	w.load(8*time.Second, p.load)
+	sim := p.newSimulation(t, seed)
+	sim.withoutSpeeds = withoutSpeeds
+	sim.load(8*time.Second, p.load)
 	if p.change != nil {
-		w.schedule(3*time.Second, func() { p.change(w) })
+		sim.schedule(3*time.Second, func() { p.change(sim) })
 	}
-	w.run(12 * time.Second)
-	w.check()
-	s := w.summary()
-	t.Logf("%+v by kind %.3f", s, w.served())
+	sim.run(12 * time.Second)
+	sim.check()
+	s := sim.summary()
+	t.Logf("%+v by kind %.3f", s, sim.served())
 	require.Zero(t, s.unanswered)
 	return s
 }
@@ -85,8 +85,8 @@
 
 // setSlowdown returns a change that sets the factor of the work's duration on one
 // worker.
-func setSlowdown(agent int, slowdown float64) func(w *simulation) {
-	return func(w *simulation) { w.agents[agent].worker.slowdown = slowdown }
+func setSlowdown(agent int, slowdown float64) func(sim *simulation) {
+	return func(sim *simulation) { sim.agents[agent].worker.slowdown = slowdown }
 }
 
 // newUniformSimulation returns a simulation with workers of equal speed.
@@ -94,16 +94,16 @@
 	return newSimulation(t, seed, 3, 11, cores)
 }
 
-// TestFastWorkersHaveRoomForAllJobs guards against jobs that are late on slow workers,
+// TestFastWorkersHaveCapacityForAllJobs guards against jobs that are late on slow workers,
 // or on workers whose agents have restarted, while fast workers have free capacity for
 // all of them.
-func TestFastWorkersHaveRoomForAllJobs(t *testing.T) {
+func TestFastWorkersHaveCapacityForAllJobs(t *testing.T) {
 	const minInTimeShare = 0.995
 	tests := []speedScenario{
-		{"three fifths of the capacity", newUnevenSimulation, 0.6 * unevenFullLoad, nil, 600, 6},
-		{"agents of fast workers restart", newUnevenSimulation, 0.8 * unevenFullLoad, func(w *simulation) {
-			w.agents[0].kill(100 * time.Millisecond)
-			w.agents[4].kill(100 * time.Millisecond)
+		{"three fifths of the capacity", newHeterogeneousSimulation, 0.6 * heterogeneousFullLoad, nil, 600, 6},
+		{"agents of fast workers restart", newHeterogeneousSimulation, 0.8 * heterogeneousFullLoad, func(sim *simulation) {
+			sim.agents[0].kill(100 * time.Millisecond)
+			sim.agents[4].kill(100 * time.Millisecond)
 		}, 700, 4},
 	}
 	for _, tt := range tests {
@@ -126,7 +126,7 @@
 		minGain float64
 	}{
 		// Fast workers are full as well, which bounds what they can take.
-		{speedScenario{"a quarter is fast, and all capacity is used", newUnevenSimulation, unevenFullLoad, nil, 600, 6}, 0.1},
+		{speedScenario{"a quarter is fast, and all capacity is used", newHeterogeneousSimulation, heterogeneousFullLoad, nil, 600, 6}, 0.1},
 		// The other workers have free capacity for the jobs that are late on the slow
 		// one.
 		{speedScenario{"a worker turns slow", newUniformSimulation, 0.9 * 1.53, setSlowdown(4, 2.2), 700, 4}, 0.2},
@@ -145,7 +145,7 @@
 // speeds left out of the reports. The number of late jobs varies between runs by at
 // least its square root, which is allowed for.
 func TestOutdatedSpeedDoesNoHarm(t *testing.T) {
-	p := speedScenario{"a fast worker turns slow", newUnevenSimulation, 0.9 * unevenFullLoad, setSlowdown(4, 1.8), 700, 4}
+	p := speedScenario{"a fast worker turns slow", newHeterogeneousSimulation, 0.9 * heterogeneousFullLoad, setSlowdown(4, 1.8), 700, 4}
 	with, without := p.sum(t, false), p.sum(t, true)
 	require.Zero(t, with.failed)
 	missed := float64(without.missed())
@@ -213,12 +213,12 @@
 
 // newSpeedFixture returns a fixture whose agents have reported their speeds: d is fast.
 func newSpeedFixture(t *testing.T) *fixture {
-	b := newFixture(t)
+	f := newFixture(t)
 	for _, a := range []string{"a", "b", "c", "d"} {
-		b.connect(a)
+		f.connect(a)
 	}
-	b.reportSpeeds(0.83, 0.83, 0.83, 1.8)
-	return b
+	f.reportSpeeds(0.83, 0.83, 0.83, 1.8)
+	return f
 }
 
 // reportSpeeds has agents a, b and so on report their speeds, and has the scheduler
@@ -269,25 +269,25 @@
 	return out
 }
 
-// TestFasterWorkerIsTakenWhenNothingWaits guards against fast workers that are idle
+// TestFasterWorkerIsChosenWhenNothingWaits guards against fast workers that are idle
 // while slow ones are busy.
-func TestFasterWorkerIsTakenWhenNothingWaits(t *testing.T) {
-	b := newSpeedFixture(t)
-	b.s.Submit(1, b.job(jobID, 2))
-	require.Equal(t, []string{"d"}, b.placedAgents())
+func TestFasterWorkerIsChosenWhenNothingWaits(t *testing.T) {
+	f := newSpeedFixture(t)
+	f.s.Submit(1, f.job(jobID, 2))
+	require.Equal(t, []string{"d"}, f.placedAgents())
 }
 
 // TestJobWithSlackLeavesFastWorkersToOthersThatWait guards against fast workers that
 // are full of jobs which any worker would have done in time.
 func TestJobWithSlackLeavesFastWorkersToOthersThatWait(t *testing.T) {
-	b := newSpeedFixture(t)
-	b.reportFree(1000, "a", "b", "c", "d")
-	large := b.job("0000000000000002", 1)
+	f := newSpeedFixture(t)
+	f.reportFree(1000, "a", "b", "c", "d")
+	large := f.job("0000000000000002", 1)
 	large.Steps[0].Demand.CPU = 30_000
-	b.s.Submit(2, large)
-	b.reportFree(7000, "a", "d")
-	b.s.Submit(1, b.job(jobID, 2))
-	require.Equal(t, []string{"a"}, b.placedAgents())
+	f.s.Submit(2, large)
+	f.reportFree(7000, "a", "d")
+	f.s.Submit(1, f.job(jobID, 2))
+	require.Equal(t, []string{"a"}, f.placedAgents())
 }
 
 // TestJobThatNeedsAFastWorkerIsPlacedThereFirst guards against a fast worker that gets
@@ -303,19 +303,19 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newSpeedFixture(t)
-			b.reportFree(1000, "a", "b", "c", "d")
-			needsFast := b.job("0000000000000002", 2)
+			f := newSpeedFixture(t)
+			f.reportFree(1000, "a", "b", "c", "d")
+			needsFast := f.job("0000000000000002", 2)
 			needsFast.Steps[0].Estimate = 300 * time.Millisecond
-			b.s.Submit(2, needsFast)
-			b.clock.Advance(130 * time.Millisecond)
-			b.reportFree(1000, "a", "b", "c", "d")
-			b.s.Submit(1, b.job(jobID, 2))
-			b.takeEffects()
-			r := speedReport(b, tt.agent, 0)
+			f.s.Submit(2, needsFast)
+			f.clock.Advance(130 * time.Millisecond)
+			f.reportFree(1000, "a", "b", "c", "d")
+			f.s.Submit(1, f.job(jobID, 2))
+			f.takeEffects()
+			r := speedReport(f, tt.agent, 0)
 			r.Free = messenger.Resources{CPU: 7000, Memory: 64_000}
-			b.s.HandleReport(r)
-			require.Equal(t, tt.first, b.takeEffects()[0].(messenger.Place).Job)
+			f.s.HandleReport(r)
+			require.Equal(t, tt.first, f.takeEffects()[0].(messenger.Place).Job)
 		})
 	}
 }
@@ -325,33 +325,33 @@
 func TestJobTooLateForSlowWorkersMayStillGoToAFastOne(t *testing.T) {
 	for _, agent := range []string{"a", "d"} {
 		t.Run(agent, func(t *testing.T) {
-			b := newSpeedFixture(t)
-			b.reportFree(1000, "a", "b", "c", "d")
-			j := b.job(jobID, 2)
+			f := newSpeedFixture(t)
+			f.reportFree(1000, "a", "b", "c", "d")
+			j := f.job(jobID, 2)
 			j.Steps[0].Estimate = 300 * time.Millisecond
-			b.s.Submit(1, j)
+			f.s.Submit(1, j)
 			// Its wait limit is 144 ms.
-			b.clock.Advance(150 * time.Millisecond)
-			b.reportFree(1000, "a", "b", "c", "d")
-			b.s.Tick()
-			b.takeEffects()
-			require.Empty(t, b.replies)
-			b.clock.Advance(40 * time.Millisecond)
-			r := speedReport(b, agent, 0)
+			f.clock.Advance(150 * time.Millisecond)
+			f.reportFree(1000, "a", "b", "c", "d")
+			f.s.Tick()
+			f.takeEffects()
+			require.Empty(t, f.replies)
+			f.clock.Advance(40 * time.Millisecond)
+			r := speedReport(f, agent, 0)
 			r.Free = messenger.Resources{CPU: 7000, Memory: 64_000}
-			b.s.HandleReport(r)
-			require.Equal(t, agent == "d", len(b.placedAgents()) > 0)
-			b.clock.Advance(200 * time.Millisecond)
-			b.s.Tick()
-			b.takeEffects()
-			require.Equal(t, agent == "a", len(b.replies) > 0, "refused unless it runs")
+			f.s.HandleReport(r)
+			require.Equal(t, agent == "d", len(f.placedAgents()) > 0)
+			f.clock.Advance(200 * time.Millisecond)
+			f.s.Tick()
+			f.takeEffects()
+			require.Equal(t, agent == "a", len(f.replies) > 0, "refused unless it runs")
 		})
 	}
 }
 
-// TestRunIsNotMovedForTheKnownSpeedOfItsWorker guards against a run that is taken for a
+// TestRunIsNotMovedBecauseItsWorkerIsKnownToBeSlow guards against a run that is taken for a
 // straggler because it was placed on a slow worker.
-func TestRunIsNotMovedForTheKnownSpeedOfItsWorker(t *testing.T) {
+func TestRunIsNotMovedBecauseItsWorkerIsKnownToBeSlow(t *testing.T) {
 	tests := []struct {
 		name    string
 		speed   float64
@@ -401,9 +401,9 @@
 			inEffect := 0
 			const samples = 100
 			for seed := range uint64(samples) {
-				b := newConnectedFixture(t, n)
-				b.reportSampledSpeeds(seed, jobs, func(int) float64 { return 0.9 })
-				if slices.ContainsFunc(b.relativeSpeeds(), func(v float64) bool { return v != 1 }) {
+				f := newConnectedFixture(t, n)
+				f.reportSampledSpeeds(seed, jobs, func(int) float64 { return 0.9 })
+				if slices.ContainsFunc(f.relativeSpeeds(), func(v float64) bool { return v != 1 }) {
 					inEffect++
 				}
 			}
@@ -413,9 +413,9 @@
 	}
 }
 
-// TestWorkersThatDifferAreFound guards against estimation errors that hide that every
+// TestSpeedDifferencesOfWorkersAreDetected guards against estimation errors that hide that every
 // third worker takes 1.3 times as long, or that a quarter of the workers are faster.
-func TestWorkersThatDifferAreFound(t *testing.T) {
+func TestSpeedDifferencesOfWorkersAreDetected(t *testing.T) {
 	speedsByCase := map[string]func(i int) float64{
 		"every third slow": func(i int) float64 { return []float64{1, 1, 1 / 1.3}[i%3] },
 		"a quarter fast":   func(i int) float64 { return []float64{1.8, 0.83, 0.83, 0.83}[i%4] },
@@ -425,9 +425,9 @@
 			found := 0
 			const seeds = 50
 			for seed := range uint64(seeds) {
-				b := newConnectedFixture(t, 24)
-				b.reportSampledSpeeds(seed, 16, speed)
-				if slices.ContainsFunc(b.relativeSpeeds(), func(v float64) bool { return v != 1 }) {
+				f := newConnectedFixture(t, 24)
+				f.reportSampledSpeeds(seed, 16, speed)
+				if slices.ContainsFunc(f.relativeSpeeds(), func(v float64) bool { return v != 1 }) {
 					found++
 				}
 			}
@@ -439,11 +439,11 @@
 
 // newConnectedFixture returns a fixture with n connected agents.
 func newConnectedFixture(t *testing.T, n int) *fixture {
-	b := newFixture(t)
+	f := newFixture(t)
 	for i := range n {
-		b.connect(string(rune('a' + i)))
+		f.connect(string(rune('a' + i)))
 	}
-	return b
+	return f
 }
 
 // reportSampledSpeeds has each agent report a speed that is the geometric mean over the
@@ -467,19 +467,19 @@
 // TestSpeedWithFewJobsBehindItDoesNotCount guards against a worker that is chosen
 // because of one wrong estimate.
 func TestSpeedWithFewJobsBehindItDoesNotCount(t *testing.T) {
-	b := newSpeedFixture(t)
-	require.InDelta(t, 1.8/0.83, b.relativeSpeeds()[3], 0.01)
-	r := speedReport(b, "d", 1.8)
+	f := newSpeedFixture(t)
+	require.InDelta(t, 1.8/0.83, f.relativeSpeeds()[3], 0.01)
+	r := speedReport(f, "d", 1.8)
 	r.SpeedJobs = 3
-	b.s.HandleReport(r)
-	b.clock.Advance(100 * time.Millisecond)
-	b.s.Tick()
-	require.InDelta(t, 1, b.relativeSpeeds()[3], 0)
+	f.s.HandleReport(r)
+	f.clock.Advance(100 * time.Millisecond)
+	f.s.Tick()
+	require.InDelta(t, 1, f.relativeSpeeds()[3], 0)
 }
 
-// TestSpeedOfAnAgentThatRestartsIsForgotten guards against a speed that is no longer
+// TestSpeedIsResetWhenItsAgentOrWorkerRestarts guards against a speed that is no longer
 // measured. The restarted agent of the worker reports no speed on its next link.
-func TestSpeedOfAnAgentThatRestartsIsForgotten(t *testing.T) {
+func TestSpeedIsResetWhenItsAgentOrWorkerRestarts(t *testing.T) {
 	tests := []struct {
 		name    string
 		restart func(f *fixture)
@@ -508,23 +508,23 @@
 // and is refused because the worker that can take all of its tasks has no headroom
 // beside them.
 func TestJobDeferredToFastWorkerIsNotSplit(t *testing.T) {
-	b := newSpeedFixture(t)
-	b.reportFree(1000, "a", "b", "c", "d")
-	j := b.job(jobID, 4)
+	f := newSpeedFixture(t)
+	f.reportFree(1000, "a", "b", "c", "d")
+	j := f.job(jobID, 4)
 	j.Steps[0].Estimate = 300 * time.Millisecond
-	b.s.Submit(1, j)
+	f.s.Submit(1, j)
 	// Its wait limit is 144 ms.
-	b.clock.Advance(150 * time.Millisecond)
-	b.reportFree(1000, "a", "b", "c", "d")
-	b.s.Tick()
-	b.takeEffects()
-	require.Empty(t, b.replies)
-	b.clock.Advance(40 * time.Millisecond)
-	r := speedReport(b, "d", 0)
+	f.clock.Advance(150 * time.Millisecond)
+	f.reportFree(1000, "a", "b", "c", "d")
+	f.s.Tick()
+	f.takeEffects()
+	require.Empty(t, f.replies)
+	f.clock.Advance(40 * time.Millisecond)
+	r := speedReport(f, "d", 0)
 	// Capacity for five tasks leaves less than the required headroom.
 	r.Free = messenger.Resources{CPU: 5 * j.Steps[0].Demand.CPU, Memory: 64_000}
-	b.s.HandleReport(r)
-	places := b.takeEffects()
+	f.s.HandleReport(r)
+	places := f.takeEffects()
 	require.Len(t, places, 1)
 	require.Len(t, places[0].(messenger.Place).Tasks, 4)
 }
--- a/scheduler/withdrawn_test.go
+++ b/scheduler/withdrawn_test.go
@@ -21,7 +21,7 @@
 	return run
 }
 
-func TestJobSentAgainWaitsUntilTheRunsOfItsLastTryAreOver(t *testing.T) {
+func TestJobSentAgainWaitsUntilTheRunsOfItsLastAttemptHaveEnded(t *testing.T) {
 	tests := []struct {
 		name string
 		end  func(f *fixture, run messenger.Run)
@@ -85,7 +85,7 @@
 	require.Equal(t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, f.takeEffects())
 }
 
-func TestTaskThatWasDoneInTheLastTryIsNotRunAgain(t *testing.T) {
+func TestTaskThatWasDoneInTheLastAttemptIsNotRunAgain(t *testing.T) {
 	f := newFixture(t)
 	run := f.withdrawnRun()
 	f.s.Submit(2, f.job(jobID, 1))
@@ -96,7 +96,7 @@
 	require.Equal(t, scheduler.Complete, f.replies[2].Outcome)
 }
 
-func TestRefusalOfAJobWhoseLastTryMayHaveRunIsUnsettled(t *testing.T) {
+func TestRefusalOfAJobWhoseLastAttemptMayHaveRunIsUnsettled(t *testing.T) {
 	f := newFixture(t)
 	f.withdrawnRun()
 	j := f.job(jobID, 1)
