--- a/messenger/link.go
+++ b/messenger/link.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// appendMessage appends the wire encoding of msg to out.
+// appendMessage appends the wire encoding of msg to buf.
 func appendMessage(buf []byte, msg any) ([]byte, error) {
 	number := -1
 	for i, t := range messageTypes {
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -26,33 +26,33 @@
 	GPU int `cbor:"3,keyasint,omitempty"`
 }
 
-// Plus returns the sum of d and o.
+// Plus returns the sum of r and o.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{CPU: r.CPU + o.CPU, Memory: r.Memory + o.Memory, GPU: r.GPU + o.GPU}
 }
 
-// Minus returns d less o.
+// Minus returns r less o.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, Memory: r.Memory - o.Memory, GPU: r.GPU - o.GPU}
 }
 
-// Min returns the smaller of d and o for each resource.
+// Min returns the smaller of r and o for each resource.
 func (r Resources) Min(o Resources) Resources {
 	return Resources{CPU: min(r.CPU, o.CPU), Memory: min(r.Memory, o.Memory), GPU: min(r.GPU, o.GPU)}
 }
 
-// Max returns the larger of d and o for each resource.
+// Max returns the larger of r and o for each resource.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{CPU: max(r.CPU, o.CPU), Memory: max(r.Memory, o.Memory), GPU: max(r.GPU, o.GPU)}
 }
 
-// NonNegative returns d with negative amounts replaced by 0.
+// NonNegative returns r with negative amounts replaced by 0.
 func (r Resources) NonNegative() Resources { return r.Max(Resources{}) }
 
-// IsZero reports whether all amounts of d are zero.
+// IsZero reports whether all amounts of r are zero.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
-// FitsIn reports whether capacity has at least d of each resource.
+// FitsIn reports whether capacity has at least r of each resource.
 func (r Resources) FitsIn(capacity Resources) bool {
 	return r.CPU <= capacity.CPU && r.Memory <= capacity.Memory && r.GPU <= capacity.GPU
 }
@@ -69,7 +69,7 @@
 	// Incarnation is higher for a later start of the entry.
 	Incarnation int64 `cbor:"2,keyasint,omitempty"`
 	// Upstream is the worker that the entry last saw at this agent, for an agent that
-	// has restarted and has not heard from its worker yet.
+	// has restarted and has received nothing from its worker yet.
 	Upstream Upstream `cbor:"3,keyasint,omitempty"`
 }
 
@@ -89,7 +89,7 @@
 	// AckedOutcome is the LastOutcome of the last Report on the link. The agent drops
 	// the outcomes up to it.
 	AckedOutcome uint64 `cbor:"6,keyasint,omitempty"`
-	// HeldJobs lists the jobs that other entries have to know of.
+	// HeldJobs lists the held jobs that are announced to the other entries.
 	HeldJobs HeldJobs `cbor:"7,keyasint,omitempty"`
 }
 
@@ -117,7 +117,7 @@
 	WantsForecast bool `cbor:"4,keyasint,omitempty"`
 }
 
-// With returns w with one more task, whose demand is d.
+// With returns b with one more task, whose demand is d.
 func (b Backlog) With(d Resources) Backlog {
 	if b.Tasks == 0 {
 		return Backlog{Tasks: 1, Total: d, Min: d, WantsForecast: b.WantsForecast}
@@ -125,7 +125,7 @@
 	return Backlog{Tasks: b.Tasks + 1, Total: b.Total.Plus(d), Min: b.Min.Min(d), WantsForecast: b.WantsForecast}
 }
 
-// Without returns w less the given number of tasks, whose total demand is sum. Min is
+// Without returns b less the given number of tasks, whose total demand is total. Min is
 // not raised and may be too low afterwards.
 func (b Backlog) Without(tasks int, total Resources) Backlog {
 	if tasks >= b.Tasks {
@@ -277,7 +277,7 @@
 	PaceJobs int     `cbor:"12,keyasint,omitempty"`
 	// ConnectedEntries is the number of entries connected to the agent.
 	ConnectedEntries int `cbor:"13,keyasint,omitempty"`
-	// Leaving means that the agent is stopping.
+	// Leaving means that the agent is shutting down.
 	Leaving bool `cbor:"14,keyasint,omitempty"`
 	// RunsComplete means that Runs lists every run of the entry at the agent.
 	RunsComplete bool       `cbor:"15,keyasint,omitempty"`
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// waitSlackShare is the greatest part of a job's slack that the expected wait may
+	// waitSlackShare is the maximum share of a job's slack that the expected wait may
 	// take for the job to be admitted. maxWait bounds that wait, so that no caller
 	// waits long before it is refused.
 	waitSlackShare = 0.6
@@ -147,7 +147,7 @@
 	Workers float64
 }
 
-// CapacityNeed returns the present need and resets the record of refusals.
+// CapacityNeed returns the current need and resets the record of refusals.
 func (s *Scheduler) CapacityNeed() CapacityNeed {
 	now := s.clock.Now()
 	longWait := slices.ContainsFunc(s.queue, func(j *job) bool { return now.Sub(j.arrived) > shortageAfter })
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -51,7 +51,7 @@
 			for i := range rapid.IntRange(0, 4).Draw(rt, "arrivals") {
 				k := drawKind(rt)
 				id := fmt.Sprintf("%016x", 1+10*n+i)
-				q := quotes()
+				q := quotesQueue()
 				q.Name = fmt.Sprintf("queue-%d", k.priority)
 				q.Priority = k.priority
 				j := scheduler.Job{
--- a/scheduler/agent.go
+++ b/scheduler/agent.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxReportAge is the greatest age of an agent's last report with which tasks are
+	// maxReportAge is the maximum age of an agent's last report with which tasks are
 	// still placed there.
 	maxReportAge = 250 * time.Millisecond
 	// AgentLossTimeout is how long after an agent's last report its runs for this entry
--- a/scheduler/availability.go
+++ b/scheduler/availability.go
@@ -16,8 +16,8 @@
 	horizon int
 	// freeShare is the capacity that is free now over the capacity needed.
 	freeShare float64
-	// tieBreak is the agent's position in the job's own order of agents, so that entries
-	// ask different agents among equal ones.
+	// tieBreak is the agent's position in the job's own order of agents, so that
+	// entries choose different agents among equal ones.
 	tieBreak uint64
 }
 
@@ -27,6 +27,7 @@
 	horizonBeyond  = horizonUnknown + 1
 )
 
+// better reports whether a is preferred to other.
 func (a availability) better(other availability) bool {
 	switch {
 	case a.near != other.near:
@@ -40,7 +41,7 @@
 }
 
 // soonestAgent returns the agent at which capacity for a task is expected first; nil
-// when no agent can be asked.
+// when no agent may be asked to reserve it.
 func (s *Scheduler) soonestAgent(t *task, now time.Time) *agent {
 	var best *agent
 	var bestAvailability availability
--- a/scheduler/configuration.go
+++ b/scheduler/configuration.go
@@ -18,8 +18,8 @@
 	// BodyLimit bounds the body of a request, in bytes.
 	BodyLimit int64
 	// FarFactor is the factor by which a task takes longer on a worker away from its
-	// data. It comes from the entry's settings; with 0 or 1 the place makes no
-	// difference.
+	// data. It comes from the entry's settings; with 0 or 1 it makes no difference
+	// where the task runs.
 	FarFactor float64
 }
 
@@ -37,7 +37,7 @@
 	return c
 }
 
-// Queue describes a queue, which takes the jobs of one kind.
+// Queue describes a queue, which accepts the jobs of one kind.
 type Queue struct {
 	Name string
 	// Host and Prefix select the requests that belong to the queue.
@@ -54,8 +54,8 @@
 	Slack   time.Duration
 	// Timeout bounds the duration of a request.
 	Timeout time.Duration
-	// Advised means that the queue has a service that must be asked where a step may
-	// run.
+	// Advised means that the queue has a service that must be queried about where a
+	// step may run.
 	Advised bool
 }
 
--- a/scheduler/duplicate_test.go
+++ b/scheduler/duplicate_test.go
@@ -35,7 +35,7 @@
 	{"a worker that does not exist is announced", func(sim *simulation) {
 		a := sim.anyAgent()
 		u := a.worker.upstream
-		u.ID = "stranger"
+		u.ID = "unknown-worker"
 		u.Born++
 		a.do(func() { a.core.SetUpstream(u) })
 		a.announceWorker()
@@ -98,7 +98,7 @@
 
 func TestNoTaskThatIsDoneRunsAgainWhenLinksBreak(t *testing.T) {
 	for seed := range uint64(4) {
-		sim := newSimulation(t, 340+seed, 3, 7, cores)
+		sim := newSimulation(t, 340+seed, 3, 7, workerCPU)
 		sim.load(6*time.Second, 0.6)
 		sim.every(50*time.Millisecond, func() {
 			a := sim.anyAgent()
@@ -118,7 +118,7 @@
 		t.Run(signal.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				sim := newSimulation(t, 300+seed, 3, 7, cores)
+				sim := newSimulation(t, 300+seed, 3, 7, workerCPU)
 				sim.load(6*time.Second, 0.6)
 				for range 30 {
 					sim.schedule(time.Duration(sim.rng.Int64N(int64(6*time.Second))), func() { signal.trigger(sim) })
@@ -134,7 +134,7 @@
 	t.Run("all signals and faults", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(8) {
-			sim := newSimulation(t, 320+seed, 3, 7, cores)
+			sim := newSimulation(t, 320+seed, 3, 7, workerCPU)
 			sim.load(8*time.Second, 0.6)
 			for range 30 {
 				at := time.Duration(sim.rng.Int64N(int64(8 * time.Second)))
@@ -142,7 +142,7 @@
 			}
 			for range 8 {
 				at := time.Duration(sim.rng.Int64N(int64(8 * time.Second)))
-				sim.schedule(at, fault(sim, 200*time.Millisecond+time.Duration(sim.rng.Int64N(int64(2*time.Second)))))
+				sim.schedule(at, randomFault(sim, 200*time.Millisecond+time.Duration(sim.rng.Int64N(int64(2*time.Second)))))
 			}
 			sim.run(16 * time.Second)
 			sim.check()
--- a/scheduler/effect.go
+++ b/scheduler/effect.go
@@ -47,7 +47,7 @@
 // RefusalPoint is the stage at which a job was refused for lack of capacity.
 type RefusalPoint string
 
-// The points.
+// The refusal points.
 const (
 	// AtOnce means on arrival.
 	AtOnce RefusalPoint = "AtOnce"
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -37,7 +37,7 @@
 }
 
 // usable reports whether tasks may be placed on the worker. A probe without an outcome
-// no longer prevents that maxEjectTime after the ejection was to end.
+// prevents that until maxEjectTime after ejectedUntil.
 func (h *health) usable(now time.Time) bool {
 	return !h.ejected || (!h.probing() && now.After(h.ejectedUntil)) || now.After(h.ejectedUntil.Add(maxEjectTime))
 }
@@ -68,8 +68,8 @@
 	h.clearProbe(r)
 }
 
-// clearProbe records that a run has ended without a result that says anything about the
-// worker.
+// clearProbe clears the probe if it is the given run, which has ended without deciding on
+// the ejection. The next placement is a new probe.
 func (h *health) clearProbe(r messenger.Run) {
 	if h.isProbe(r) {
 		h.probe = messenger.Run{}
--- a/scheduler/heldjobs.go
+++ b/scheduler/heldjobs.go
@@ -22,8 +22,8 @@
 	// announcement needs some time from the agent to the other entries.
 	announceAfter    = 500 * time.Millisecond
 	announceDeadline = 1200 * time.Millisecond
-	// maxEchoAge is the greatest age of the last heartbeat known to have arrived for
-	// the jobs in it to count as still announced to the other entries. The rest of
+	// maxEchoAge is the maximum age of the last heartbeat known to have arrived for the
+	// jobs in it to count as still announced to the other entries. The rest of
 	// HeldJobsTTL is for a tick, the withdrawal of the runs, their stop, and the
 	// transfer of both messages.
 	maxEchoAge = messenger.HeldJobsTTL - 290*time.Millisecond
@@ -220,8 +220,9 @@
 }
 
 // ownsExclusively reports whether no other entry can have started the job after its
-// caller has sent it again: it is too early for that, or the other entries have been
-// told in time, and recently enough, that it is held here.
+// caller has sent it again: it is too early for that, or the job was announced in time,
+// an agent has echoed a heartbeat that announces it, and the newest echoed heartbeat is
+// recent enough.
 func (s *Scheduler) ownsExclusively(j *job, now time.Time) bool {
 	if now.Sub(j.hold.sentAt) < announceDeadline || s.yielding[j.ID] == j {
 		return true
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -28,7 +28,7 @@
 type Step struct {
 	Count  int
 	Demand messenger.Resources
-	// Estimate is roughly how long a task takes on a healthy worker.
+	// Estimate is approximately how long a task takes on a healthy worker.
 	Estimate time.Duration
 	// After lists, by index, the steps that must be done before this one starts.
 	After []int
--- a/scheduler/locality_test.go
+++ b/scheduler/locality_test.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestFarTaskIsExpectedToTakeLonger guards against far workers that are taken for slow,
-// and against forecasts that count on their capacity too soon.
+// TestFarTaskIsExpectedToTakeLonger guards against far workers that are mistaken for
+// slow ones, and against forecasts that count on their capacity too soon.
 func TestFarTaskIsExpectedToTakeLonger(t *testing.T) {
 	tests := []struct {
 		farFactor float64
--- a/scheduler/longtask_test.go
+++ b/scheduler/longtask_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			sim := newSimulation(t, 400, 2, 5, cores)
+			sim := newSimulation(t, 400, 2, 5, workerCPU)
 			for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
 				sim.schedule(at, func() { sim.submit(sim.entries[sim.rng.IntN(2)], jobKind{tasks: 2, work: 3 * time.Second, cpu: 3100}) })
 			}
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -44,7 +44,7 @@
 			t.Parallel()
 			refusedSum, immediateSum, jobs, inTime := 0, 0, 0, 0
 			for seed := range uint64(seeds) {
-				sim := newSimulation(t, 60+seed, entries, agents, cores)
+				sim := newSimulation(t, 60+seed, entries, agents, workerCPU)
 				sim.load(span, tt.base)
 				sim.schedule(span/4, func() { sim.burst(span/2, tt.base, tt.extra) })
 				sim.run(span + 3*time.Second)
@@ -57,7 +57,7 @@
 				immediateSum += immediate
 				jobs += s.all
 				inTime += s.inTime
-				t.Logf("%+v, %d refused on arrival, served %.3f", s, immediate, sim.served())
+				t.Logf("%+v, %d refused on arrival, served %.3f", s, immediate, sim.inTimeShares())
 			}
 			t.Logf("%d of %d refused on arrival, %d of %d in time", immediateSum, refusedSum, inTime, jobs)
 			require.GreaterOrEqual(t, float64(immediateSum), 0.8*float64(refusedSum))
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -91,14 +91,14 @@
 	return s.rackJobSeen && s.config.FarFactor > 1 || s.largeForAnyService(s.maxBacklogDemand)
 }
 
-// Backlog returns what waits for capacity.
+// Backlog recomputes and returns the tasks that wait for capacity.
 func (s *Scheduler) Backlog() messenger.Backlog {
 	s.backlog = s.computeBacklog()
 	return s.backlog
 }
 
 // EarlyHeartbeatDue reports whether heartbeats must be sent to all agents now because
-// jobs have begun to wait. Agents report freed capacity at once only to entries that
+// jobs now wait for capacity. Agents report freed capacity at once only to entries that
 // have announced a backlog.
 func (s *Scheduler) EarlyHeartbeatDue() bool {
 	if len(s.queue) == 0 {
--- a/scheduler/rackload_test.go
+++ b/scheduler/rackload_test.go
@@ -25,7 +25,7 @@
 
 // newRackSimulation returns a simulation in which the first workers are on the rack.
 func newRackSimulation(t testing.TB, seed uint64, entries int, farFactor float64, farFactorKnown bool) *simulation {
-	sim := newSimulation(t, seed, entries, totalWorkers, cores)
+	sim := newSimulation(t, seed, entries, totalWorkers, workerCPU)
 	sim.farFactor = farFactor
 	sim.farFactorKnown = farFactorKnown
 	for _, a := range sim.agents[:rackWorkers] {
@@ -47,7 +47,7 @@
 	for i, k := range jobKinds {
 		work += perSecond[i] * float64(k.tasks) * k.work.Seconds() * float64(k.cpu)
 	}
-	factor := load * totalWorkers * cores / work
+	factor := load * totalWorkers * workerCPU / work
 	for i, k := range jobKinds {
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor))
 		for at := time.Duration(sim.rng.Int64N(int64(gap))); at < duration; at += time.Duration(float64(gap) * (0.5 + sim.rng.Float64())) {
@@ -109,7 +109,7 @@
 }
 
 // TestRackLostWhileJobsWaitForIt guards against jobs that wait for a rack whose agents
-// are gone: they have to be served about as well as if all were placed far at once.
+// are lost: they have to be served about as well as if all were placed far at once.
 func TestRackLostWhileJobsWaitForIt(t *testing.T) {
 	const (
 		lostAt = 2 * time.Second
@@ -198,7 +198,7 @@
 
 func (sim *simulation) rackShares() rackShares {
 	r := rackShares{rack: sim.rackInTimeShare()}
-	copy(r.kinds[:], sim.served())
+	copy(r.kinds[:], sim.inTimeShares())
 	return r
 }
 
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -225,7 +225,7 @@
 // fault.
 func (s *Scheduler) handleFailure(a *agent, t *task) {
 	if a.health.isProbe(t.current()) {
-		s.eject(a, "failed the probe")
+		s.eject(a, "probe run failed")
 	}
 	t.failures++
 	if t.failures >= t.job.Queue.MaxAttempts {
@@ -277,8 +277,8 @@
 	s.uncountStart(t.job, s.clock.Now())
 }
 
-// unplace removes the task from its agent. If its run was the probe, the run says
-// nothing more about the worker.
+// unplace removes the task from its agent. If its run was the probe, it no longer
+// decides on the ejection.
 func (t *task) unplace() {
 	t.agent.health.clearProbe(t.current())
 	delete(t.agent.tasks, t.current())
--- a/scheduler/reservation.go
+++ b/scheduler/reservation.go
@@ -25,8 +25,8 @@
 	// maxMissedReports is the number of consecutive reports without the reservation
 	// after which it is cancelled.
 	maxMissedReports = 2
-	// reserveBackoff is how long an agent is not asked again after a reservation there
-	// has ended unused.
+	// reserveBackoff is how long no reservation is requested from an agent after one
+	// there has ended unused.
 	reserveBackoff = 200 * time.Millisecond
 	// placedElsewhereGrace is how long a reservation is kept after its task has been
 	// placed elsewhere, where another entry may have taken the capacity.
@@ -118,7 +118,7 @@
 	a.reservation = v
 	s.reservations = append(s.reservations, v)
 	s.emit(Send{Agent: a.name, Message: messenger.Reserve{Number: v.number, Demand: v.demand, TTL: ttl}})
-	s.noteReservation(v, "reservation requested", fmt.Sprintf("%d thousandths of a core for %s", v.demand.CPU, ttl))
+	s.noteReservation(v, "reservation requested", fmt.Sprintf("demand of %d thousandths of a core, TTL %s", v.demand.CPU, ttl))
 }
 
 // noteReservation emits the note on a reservation's change of state.
@@ -185,10 +185,10 @@
 		return
 	}
 	s.removeReservation(v)
-	s.noteReservation(v, "reservation used", fmt.Sprintf("after %s", s.clock.Since(v.requestedAt)))
+	s.noteReservation(v, "reservation used", fmt.Sprintf("%s after the request", s.clock.Since(v.requestedAt)))
 }
 
-// cancelReservation ends a reservation and tells its agent.
+// cancelReservation ends a reservation and notifies its agent.
 func (s *Scheduler) cancelReservation(v *reservation, why string) {
 	s.removeReservation(v)
 	v.agent.nextReserveAt = s.clock.Now().Add(reserveBackoff)
@@ -207,7 +207,7 @@
 	}
 }
 
-// removeReservation removes a reservation without telling the agent.
+// removeReservation removes a reservation without notifying the agent.
 func (s *Scheduler) removeReservation(v *reservation) {
 	v.agent.reservation = nil
 	s.reservations = slices.DeleteFunc(s.reservations, func(other *reservation) bool { return other == v })
--- a/scheduler/reservation_test.go
+++ b/scheduler/reservation_test.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestReservedCapacityGoesToItsJob guards against a small job of the same entry that takes the
-// capacity reserved for the large one.
+// TestReservedCapacityGoesToItsJob guards against a small job of the same entry that
+// takes the capacity reserved for the large one.
 func TestReservedCapacityGoesToItsJob(t *testing.T) {
 	f := newFullFixture(t, "a")
 	r := f.requestReservation("a")
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -9,7 +9,7 @@
 
 func TestJobsThatArriveAsAllProcessesRestartAreServed(t *testing.T) {
 	const downtime = 1300 * time.Millisecond
-	sim := newSimulation(t, 7, 3, 11, cores)
+	sim := newSimulation(t, 7, 3, 11, workerCPU)
 	sim.run(time.Second)
 	for _, a := range sim.agents {
 		a.kill(downtime)
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -15,20 +15,20 @@
 // retrySchedule spreads the retries of the refused callers of a queue, so that a
 // refused burst does not return as a burst.
 type retrySchedule struct {
-	// nextFree is the earliest time that has not been given to a caller.
-	nextFree time.Time
+	// nextUnassigned is the earliest time that has not been assigned to a caller.
+	nextUnassigned time.Time
 }
 
 // retryAfter returns when the next refused caller is asked to retry: once the backlog
-// is worked off, and gap after the caller before it. Times beyond maxRetryAfter start
-// over at the earliest one.
+// has been processed, and gap after the caller before it. Times beyond maxRetryAfter
+// start over at the earliest one.
 func (r *retrySchedule) retryAfter(now time.Time, backlogTime, gap time.Duration) time.Duration {
 	earliest := min(max(backlogTime, minRetryAfter), maxRetryAfter)
-	wait := max(r.nextFree.Sub(now), earliest)
+	wait := max(r.nextUnassigned.Sub(now), earliest)
 	if wait > maxRetryAfter {
 		wait = earliest
 	}
-	r.nextFree = now.Add(wait + gap)
+	r.nextUnassigned = now.Add(wait + gap)
 	return wait
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -62,13 +62,14 @@
 	recordOrder   []string
 	lastJobNumber uint64
 	effects       []Effect
-	// enqueueCount counts the calls that put a job's tasks up for placement.
+	// enqueueCount counts the calls of enqueue that made tasks available for placement.
 	enqueueCount uint64
 	// backlog is what waited for capacity when it was last computed, less what has been
 	// placed since.
 	backlog messenger.Backlog
-	// backlogAnnounced means that the agents have been told that jobs wait.
-	// earlyHeartbeatAt is when heartbeats were last sent for that before they were due.
+	// backlogAnnounced means that heartbeats were sent before they were due, to
+	// announce to the agents that jobs wait. earlyHeartbeatAt is when that was last
+	// done.
 	backlogAnnounced bool
 	earlyHeartbeatAt time.Time
 	// passBacklog is what the last scheduling pass left waiting. capacityScarce means
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -24,7 +24,8 @@
 	s     *scheduler.Scheduler
 	// replies are the answers so far, by ticket.
 	replies map[uint64]scheduler.Answer
-	// sentMessages are the messages to agents that the last call of drain returned.
+	// sentMessages are the messages to agents that the last call of takeEffects
+	// returned.
 	sentMessages []any
 	// linkOpenedAt is when the link to each agent was opened.
 	linkOpenedAt map[string]time.Time
@@ -46,8 +47,8 @@
 	return f
 }
 
-// takeEffects takes the scheduler's effects, records the replies and returns the messages to
-// agents.
+// takeEffects takes the scheduler's effects, records the replies and returns the
+// messages to agents.
 func (f *fixture) takeEffects() []any {
 	f.sentMessages = nil
 	for _, e := range f.s.TakeEffects() {
@@ -101,7 +102,7 @@
 
 func (f *fixture) job(id string, tasks int) scheduler.Job {
 	return scheduler.Job{
-		ID: id, Queue: quotes(), Spec: "spec", Deadline: f.clock.Now().Add(1500 * time.Millisecond),
+		ID: id, Queue: quotesQueue(), Spec: "spec", Deadline: f.clock.Now().Add(1500 * time.Millisecond),
 		Steps: []scheduler.Step{{Count: tasks, Demand: messenger.Resources{CPU: 3100}, Estimate: 60 * time.Millisecond}},
 	}
 }
@@ -314,7 +315,7 @@
 	}
 	f.s.Submit(1, f.job(jobID, 1))
 	agents := make(map[string]bool)
-	for range quotes().MaxAttempts {
+	for range quotesQueue().MaxAttempts {
 		var to string
 		var run messenger.Run
 		for _, e := range f.s.TakeEffects() {
--- a/scheduler/simcluster_test.go
+++ b/scheduler/simcluster_test.go
@@ -250,10 +250,10 @@
 
 // configuration returns a configuration with one queue, for the service quotes.
 func configuration() scheduler.Configuration {
-	return scheduler.Configuration{Version: 1, Queues: []scheduler.Queue{quotes()}, Evacuated: map[string]bool{}}
+	return scheduler.Configuration{Version: 1, Queues: []scheduler.Queue{quotesQueue()}, Evacuated: map[string]bool{}}
 }
 
-func quotes() scheduler.Queue {
+func quotesQueue() scheduler.Queue {
 	return scheduler.Queue{Name: "quotes", Host: "q.example", Prefix: "/q/", Service: "quotes", MaxAttempts: 3, Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 1500 * time.Millisecond}
 }
 
@@ -290,7 +290,7 @@
 	id := fmt.Sprintf("%016x", sim.jobs)
 	work := time.Duration(float64(k.work) * (0.6 + 0.8*sim.rng.Float64()))
 	estimate := time.Duration(float64(work) * (0.7 + 0.6*sim.rng.Float64()))
-	q := quotes()
+	q := quotesQueue()
 	q.Name = fmt.Sprintf("queue-%d", k.priority)
 	q.Priority = k.priority
 	j := scheduler.Job{
@@ -405,8 +405,8 @@
 	return s
 }
 
-// served returns, for each kind, the share of its jobs that were complete in time.
-func (sim *simulation) served() []float64 {
+// inTimeShares returns, for each kind, the share of its jobs that were complete in time.
+func (sim *simulation) inTimeShares() []float64 {
 	all := make([]float64, len(jobKinds))
 	inTime := make([]float64, len(jobKinds))
 	for _, r := range sim.results {
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cores is a worker's capacity in thousandths of a core.
-const cores = 36_000
+// workerCPU is a worker's capacity in thousandths of a core.
+const workerCPU = 36_000
 
 func TestModerateLoadIsServedInTime(t *testing.T) {
-	sim := newSimulation(t, 1, 3, 11, cores)
+	sim := newSimulation(t, 1, 3, 11, workerCPU)
 	sim.load(10*time.Second, 0.9)
 	sim.run(15 * time.Second)
 	sim.check()
@@ -24,7 +24,7 @@
 }
 
 func TestEntryThatGetsMostOfTheLoadUsesMostOfTheCapacity(t *testing.T) {
-	sim := newSimulation(t, 5, 9, 11, cores)
+	sim := newSimulation(t, 5, 9, 11, workerCPU)
 	for range 6 {
 		// One entry gets what nine would share: nine tenths of the full capacity.
 		sim.loadAt(sim.entries[:1], 6*time.Second, 0.25)
@@ -39,7 +39,7 @@
 func TestOverloadIsRefusedAtOnceAndStarvesNoKind(t *testing.T) {
 	// The load is a quarter above the full capacity of all workers.
 	const factor = 2.0
-	sim := newSimulation(t, 2, 3, 11, cores)
+	sim := newSimulation(t, 2, 3, 11, workerCPU)
 	sim.load(6*time.Second, factor)
 	sim.run(12 * time.Second)
 	sim.check()
@@ -48,7 +48,7 @@
 	require.Zero(t, s.failed)
 	require.Less(t, s.slowestRefusal, 400*time.Millisecond)
 	// Half of each kind is the minimum that its callers accept on a bad day.
-	for k, share := range sim.served() {
+	for k, share := range sim.inTimeShares() {
 		require.GreaterOrEqual(t, share, 0.5, "kind %d", k)
 	}
 	require.GreaterOrEqual(t, float64(s.inTime), 0.7*float64(s.all))
@@ -66,7 +66,7 @@
 		duration = 2 * time.Second
 	)
 	simulate := func(entries int, delay time.Duration) *simulation {
-		sim := newSimulation(t, 50, entries, agents, cores)
+		sim := newSimulation(t, 50, entries, agents, workerCPU)
 		sim.linkDelay = delay
 		sim.loadAt(sim.entries[:1], duration, factor/4)
 		sim.loadAt(sim.entries[entries-1:], duration, factor/4)
@@ -98,7 +98,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			sim := newSimulation(t, 3, 3, 11, cores)
+			sim := newSimulation(t, 3, 3, 11, workerCPU)
 			sim.load(8*time.Second, 0.8)
 			sim.schedule(time.Second, func() { tt.injectFault(sim.agents[4].worker) })
 			sim.run(14 * time.Second)
@@ -122,7 +122,7 @@
 		// scarceLoad is a load factor at which every worker with free capacity is used.
 		scarceLoad = 1.7
 	)
-	sim := newSimulation(t, 3, entries, 11, cores)
+	sim := newSimulation(t, 3, entries, 11, workerCPU)
 	sim.load(9*time.Second, scarceLoad)
 	slow := sim.agents[4].worker
 	sim.schedule(time.Second, func() { slow.slowdown = 8 })
@@ -141,12 +141,12 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", 100+seed), func(t *testing.T) {
 			t.Parallel()
-			sim := newSimulation(t, 100+seed, 3, 7, cores)
+			sim := newSimulation(t, 100+seed, 3, 7, workerCPU)
 			sim.load(8*time.Second, 0.6)
 			for range 14 {
 				at := time.Duration(sim.rng.Int64N(int64(8 * time.Second)))
 				duration := 200*time.Millisecond + time.Duration(sim.rng.Int64N(int64(3*time.Second)))
-				sim.schedule(at, fault(sim, duration))
+				sim.schedule(at, randomFault(sim, duration))
 			}
 			sim.run(16 * time.Second)
 			sim.check()
@@ -155,8 +155,8 @@
 	}
 }
 
-// fault returns a random fault that lasts for the given duration.
-func fault(sim *simulation, duration time.Duration) func() {
+// randomFault returns a random fault that lasts for the given duration.
+func randomFault(sim *simulation, duration time.Duration) func() {
 	e := sim.entries[sim.rng.IntN(len(sim.entries))]
 	a := sim.agents[sim.rng.IntN(len(sim.agents))]
 	switch sim.rng.IntN(7) {
@@ -198,11 +198,11 @@
 	}
 }
 
-// TestEntriesSeldomPlaceTasksWithoutFreeCapacity guards against entries that all choose the
-// same worker because their reports are slightly out of date, while others have free
-// capacity.
+// TestEntriesSeldomPlaceTasksWithoutFreeCapacity guards against entries that all choose
+// the same worker because their reports are slightly out of date, while others have
+// free capacity.
 func TestEntriesSeldomPlaceTasksWithoutFreeCapacity(t *testing.T) {
-	sim := newSimulation(t, 7, 9, 22, cores)
+	sim := newSimulation(t, 7, 9, 22, workerCPU)
 	sim.load(4*time.Second, 1.6)
 	sim.run(6 * time.Second)
 	sim.check()
--- a/scheduler/simworker_test.go
+++ b/scheduler/simworker_test.go
@@ -12,7 +12,7 @@
 type simRun struct {
 	run       messenger.Run
 	startedAt time.Time
-	// work is how long the run takes at the worker's usual speed.
+	// work is how long the run takes at the worker's speed.
 	work   time.Duration
 	fails  bool
 	demand messenger.Resources
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -38,13 +38,13 @@
 
 func (m mixedSizesScenario) run(t testing.TB) *simulation {
 	t.Helper()
-	sim := newSimulation(t, m.seed, m.entries, m.agents, cores)
+	sim := newSimulation(t, m.seed, m.entries, m.agents, workerCPU)
 	sim.ignoreReserve = m.withoutReservations
 	if m.fault != nil {
 		m.fault(sim)
 	}
 	mean := (float64(jobsPerLarge-1)*smallCPU*smallWork.Seconds() + largeCPU*largeWork.Seconds()) / jobsPerLarge
-	gap := time.Duration(float64(time.Second) * mean / (m.loadShare * float64(cores*m.agents)))
+	gap := time.Duration(float64(time.Second) * mean / (m.loadShare * float64(workerCPU*m.agents)))
 	n := 0
 	for at := time.Duration(0); at < mixedLoadDuration; at += time.Duration(float64(gap) * 2 * sim.rng.Float64()) {
 		n++
@@ -76,7 +76,7 @@
 	id := fmt.Sprintf("%016x", sim.jobs)
 	work := time.Duration(float64(mean) * (0.5 + sim.rng.Float64()))
 	estimate := time.Duration(float64(work) * (1 - maxError + 2*maxError*sim.rng.Float64()))
-	q := quotes()
+	q := quotesQueue()
 	q.Slack = time.Second
 	j := scheduler.Job{
 		ID: id, Queue: q, Spec: "spec", Deadline: sim.clock.Now().Add(2 * time.Second),
@@ -168,16 +168,16 @@
 // large tasks is about the second longest wait.
 func TestLargeTasksWaitLessWithReservations(t *testing.T) {
 	const (
-		// maxLargeLateRatio is the maximum ratio of late large jobs with reservations to those
-		// without at nine tenths of the capacity: a gain of less than a tenth is not
-		// worth the idle capacity on a worker.
+		// maxLargeLateRatio is the maximum ratio of late large jobs with reservations
+		// to those without at nine tenths of the capacity: a gain of less than a tenth
+		// is not worth the idle capacity on a worker.
 		maxLargeLateRatio = 0.9
 		// maxSmallLate is the maximum share of small jobs that may be late at that load.
 		maxSmallLate = 0.01
 		// maxSmallRefused is the maximum share of small jobs that are refused in overload.
 		maxSmallRefused = 0.02
-		// maxSmallLateInOverload is the maximum share of them that are late in overload, as in
-		// TestOverloadIsRefusedAtOnceAndStarvesNoKind.
+		// maxSmallLateInOverload is the maximum share of them that are late in
+		// overload, as in TestOverloadIsRefusedAtOnceAndStarvesNoKind.
 		maxSmallLateInOverload = 0.05
 	)
 	for _, m := range []mixedSizesScenario{
--- a/scheduler/speed.go
+++ b/scheduler/speed.go
@@ -123,7 +123,7 @@
 // The variance of the logarithms of the speeds, less the part that is explained by the
 // error of the estimates and its usual variation, must be at least that of two halves
 // that differ by speedStepRatio. Once the workers differ, a third of it is enough, so
-// that the answer does not flap.
+// that the result does not oscillate.
 func speedSpread(agents []*agent, wasHeterogeneous bool) (median float64, heterogeneous bool) {
 	var logs []float64
 	var errorVariance float64
@@ -154,8 +154,8 @@
 	return math.Exp(logs[len(logs)/2]), variance >= minVariance
 }
 
-// speedCriteria holds the limits by which the speed of a worker is judged for waiting
-// tasks. Its zero value is used for workers that do not differ.
+// speedCriteria holds the criteria by which a worker's speed is rated for waiting tasks.
+// Its zero value is used for workers that do not differ.
 type speedCriteria struct {
 	heterogeneous bool
 	// timeLeft is the time until the job's objective.
@@ -170,7 +170,7 @@
 	fastOnly bool
 }
 
-// speedCriteriaOf returns the limits for the tasks of one step.
+// speedCriteriaOf returns the criteria for the tasks of one step.
 func (s *Scheduler) speedCriteriaOf(j *job, step int, waiting []*task, now time.Time) speedCriteria {
 	if !s.speedProfileOf(j.Queue).heterogeneous {
 		return speedCriteria{}
@@ -238,8 +238,8 @@
 }
 
 // needsFastWorker reports whether an agent has free capacity for all ready tasks of a
-// job, the job meets its objective there, and it would miss the objective on workers of
-// the slow speed. All ready tasks are required because a job that had to leave some of
+// job, the job meets its objective there, and it would miss the objective on workers
+// with slowSpeed. All ready tasks are required because a job that had to leave some of
 // them waiting would miss its objective anyway.
 func (j *job) needsFastWorker(a *agent, slowSpeed float64, now time.Time) bool {
 	firstReady := slices.IndexFunc(j.tasks, func(t *task) bool { return t.state == ready })
@@ -259,8 +259,8 @@
 	return totalDemand.FitsIn(a.free())
 }
 
-// expectedSpeed returns the speed by which a run placed now is judged. An ejected
-// worker has to prove that it reaches the median speed.
+// expectedSpeed returns the speed with which the pace of a run placed now is compared.
+// An ejected worker has to reach the median speed.
 func (a *agent) expectedSpeed() float64 {
 	if a.health.ejected {
 		return 1
--- a/scheduler/speed_test.go
+++ b/scheduler/speed_test.go
@@ -19,14 +19,15 @@
 	// quarter of the workers and on the others.
 	fastWorkFactor   = 1 / 1.8
 	normalWorkFactor = 1 / 0.83
-	// heterogeneousFullLoad is the load factor that uses the full capacity of twelve workers of
-	// different speeds.
+	// heterogeneousFullLoad is the load factor that uses the full capacity of twelve
+	// workers of different speeds.
 	heterogeneousFullLoad = 1.79
 )
 
-// newHeterogeneousSimulation returns a simulation in which a quarter of the workers are fast.
+// newHeterogeneousSimulation returns a simulation in which a quarter of the workers are
+// fast.
 func newHeterogeneousSimulation(t testing.TB, seed uint64) *simulation {
-	sim := newSimulation(t, seed, 3, 12, cores)
+	sim := newSimulation(t, seed, 3, 12, workerCPU)
 	for i, a := range sim.agents {
 		a.worker.slowdown = normalWorkFactor
 		if i%4 == 0 {
@@ -59,7 +60,7 @@
 	sim.run(12 * time.Second)
 	sim.check()
 	s := sim.summary()
-	t.Logf("%+v by kind %.3f", s, sim.served())
+	t.Logf("%+v by kind %.3f", s, sim.inTimeShares())
 	require.Zero(t, s.unanswered)
 	return s
 }
@@ -91,7 +92,7 @@
 
 // newUniformSimulation returns a simulation with workers of equal speed.
 func newUniformSimulation(t testing.TB, seed uint64) *simulation {
-	return newSimulation(t, seed, 3, 11, cores)
+	return newSimulation(t, seed, 3, 11, workerCPU)
 }
 
 // TestFastWorkersHaveCapacityForAllJobs guards against jobs that are late on slow workers,
@@ -141,7 +142,7 @@
 }
 
 // TestOutdatedSpeedDoesNoHarm guards against jobs that are sent to a worker as a fast
-// one after it has become the slowest. The same seeds are also simulated with the
+// one although it has become the slowest. The same seeds are also simulated with the
 // speeds left out of the reports. The number of late jobs varies between runs by at
 // least its square root, which is allowed for.
 func TestOutdatedSpeedDoesNoHarm(t *testing.T) {
@@ -156,7 +157,7 @@
 // 4% of the starts are not answered, which used to delay every fourth of the short wide
 // jobs by half of its slack.
 func TestLostAnswersToStartsDelayJobsLittle(t *testing.T) {
-	sim := newSimulation(t, 800, 3, 11, cores)
+	sim := newSimulation(t, 800, 3, 11, workerCPU)
 	for _, a := range sim.agents {
 		a.worker.unansweredShare = 0.04
 	}
@@ -186,14 +187,14 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", 900+seed), func(t *testing.T) {
 			t.Parallel()
-			sim := newSimulation(t, 900+seed, 3, 7, cores)
+			sim := newSimulation(t, 900+seed, 3, 7, workerCPU)
 			for i, a := range sim.agents {
 				a.worker.unansweredShare = 0.05 * float64(i)
 			}
 			sim.load(6*time.Second, 0.6)
 			for range 6 {
 				at := time.Duration(sim.rng.Int64N(int64(6 * time.Second)))
-				sim.schedule(at, fault(sim, 200*time.Millisecond+time.Duration(sim.rng.Int64N(int64(2*time.Second)))))
+				sim.schedule(at, randomFault(sim, 200*time.Millisecond+time.Duration(sim.rng.Int64N(int64(2*time.Second)))))
 			}
 			sim.run(12 * time.Second)
 			sim.check()
@@ -349,8 +350,8 @@
 	}
 }
 
-// TestRunIsNotMovedBecauseItsWorkerIsKnownToBeSlow guards against a run that is taken for a
-// straggler because it was placed on a slow worker.
+// TestRunIsNotMovedBecauseItsWorkerIsKnownToBeSlow guards against a run that is
+// mistaken for a straggler because it was placed on a slow worker.
 func TestRunIsNotMovedBecauseItsWorkerIsKnownToBeSlow(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -413,8 +414,9 @@
 	}
 }
 
-// TestSpeedDifferencesOfWorkersAreDetected guards against estimation errors that hide that every
-// third worker takes 1.3 times as long, or that a quarter of the workers are faster.
+// TestSpeedDifferencesOfWorkersAreDetected guards against estimation errors that hide
+// that every third worker takes 1.3 times as long, or that a quarter of the workers are
+// faster.
 func TestSpeedDifferencesOfWorkersAreDetected(t *testing.T) {
 	speedsByCase := map[string]func(i int) float64{
 		"every third slow": func(i int) float64 { return []float64{1, 1, 1 / 1.3}[i%3] },
--- a/scheduler/startrate.go
+++ b/scheduler/startrate.go
@@ -24,7 +24,7 @@
 	// jobsWait means that jobs have waited since at.
 	jobsWait bool
 	at       time.Time
-	// foundWaiting means that the present walk over the queue has found a waiting job.
+	// foundWaiting means that the current pass over the queue has found a waiting job.
 	foundWaiting bool
 }
 
@@ -40,7 +40,7 @@
 	r.starts++
 }
 
-// removeStart takes back a first placement that the agent has refused.
+// removeStart removes a first placement that the agent has refused.
 func (r *startRate) removeStart(now time.Time) {
 	r.decay(now)
 	r.starts = max(r.starts-1, 0)
@@ -104,7 +104,8 @@
 	}
 }
 
-// uncountStart takes back the first placement of a job that waits again.
+// uncountStart removes the first placement of a job from the start rate because the job
+// waits again.
 func (s *Scheduler) uncountStart(j *job, now time.Time) {
 	if j.startCounted && j.unstarted() {
 		j.startCounted = false
--- a/scheduler/startrate_test.go
+++ b/scheduler/startrate_test.go
@@ -13,7 +13,8 @@
 // starts, or from starts that the agent refused.
 func TestStartRate(t *testing.T) {
 	const step = 10 * time.Millisecond
-	// recordStarts records a start in every fourth step while jobs wait, which is 25 a second.
+	// recordStarts records a start in every fourth step while jobs wait, which is 25 a
+	// second.
 	recordStarts := func(r *startRate, steps int, waiting bool) time.Time {
 		now := startTime
 		for i := range steps {
