--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -51,7 +51,7 @@
 			for i := range rapid.IntRange(0, 4).Draw(rt, "arrivals") {
 				k := drawKind(rt)
 				id := fmt.Sprintf("%016x", 1+10*n+i)
-				q := quotes()
+				q := quotesQueue()
 				q.Name = fmt.Sprintf("queue-%d", k.priority)
 				q.Priority = k.priority
 				j := scheduler.Job{
@@ -76,7 +76,7 @@
 // applyPlacements takes the effects and returns the capacity that is free after the
 // tasks in them are placed, and the number of the last placement.
 func (f *fixture) applyPlacements(free messenger.Resources, lastPlace uint64) (messenger.Resources, uint64) {
-	for _, m := range f.drain() {
+	for _, m := range f.takeEffects() {
 		p, ok := m.(messenger.Place)
 		if !ok {
 			continue
--- a/scheduler/simcluster_test.go
+++ b/scheduler/simcluster_test.go
@@ -69,11 +69,11 @@
 
 // result is a job and the answer that its caller got, if any.
 type result struct {
-	job    scheduler.Job
-	answer scheduler.Answer
-	sent   time.Time
-	took   time.Duration
-	got    bool
+	job      scheduler.Job
+	answer   scheduler.Answer
+	sent     time.Time
+	took     time.Duration
+	answered bool
 }
 
 // simulation connects real schedulers and executors by simulated links and workers, in
@@ -99,9 +99,9 @@
 	firstStartAt   map[string]time.Time
 	rerunAfterDone []string
 	jobs           int
-	// placedRuns counts the runs that reached agents, and refusedNoRoom those that
+	// placedRuns counts the runs that reached agents, and capacityRefusals those that
 	// agents refused for lack of capacity.
-	placedRuns, refusedNoRoom int
+	placedRuns, capacityRefusals int
 	// linkDelay is the delay of a message between an entry and an agent.
 	linkDelay time.Duration
 	// farFactor is the factor by which a task takes longer on a worker away from its
@@ -117,7 +117,7 @@
 
 // simEntry is an entry process.
 type simEntry struct {
-	w           *simulation
+	sim         *simulation
 	name        string
 	incarnation int64
 	core        *scheduler.Scheduler
@@ -139,7 +139,7 @@
 
 // simAgent is an agent process with its worker.
 type simAgent struct {
-	w           *simulation
+	sim         *simulation
 	name        string
 	core        *executor.Executor
 	worker      *simWorker
@@ -176,11 +176,11 @@
 		linkDelay:    linkDelay,
 	}
 	for i := range agents {
-		a := &simAgent{w: sim, name: fmt.Sprintf("agent-%02d", i), links: make(map[string]*simLink), dataCentre: fmt.Sprintf("dc-%d", i%3)}
+		a := &simAgent{sim: sim, name: fmt.Sprintf("agent-%02d", i), links: make(map[string]*simLink), dataCentre: fmt.Sprintf("dc-%d", i%3)}
 		a.worker = &simWorker{
-			w:    sim,
+			sim:  sim,
 			name: a.name,
-			up: messenger.Upstream{
+			upstream: messenger.Upstream{
 				ID: "worker-" + a.name, Born: 1, Service: "quotes", DataCentre: a.dataCentre,
 				Capacity: messenger.Resources{CPU: capacity, Memory: 64_000},
 			},
@@ -191,7 +191,7 @@
 		a.boot()
 	}
 	for i := range entries {
-		e := &simEntry{w: sim, name: fmt.Sprintf("entry-%d", i)}
+		e := &simEntry{sim: sim, name: fmt.Sprintf("entry-%d", i)}
 		sim.entries = append(sim.entries, e)
 		e.boot()
 	}
@@ -233,16 +233,16 @@
 
 // runStarted and runEnded keep count of the workers that run a task. runStarted also
 // records runs that break a rule.
-func (sim *simulation) runStarted(v *simWorker, r messenger.Run) {
+func (sim *simulation) runStarted(w *simWorker, r messenger.Run) {
 	sim.runningCount[r.Task]++
 	if _, ok := sim.firstStartAt[r.Task]; !ok {
 		sim.firstStartAt[r.Task] = sim.clock.Now()
 	}
 	if sim.done[r.Task] {
-		sim.rerunAfterDone = append(sim.rerunAfterDone, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
+		sim.rerunAfterDone = append(sim.rerunAfterDone, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, w.name))
 	}
 	if sim.runningCount[r.Task] > 1 {
-		sim.duplicates = append(sim.duplicates, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, v.name))
+		sim.duplicates = append(sim.duplicates, fmt.Sprintf("%s run %d at %s", r.Task, r.Number, w.name))
 	}
 }
 
@@ -250,10 +250,10 @@
 
 // configuration returns a configuration with one queue, for the service quotes.
 func configuration() scheduler.Configuration {
-	return scheduler.Configuration{Version: 1, Queues: []scheduler.Queue{quotes()}, Evacuated: map[string]bool{}}
+	return scheduler.Configuration{Version: 1, Queues: []scheduler.Queue{quotesQueue()}, Evacuated: map[string]bool{}}
 }
 
-func quotes() scheduler.Queue {
+func quotesQueue() scheduler.Queue {
 	return scheduler.Queue{Name: "quotes", Host: "q.example", Prefix: "/q/", Service: "quotes", MaxAttempts: 3, Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 1500 * time.Millisecond}
 }
 
@@ -290,7 +290,7 @@
 	id := fmt.Sprintf("%016x", sim.jobs)
 	work := time.Duration(float64(k.work) * (0.6 + 0.8*sim.rng.Float64()))
 	estimate := time.Duration(float64(work) * (0.7 + 0.6*sim.rng.Float64()))
-	q := quotes()
+	q := quotesQueue()
 	q.Name = fmt.Sprintf("queue-%d", k.priority)
 	q.Priority = k.priority
 	j := scheduler.Job{
@@ -353,11 +353,11 @@
 	}
 }
 
-// countNoRoom counts the runs that were refused for lack of capacity.
-func (sim *simulation) countNoRoom(list []messenger.Refusal) {
+// countCapacityRefusals counts the runs that were refused for lack of capacity.
+func (sim *simulation) countCapacityRefusals(list []messenger.Refusal) {
 	for _, r := range list {
 		if r.Reason == messenger.RefusedNoRoom {
-			sim.refusedNoRoom++
+			sim.capacityRefusals++
 		}
 	}
 }
@@ -389,7 +389,7 @@
 		s.all++
 		objective := sim.objective(r.job)
 		switch {
-		case !r.got:
+		case !r.answered:
 			s.unanswered++
 		case r.answer.Outcome == scheduler.Complete && r.took <= objective:
 			s.inTime++
@@ -405,14 +405,14 @@
 	return s
 }
 
-// served returns, for each kind, the share of its jobs that were complete in time.
-func (sim *simulation) served() []float64 {
+// inTimeShares returns, for each kind, the share of its jobs that were complete in time.
+func (sim *simulation) inTimeShares() []float64 {
 	all := make([]float64, len(jobKinds))
 	inTime := make([]float64, len(jobKinds))
 	for _, r := range sim.results {
 		k := slices.IndexFunc(jobKinds, func(k jobKind) bool { return k.tasks == r.job.Steps[0].Count })
 		all[k]++
-		if r.got && r.answer.Outcome == scheduler.Complete && r.took <= sim.objective(r.job) {
+		if r.answered && r.answer.Outcome == scheduler.Complete && r.took <= sim.objective(r.job) {
 			inTime[k]++
 		}
 	}
