--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper reads and writes the platform's key-value service. It speaks
-// the JSON gateway of etcd version 3: range and txn.
+// Package keeper is a client of the platform's key-value service. It uses the
+// range and txn calls of the JSON gateway of etcd version 3.
 package keeper
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/go-faster/errors"
 )
 
-// CallTimeout bounds one call to the service.
+// CallTimeout is the timeout of one call to the service.
 const CallTimeout = time.Second
 
 // Kind classifies an Error.
@@ -24,14 +24,15 @@
 
 // The kinds of errors.
 const (
-	// Unavailable means that the service gave no answer. A write may have
-	// taken effect all the same.
+	// Unavailable means that the service did not answer the call. A write may
+	// have taken effect nevertheless.
 	Unavailable Kind = "Unavailable"
-	// Malformed means that the service gave an answer that cannot be read.
+	// Malformed means that a request could not be encoded or that the service's
+	// answer could not be decoded.
 	Malformed Kind = "Malformed"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -44,32 +45,33 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Pair is one key with its value.
+// Pair is a key and its value.
 type Pair struct {
 	Key   string
 	Value []byte
-	// Revision rises with each change of the key. Zero means no such key.
+	// Revision rises with each change of the key. Zero means that the key does
+	// not exist.
 	Revision int64
 }
 
 // Client is a client of the service. It is safe for concurrent use.
 type Client struct {
-	base  string
-	http  *http.Client
-	calls atomic.Uint64
+	baseURL string
+	http    *http.Client
+	calls   atomic.Uint64
 }
 
-// NewClient returns a client of the service at base, a URL.
+// NewClient returns a client of the service at the URL base.
 func NewClient(base string) *Client {
-	return &Client{base: base, http: &http.Client{Timeout: CallTimeout}}
+	return &Client{baseURL: base, http: &http.Client{Timeout: CallTimeout}}
 }
 
 // Calls returns the number of calls made so far.
 func (c *Client) Calls() uint64 { return c.calls.Load() }
 
-// Get returns the pair of key, with Revision zero when there is none.
+// Get returns the pair of key. Its Revision is zero if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (Pair, error) {
-	list, err := c.read(ctx, RangeRequest{Key: encode(key)})
+	list, err := c.readRange(ctx, RangeRequest{Key: encodeBase64(key)})
 	if err != nil {
 		return Pair{}, err
 	}
@@ -81,23 +83,23 @@
 
 // List returns the pairs whose keys begin with prefix.
 func (c *Client) List(ctx context.Context, prefix string) ([]Pair, error) {
-	return c.read(ctx, RangeRequest{Key: encode(prefix), RangeEnd: encode(prefixEnd(prefix))})
+	return c.readRange(ctx, RangeRequest{Key: encodeBase64(prefix), RangeEnd: encodeBase64(prefixEnd(prefix))})
 }
 
-// Put writes value under key whatever is there.
+// Put writes value under key unconditionally.
 func (c *Client) Put(ctx context.Context, key string, value []byte) error {
 	var reply TxnResponse
 	return c.call(ctx, "put", "/v3/kv/txn", TxnRequest{Success: []TxnOp{putOp(key, value)}}, &reply)
 }
 
-// CompareAndSwap writes value under key if the key's revision is the given
-// one, and the pairs of also together with it. It reports whether the write
-// was made. After an Unavailable error the caller has to read the key to learn
-// that.
+// CompareAndSwap writes value under key, and the pairs of also in the same
+// transaction, if the key has the given revision. It reports whether the write
+// was made. After an Unavailable error this is unknown and the caller has to
+// read the key to find out.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, revision int64, value []byte, also ...Pair) (bool, error) {
 	req := TxnRequest{
 		Compare: []TxnCompare{{
-			Key:         encode(key),
+			Key:         encodeBase64(key),
 			Target:      "MOD",
 			Result:      "EQUAL",
 			ModRevision: strconv.FormatInt(revision, 10),
@@ -114,14 +116,14 @@
 	return reply.Succeeded, nil
 }
 
-func (c *Client) read(ctx context.Context, req RangeRequest) ([]Pair, error) {
+func (c *Client) readRange(ctx context.Context, req RangeRequest) ([]Pair, error) {
 	var reply RangeResponse
 	if err := c.call(ctx, "read", "/v3/kv/range", req, &reply); err != nil {
 		return nil, err
 	}
 	out := make([]Pair, 0, len(reply.Kvs))
 	for _, kv := range reply.Kvs {
-		p, err := kv.pair()
+		p, err := kv.decode()
 		if err != nil {
 			return nil, &Error{Op: "read", Kind: Malformed, Err: err}
 		}
@@ -136,7 +138,7 @@
 	if err != nil {
 		return &Error{Op: op, Kind: Malformed, Err: err}
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return &Error{Op: op, Kind: Malformed, Err: err}
 	}
@@ -155,10 +157,10 @@
 	return nil
 }
 
-func encode(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
+func encodeBase64(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
 
 func putOp(key string, value []byte) TxnOp {
-	return TxnOp{RequestPut: &PutRequest{Key: encode(key), Value: base64.StdEncoding.EncodeToString(value)}}
+	return TxnOp{RequestPut: &PutRequest{Key: encodeBase64(key), Value: base64.StdEncoding.EncodeToString(value)}}
 }
 
 // prefixEnd returns the first key after all keys that begin with prefix.
--- a/keeper/message.go
+++ b/keeper/message.go
@@ -7,18 +7,19 @@
 	"github.com/go-faster/errors"
 )
 
-// RangeRequest is the body of a range call. Keys are in base64.
+// RangeRequest is the body of a range call. Keys are base64-encoded.
 type RangeRequest struct {
 	Key      string `json:"key"`
 	RangeEnd string `json:"range_end,omitempty"`
 }
 
-// RangeResponse is the answer to a range call.
+// RangeResponse is the response to a range call.
 type RangeResponse struct {
 	Kvs []KeyValue `json:"kvs"`
 }
 
-// KeyValue is one pair. Key and Value are in base64; numbers are strings.
+// KeyValue is a key-value pair. Key and Value are base64-encoded; numbers are
+// encoded as strings.
 type KeyValue struct {
 	Key         string `json:"key"`
 	Value       string `json:"value"`
@@ -31,7 +32,7 @@
 	Success []TxnOp      `json:"success"`
 }
 
-// TxnCompare is one condition of a txn.
+// TxnCompare is one condition of a transaction.
 type TxnCompare struct {
 	Key         string `json:"key"`
 	Target      string `json:"target"`
@@ -39,23 +40,23 @@
 	ModRevision string `json:"mod_revision"`
 }
 
-// TxnOp is one operation of a txn.
+// TxnOp is one operation of a transaction.
 type TxnOp struct {
 	RequestPut *PutRequest `json:"requestPut,omitempty"`
 }
 
-// PutRequest writes one pair, in base64.
+// PutRequest writes one pair. Key and Value are base64-encoded.
 type PutRequest struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// TxnResponse is the answer to a txn call.
+// TxnResponse is the response to a txn call.
 type TxnResponse struct {
 	Succeeded bool `json:"succeeded"`
 }
 
-func (kv KeyValue) pair() (Pair, error) {
+func (kv KeyValue) decode() (Pair, error) {
 	key, err := base64.StdEncoding.DecodeString(kv.Key)
 	if err != nil {
 		return Pair{}, errors.Wrap(err, "key")
