--- a/approver/approver.go
+++ b/approver/approver.go
@@ -1,5 +1,6 @@
-// Package approver holds the configuration bundle: what it may contain, who
-// may approve it, and how a signed one is told from an altered one.
+// Package approver defines the configuration bundle: its content and the limits
+// of its values, its approval by a second person, and the verification of
+// signed bundles.
 package approver
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-// DataCentreState tells whether tasks may start in a data centre.
+// DataCentreState says whether tasks may start in a data centre.
 type DataCentreState string
 
 // The states of a data centre.
@@ -22,49 +23,51 @@
 	Out DataCentreState = "Out"
 )
 
-// Service is one stream of requests.
+// Service is the configuration of one kind of requests.
 type Service struct {
 	Name string
-	// TaskLimit is the largest number of tasks in one submission.
+	// TaskLimit is the maximum number of tasks in one submission.
 	TaskLimit int
-	// DeadlineLimitMillis bounds how far ahead a deadline may lie.
+	// DeadlineLimitMillis is the maximum time from submission to deadline, in
+	// milliseconds.
 	DeadlineLimitMillis int
-	// ExpectedRunMillis is a first guess of a task's run time. The system
-	// learns better ones.
+	// ExpectedRunMillis is the initial estimate of a task's run time, in
+	// milliseconds. The system replaces it by estimates from measured run times.
 	ExpectedRunMillis int
-	// Repeatable tells that a request may be submitted again after an unknown
-	// outcome. The system itself never starts a task twice either way.
+	// Repeatable means that callers may submit a request again after an unknown
+	// outcome. Whether set or not, the system itself never starts a task twice.
 	Repeatable bool
 }
 
-// DataCentre is one data centre and its state.
+// DataCentre is a data centre and its state.
 type DataCentre struct {
 	Name  string
 	State DataCentreState
 }
 
-// Team is one group of callers that shares a quota.
+// Team is a group of callers that share a quota.
 type Team struct {
 	Name string
-	// TaskLimit bounds the team's unfinished tasks at one entry.
+	// TaskLimit is the maximum number of the team's unfinished tasks at one entry.
 	TaskLimit int
 }
 
-// Limits holds the bounds that protect the system as a whole.
+// Limits holds the limits that protect the system as a whole.
 type Limits struct {
-	// WaitingTaskLimit bounds the tasks that wait at one entry.
+	// WaitingTaskLimit is the maximum number of waiting tasks at one entry.
 	WaitingTaskLimit int
-	// EjectPercent bounds the share of workers that are set aside for failing.
+	// EjectPercent is the maximum share of workers that are ejected because they
+	// fail, in percent.
 	EjectPercent int
-	// RetryPercent bounds the starts repeated after a refusal, as a share of
-	// the first starts.
+	// RetryPercent is the maximum number of starts repeated after a refusal, as
+	// a percentage of the first starts.
 	RetryPercent int
 }
 
-// Bundle is one version of the whole configuration. It is immutable: the With
-// methods return changed copies.
+// Bundle is one version of the whole configuration. It is immutable; the With
+// methods return modified copies.
 type Bundle struct {
-	// Version is one more than the version that it replaces.
+	// Version is one more than that of the bundle that this one replaces.
 	Version     uint64
 	Author      string
 	Note        string `json:",omitempty"`
@@ -74,7 +77,7 @@
 	Limits      Limits
 }
 
-// Service returns the service called name.
+// Service returns the service with the given name.
 func (b Bundle) Service(name string) (Service, bool) {
 	for _, s := range b.Services {
 		if s.Name == name {
@@ -84,7 +87,7 @@
 	return Service{}, false
 }
 
-// Team returns the team called name.
+// Team returns the team with the given name.
 func (b Bundle) Team(name string) (Team, bool) {
 	for _, t := range b.Teams {
 		if t.Name == name {
@@ -94,7 +97,7 @@
 	return Team{}, false
 }
 
-// OutDataCentres lists the data centres where nothing may start.
+// OutDataCentres returns the names of the data centres where no task may start.
 func (b Bundle) OutDataCentres() []string {
 	var out []string
 	for _, d := range b.DataCentres {
@@ -105,15 +108,15 @@
 	return out
 }
 
-// WithDataCentre returns the successor of b in which the data centre called
-// name is in the given state.
+// WithDataCentre returns the next version of b, in which the named data centre
+// has the given state. An unknown name is an Invalid error.
 func (b Bundle) WithDataCentre(name string, state DataCentreState) (Bundle, error) {
-	list := make([]DataCentre, len(b.DataCentres))
-	copy(list, b.DataCentres)
-	for i := range list {
-		if list[i].Name == name {
-			list[i].State = state
-			b.DataCentres = list
+	dataCentres := make([]DataCentre, len(b.DataCentres))
+	copy(dataCentres, b.DataCentres)
+	for i := range dataCentres {
+		if dataCentres[i].Name == name {
+			dataCentres[i].State = state
+			b.DataCentres = dataCentres
 			b.Version++
 			return b, nil
 		}
@@ -121,31 +124,32 @@
 	return b, &Error{Op: "change data centre", Kind: Invalid, Err: errors.Errorf("no data centre %q in version %d", name, b.Version)}
 }
 
-// WithAuthor returns a copy of b by author, with a note on the change.
+// WithAuthor returns a copy of b with the given author and note on the change.
 func (b Bundle) WithAuthor(author, note string) Bundle {
 	b.Author = author
 	b.Note = note
 	return b
 }
 
-// Signed is a bundle with the approval of a second person.
+// Signed is a bundle that a second person has approved.
 type Signed struct {
-	// Bundle is the bundle. The signature is over its compact form, so that
-	// indentation may change.
+	// Bundle is the encoded bundle. The signature covers its compact form, so
+	// that a change of the indentation does not invalidate it.
 	Bundle json.RawMessage
-	// Approver names the key in the settings that checks Signature.
+	// Approver is the name of the key in the settings that verifies Signature.
 	Approver string
-	// Signature is an Ed25519 signature of Bundle, in base64.
+	// Signature is the base64-encoded Ed25519 signature of Bundle.
 	Signature string
 }
 
-// Digest returns the hash of the signed bytes, in hexadecimal.
+// Digest returns the SHA-256 hash of the signed bytes in hexadecimal.
 func (s Signed) Digest() string {
 	sum := sha256.Sum256(compact(s.Bundle))
 	return hex.EncodeToString(sum[:])
 }
 
-// Sign approves b with the key of approver.
+// Sign signs b with the key of approver. It returns an Unapproved error if approver
+// is the author of b.
 func Sign(b Bundle, approver string, key ed25519.PrivateKey) (Signed, error) {
 	if approver == b.Author {
 		return Signed{}, &Error{Op: "sign", Kind: Unapproved, Err: errors.Errorf("author %q may not approve the bundle", approver)}
@@ -154,11 +158,12 @@
 	if err != nil {
 		return Signed{}, &Error{Op: "sign", Kind: Invalid, Err: err}
 	}
-	sig := ed25519.Sign(key, raw)
-	return Signed{Bundle: raw, Approver: approver, Signature: base64.StdEncoding.EncodeToString(sig)}, nil
+	signature := ed25519.Sign(key, raw)
+	return Signed{Bundle: raw, Approver: approver, Signature: base64.StdEncoding.EncodeToString(signature)}, nil
 }
 
-// compact returns raw without white space, or raw itself if it is no JSON.
+// compact returns raw without insignificant white space, or raw itself if it is
+// not valid JSON.
 func compact(raw []byte) []byte {
 	var b bytes.Buffer
 	if err := json.Compact(&b, raw); err != nil {
@@ -167,11 +172,12 @@
 	return b.Bytes()
 }
 
-// Trust maps the names of people who may approve to their public keys, in
-// base64, as the settings list them.
+// Trust maps the names of the people who may approve bundles to their
+// base64-encoded public keys, as listed in the settings.
 type Trust map[string]string
 
-// Verify checks the signature and the content of s and returns the bundle.
+// Verify checks the signature and the content of s and returns the bundle. It
+// returns an Unapproved or an Invalid error.
 func (t Trust) Verify(s Signed) (Bundle, error) {
 	if err := t.verifySignature(s); err != nil {
 		return Bundle{}, err
@@ -187,26 +193,26 @@
 }
 
 func (t Trust) verifySignature(s Signed) error {
-	fail := func(err error) error { return &Error{Op: "verify", Kind: Unapproved, Err: err} }
+	unapproved := func(err error) error { return &Error{Op: "verify", Kind: Unapproved, Err: err} }
 	if s.Signature == "" {
-		return fail(errors.New("the bundle is not signed"))
+		return unapproved(errors.New("the bundle is not signed"))
 	}
-	text, ok := t[s.Approver]
+	encodedKey, ok := t[s.Approver]
 	if !ok {
-		return fail(errors.Errorf("approver %q is not in the settings", s.Approver))
+		return unapproved(errors.Errorf("approver %q is not in the settings", s.Approver))
 	}
-	key, err := base64.StdEncoding.DecodeString(text)
+	key, err := base64.StdEncoding.DecodeString(encodedKey)
 	if err != nil || len(key) != ed25519.PublicKeySize {
-		return fail(errors.Errorf("key of approver %q is no Ed25519 public key", s.Approver))
+		return unapproved(errors.Errorf("key of approver %q is no Ed25519 public key", s.Approver))
 	}
-	sig, err := base64.StdEncoding.DecodeString(s.Signature)
-	if err != nil || !ed25519.Verify(key, compact(s.Bundle), sig) {
-		return fail(errors.Errorf("the signature of %q does not match: the bundle was altered or signed with another key", s.Approver))
+	signature, err := base64.StdEncoding.DecodeString(s.Signature)
+	if err != nil || !ed25519.Verify(key, compact(s.Bundle), signature) {
+		return unapproved(errors.Errorf("the signature of %q does not match: the bundle was altered or signed with another key", s.Approver))
 	}
 	return nil
 }
 
-// Parse reads a bundle and checks it as a whole.
+// Parse decodes a bundle and checks all its values.
 func Parse(raw []byte) (Bundle, error) {
 	b, err := Decode(raw)
 	if err != nil {
@@ -218,7 +224,7 @@
 	return b, nil
 }
 
-// Decode reads a bundle without checking its values.
+// Decode decodes a bundle without checking its values. Unknown keys are errors.
 func Decode(raw []byte) (Bundle, error) {
 	var b Bundle
 	d := json.NewDecoder(bytes.NewReader(raw))
--- a/approver/check.go
+++ b/approver/check.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// The limits of the values in a bundle.
+// The largest allowed values in a bundle.
 const (
 	MaxTaskLimit      = 1100
 	MaxDeadlineMillis = 60_000
@@ -20,44 +20,44 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Fault is one value of a bundle that is not allowed.
+// Fault is an invalid value in a bundle.
 type Fault struct {
 	// Key is the path of the value, such as Services[0].TaskLimit.
 	Key string
-	// Text tells the value found and what is allowed.
+	// Text states the value found and the allowed values.
 	Text string
 }
 
-// String returns the fault in a line.
+// String returns the path and the text on one line.
 func (f Fault) String() string { return f.Key + ": " + f.Text }
 
-// checker gathers the faults of a bundle.
-type checker struct {
-	faults []Fault
+// validator collects the invalid values of a bundle.
+type validator struct {
+	invalid []Fault
 }
 
-func (c *checker) add(key string, found any, allowed string) {
-	c.faults = append(c.faults, Fault{Key: key, Text: fmt.Sprintf("found %v, allowed %s", found, allowed)})
+func (v *validator) addInvalid(key string, found any, allowed string) {
+	v.invalid = append(v.invalid, Fault{Key: key, Text: fmt.Sprintf("found %v, allowed %s", found, allowed)})
 }
 
-func (c *checker) between(path string, n, low, high int) {
+func (v *validator) checkRange(path string, n, low, high int) {
 	if n < low || n > high {
-		c.add(path, n, fmt.Sprintf("%d to %d", low, high))
+		v.addInvalid(path, n, fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-func (c *checker) name(path, name string, seen map[string]bool) {
+func (v *validator) checkName(path, name string, seen map[string]bool) {
 	if !namePattern.MatchString(name) {
-		c.add(path, fmt.Sprintf("%q", name), "1 to 63 lower-case letters, digits and hyphens")
+		v.addInvalid(path, fmt.Sprintf("%q", name), "1 to 63 lower-case letters, digits and hyphens")
 	}
 	if seen[name] {
-		c.add(path, fmt.Sprintf("%q", name), "a name that occurs once")
+		v.addInvalid(path, fmt.Sprintf("%q", name), "a name that occurs once")
 	}
 	seen[name] = true
 }
 
-// Check returns one error that lists every fault of b by path, value found
-// and value allowed, or nil.
+// Check returns an Invalid error that lists every invalid value of b with its path,
+// the value found and the allowed values. It returns nil if there are none.
 func (b Bundle) Check() error {
 	faults := b.Faults()
 	if len(faults) == 0 {
@@ -70,57 +70,57 @@
 	return &Error{Op: "check", Kind: Invalid, Err: errors.New(strings.Join(lines, "; "))}
 }
 
-// Faults lists every fault of b.
+// Faults returns every invalid value of b.
 func (b Bundle) Faults() []Fault {
-	c := &checker{}
+	v := &validator{}
 	if b.Version == 0 {
-		c.add("Version", 0, "1 or more")
+		v.addInvalid("Version", 0, "1 or more")
 	}
 	if b.Author == "" {
-		c.add("Author", `""`, "the name of who wrote the bundle")
+		v.addInvalid("Author", `""`, "the name of who wrote the bundle")
 	}
-	b.checkServices(c)
-	b.checkDataCentres(c)
-	b.checkTeams(c)
-	c.between("Limits.WaitingTaskLimit", b.Limits.WaitingTaskLimit, 1, MaxWaitingTasks)
-	c.between("Limits.EjectPercent", b.Limits.EjectPercent, 0, MaxPercent)
-	c.between("Limits.RetryPercent", b.Limits.RetryPercent, 0, MaxPercent)
-	return c.faults
+	b.checkServices(v)
+	b.checkDataCentres(v)
+	b.checkTeams(v)
+	v.checkRange("Limits.WaitingTaskLimit", b.Limits.WaitingTaskLimit, 1, MaxWaitingTasks)
+	v.checkRange("Limits.EjectPercent", b.Limits.EjectPercent, 0, MaxPercent)
+	v.checkRange("Limits.RetryPercent", b.Limits.RetryPercent, 0, MaxPercent)
+	return v.invalid
 }
 
-func (b Bundle) checkServices(c *checker) {
+func (b Bundle) checkServices(v *validator) {
 	if len(b.Services) == 0 {
-		c.add("Services", "none", "at least one")
+		v.addInvalid("Services", "none", "at least one")
 	}
 	seen := make(map[string]bool)
 	for i, s := range b.Services {
 		path := fmt.Sprintf("Services[%d]", i)
-		c.name(path+".Name", s.Name, seen)
-		c.between(path+".TaskLimit", s.TaskLimit, 1, MaxTaskLimit)
-		c.between(path+".DeadlineLimitMillis", s.DeadlineLimitMillis, 1, MaxDeadlineMillis)
-		c.between(path+".ExpectedRunMillis", s.ExpectedRunMillis, 1, MaxDeadlineMillis)
+		v.checkName(path+".Name", s.Name, seen)
+		v.checkRange(path+".TaskLimit", s.TaskLimit, 1, MaxTaskLimit)
+		v.checkRange(path+".DeadlineLimitMillis", s.DeadlineLimitMillis, 1, MaxDeadlineMillis)
+		v.checkRange(path+".ExpectedRunMillis", s.ExpectedRunMillis, 1, MaxDeadlineMillis)
 	}
 }
 
-func (b Bundle) checkDataCentres(c *checker) {
+func (b Bundle) checkDataCentres(v *validator) {
 	seen := make(map[string]bool)
 	for i, d := range b.DataCentres {
 		path := fmt.Sprintf("DataCentres[%d]", i)
-		c.name(path+".Name", d.Name, seen)
+		v.checkName(path+".Name", d.Name, seen)
 		if d.State != In && d.State != Out {
-			c.add(path+".State", fmt.Sprintf("%q", d.State), "In or Out")
+			v.addInvalid(path+".State", fmt.Sprintf("%q", d.State), "In or Out")
 		}
 	}
 }
 
-func (b Bundle) checkTeams(c *checker) {
+func (b Bundle) checkTeams(v *validator) {
 	if len(b.Teams) == 0 || len(b.Teams) > MaxTeams {
-		c.add("Teams", len(b.Teams), fmt.Sprintf("1 to %d teams", MaxTeams))
+		v.addInvalid("Teams", len(b.Teams), fmt.Sprintf("1 to %d teams", MaxTeams))
 	}
 	seen := make(map[string]bool)
 	for i, t := range b.Teams {
 		path := fmt.Sprintf("Teams[%d]", i)
-		c.name(path+".Name", t.Name, seen)
-		c.between(path+".TaskLimit", t.TaskLimit, 1, MaxTeamTasks)
+		v.checkName(path+".Name", t.Name, seen)
+		v.checkRange(path+".TaskLimit", t.TaskLimit, 1, MaxTeamTasks)
 	}
 }
--- a/approver/error.go
+++ b/approver/error.go
@@ -7,13 +7,14 @@
 
 // The kinds of errors.
 const (
-	// Invalid means that the content of a bundle is wrong.
+	// Invalid means that the content of a bundle is invalid.
 	Invalid Kind = "Invalid"
-	// Unapproved means that the approval is missing, altered or not trusted.
+	// Unapproved means that the approval is missing, altered or not trusted, or
+	// that it is the author's own.
 	Unapproved Kind = "Unapproved"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
