--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -1,6 +1,6 @@
-// Package publisher brings an approved configuration bundle into the platform's
-// store, exactly once whatever becomes of the answer, and follows it until it
-// is in force at every process.
+// Package publisher writes an approved configuration bundle to the platform's
+// store, exactly once even if the store's answer is lost, and reports the progress
+// of the roll-out until the bundle is in force in every process.
 package publisher
 
 import (
@@ -21,12 +21,12 @@
 )
 
 const (
-	// HistoryPrefix begins the keys of all bundles ever published.
+	// HistoryPrefix is the prefix of the keys of all published bundles.
 	HistoryPrefix = "pomeloferry/history/"
-	// minPollRetryDelay is the pause before a call to the store is made again.
-	retryPause = 200 * time.Millisecond
-	// liveSpan is how recently a live entry has registered.
-	liveSpan = 6 * time.Second
+	// retryDelay is the delay before a failed call to the store is retried.
+	retryDelay = 200 * time.Millisecond
+	// maxRegistrationAge is the maximum age of a live entry's registration.
+	maxRegistrationAge = 6 * time.Second
 )
 
 // Kind classifies an Error.
@@ -34,15 +34,16 @@
 
 // The kinds of errors.
 const (
-	// Raced means that another bundle took the version.
+	// Raced means that the version is not the successor of the one in the store,
+	// usually because another bundle took the version.
 	Raced Kind = "Raced"
-	// Unsettled means that the store did not tell whether the write was made.
+	// Unsettled means that the store did not confirm whether the write was made.
 	Unsettled Kind = "Unsettled"
-	// Missing means that the store holds no bundle.
+	// Missing means that the store does not hold the bundle.
 	Missing Kind = "Missing"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -55,14 +56,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Publisher publishes bundles and reads them back.
+// Publisher publishes bundles and reads published ones.
 type Publisher struct {
 	clock clockwork.Clock
 	store receiver.Store
 	trust approver.Trust
 }
 
-// NewPublisher returns a publisher that trusts the approvers in trust.
+// NewPublisher returns a publisher that accepts the approvers in trust.
 func NewPublisher(clock clockwork.Clock, store receiver.Store, trust approver.Trust) *Publisher {
 	return &Publisher{clock: clock, store: store, trust: trust}
 }
@@ -76,7 +77,8 @@
 	return s, b, err
 }
 
-// read returns the bundle in the store, which has version 0 when there is none.
+// read returns the bundle in the store and the revision of its key. Without a bundle,
+// version and revision are 0.
 func (p *Publisher) read(ctx context.Context) (s approver.Signed, b approver.Bundle, revision int64, err error) {
 	pair, err := p.store.Get(ctx, receiver.BundleKey)
 	if err != nil || pair.Revision == 0 {
@@ -89,76 +91,80 @@
 	return s, b, pair.Revision, err
 }
 
-// Publish writes s if it succeeds the version in the store. A write whose
-// answer was lost is settled by reading back; it is made again only while the
-// version before it is still in the store.
+// Publish writes s if its version is the successor of the one in the store, and
+// returns a Raced error if it is not. If the answer to a write is lost, Publish reads
+// the store to find out whether the write took effect, and repeats it only while the
+// previous version is still in the store. If ctx ends before that is known, it
+// returns an Unsettled error.
 func (p *Publisher) Publish(ctx context.Context, s approver.Signed) error {
 	b, err := p.trust.Verify(s)
 	if err != nil {
 		return err
 	}
-	raw, err := json.Marshal(s)
+	encoded, err := json.Marshal(s)
 	if err != nil {
 		return errors.Wrap(err, "encode bundle")
 	}
-	unsure := false
+	maybeWritten := false
 	for {
-		done, err := p.publishOnce(ctx, s, b, raw, unsure)
-		if done || err != nil && !unavailable(err) {
+		done, err := p.publishOnce(ctx, s, b, encoded, maybeWritten)
+		if done || err != nil && !isUnavailable(err) {
 			return err
 		}
-		unsure = unsure || err != nil
+		maybeWritten = maybeWritten || err != nil
 		select {
 		case <-ctx.Done():
 			return &Error{Op: "publish", Kind: Unsettled, Err: errors.Errorf(
-				"the store did not say whether version %d was written; run the command again to learn it", b.Version)}
-		case <-p.clock.After(retryPause):
+				"the store did not confirm whether version %d was written; run the command again to find out", b.Version)}
+		case <-p.clock.After(retryDelay):
 		}
 	}
 }
 
-// publishOnce reads, and writes if the version before b is there. It reports
-// whether b is in the store. When unsure, an earlier write may have been made.
-func (p *Publisher) publishOnce(ctx context.Context, s approver.Signed, b approver.Bundle, raw []byte, unsure bool) (bool, error) {
-	there, old, revision, err := p.read(ctx)
+// publishOnce reads the store and writes the encoded bundle if the predecessor of b is
+// there. It reports whether b is in the store. maybeWritten means that an earlier
+// write may have taken effect.
+func (p *Publisher) publishOnce(ctx context.Context, s approver.Signed, b approver.Bundle, encoded []byte, maybeWritten bool) (bool, error) {
+	stored, current, revision, err := p.read(ctx)
 	if err != nil {
 		return false, err
 	}
-	if revision != 0 && there.Digest() == s.Digest() {
+	if revision != 0 && stored.Digest() == s.Digest() {
 		return true, nil
 	}
-	if old.Version+1 != b.Version {
-		return p.settleRace(ctx, s, b, old, there, unsure)
+	if current.Version+1 != b.Version {
+		return p.resolveConflict(ctx, s, b, current, stored, maybeWritten)
 	}
-	history := keeper.Pair{Key: historyKey(b.Version), Value: raw}
-	return p.store.CompareAndSwap(ctx, receiver.BundleKey, revision, raw, history)
+	history := keeper.Pair{Key: historyKey(b.Version), Value: encoded}
+	return p.store.CompareAndSwap(ctx, receiver.BundleKey, revision, encoded, history)
 }
 
-// settleRace tells a bundle that was itself succeeded from one that lost.
-func (p *Publisher) settleRace(ctx context.Context, s approver.Signed, b, old approver.Bundle, there approver.Signed, unsure bool) (bool, error) {
-	if unsure && old.Version >= b.Version {
-		past, err := p.version(ctx, b.Version)
+// resolveConflict distinguishes a bundle that was published and then replaced from one
+// that was not published because another took its version.
+func (p *Publisher) resolveConflict(ctx context.Context, s approver.Signed, b, current approver.Bundle, stored approver.Signed, maybeWritten bool) (bool, error) {
+	if maybeWritten && current.Version >= b.Version {
+		published, err := p.readVersion(ctx, b.Version)
 		if err != nil {
 			return false, err
 		}
-		if past.Digest() == s.Digest() {
+		if published.Digest() == s.Digest() {
 			return true, nil
 		}
 	}
 	return false, &Error{Op: "publish", Kind: Raced, Err: errors.Errorf(
-		"version %d by %s, approved by %s, is in the store; version %d by %s was not written and must be made anew from it",
-		old.Version, old.Author, there.Approver, b.Version, b.Author)}
+		"version %d by %s, approved by %s, is in the store; version %d by %s was not written and must be recreated from it",
+		current.Version, current.Author, stored.Approver, b.Version, b.Author)}
 }
 
-func unavailable(err error) bool {
+func isUnavailable(err error) bool {
 	var e *keeper.Error
 	return errors.As(err, &e) && e.Kind == keeper.Unavailable
 }
 
 func historyKey(version uint64) string { return fmt.Sprintf("%s%020d", HistoryPrefix, version) }
 
-// version returns a version of the past.
-func (p *Publisher) version(ctx context.Context, version uint64) (approver.Signed, error) {
+// readVersion returns a published version without verifying it.
+func (p *Publisher) readVersion(ctx context.Context, version uint64) (approver.Signed, error) {
 	var s approver.Signed
 	pair, err := p.store.Get(ctx, historyKey(version))
 	if err != nil {
@@ -170,9 +176,10 @@
 	return s, json.Unmarshal(pair.Value, &s)
 }
 
-// Version returns a published version and its bundle.
+// Version returns a published version and its verified bundle. It returns a Missing
+// error if there is no such version.
 func (p *Publisher) Version(ctx context.Context, version uint64) (approver.Signed, approver.Bundle, error) {
-	s, err := p.version(ctx, version)
+	s, err := p.readVersion(ctx, version)
 	if err != nil {
 		return s, approver.Bundle{}, err
 	}
@@ -180,7 +187,8 @@
 	return s, b, err
 }
 
-// History returns all published bundles in the order of their versions.
+// History returns all published bundles in the order of their versions, without
+// verifying them.
 func (p *Publisher) History(ctx context.Context) ([]approver.Signed, error) {
 	pairs, err := p.store.List(ctx, HistoryPrefix)
 	if err != nil {
@@ -197,29 +205,30 @@
 	return out, nil
 }
 
-// Progress is how far a version has come.
+// Progress is the state of the roll-out of a version.
 type Progress struct {
 	Version  uint64
 	Written  bool
 	Accepted bool
-	// Entries counts the live entries, EntriesInForce those that have the
-	// version in force; Missing names the others.
+	// Entries is the number of live entries, EntriesInForce the number of those
+	// where the version is in force; Missing lists the others.
 	Entries        int
 	EntriesInForce int
 	Missing        []string
-	// Agents counts the agents of the entry that knows most of them.
+	// Agents and AgentsInForce are the counts of the entry with the most agents.
 	Agents        int
 	AgentsInForce int
-	// Waiting names the voters that keep the version from being accepted.
+	// Waiting lists the voters that have not confirmed the version, without which it
+	// is not accepted.
 	Waiting []string
 }
 
-// Done reports whether the version is accepted and in force everywhere.
+// Done reports whether the version is accepted and in force in every process.
 func (g Progress) Done() bool {
 	return g.Accepted && g.EntriesInForce == g.Entries && g.AgentsInForce == g.Agents
 }
 
-// String describes the progress in a line.
+// String returns the progress on one line.
 func (g Progress) String() string {
 	line := fmt.Sprintf("version %d: written %t, accepted %t, in force at %d of %d entries and %d of %d agents",
 		g.Version, g.Written, g.Accepted, g.EntriesInForce, g.Entries, g.AgentsInForce, g.Agents)
@@ -232,7 +241,7 @@
 	return line
 }
 
-// Progress returns how far a version has come.
+// Progress returns the state of the roll-out of a version.
 func (p *Publisher) Progress(ctx context.Context, version uint64) (Progress, error) {
 	g := Progress{Version: version}
 	_, b, _, err := p.read(ctx)
@@ -250,22 +259,22 @@
 			return g, errors.Wrap(err, receiver.VotersKey)
 		}
 	}
-	list, err := receiver.ReadRegistrations(ctx, p.store)
+	registrations, err := receiver.ReadRegistrations(ctx, p.store)
 	if err != nil {
 		return g, err
 	}
-	g.count(voters, list, p.clock.Now())
+	g.countRegistrations(voters, registrations, p.clock.Now())
 	return g, nil
 }
 
-func (g *Progress) count(voters confirmer.Voters, list []receiver.Registration, now time.Time) {
-	g.Accepted = g.Written && receiver.BundleAccepted(g.Version, voters, list, now)
-	for _, reg := range list {
+func (g *Progress) countRegistrations(voters confirmer.Voters, registrations []receiver.Registration, now time.Time) {
+	g.Accepted = g.Written && receiver.BundleAccepted(g.Version, voters, registrations, now)
+	for _, reg := range registrations {
 		inForce := reg.BundleVersion >= g.Version
 		if !inForce && slices.Contains(voters.Entries, reg.Entry.ID) {
 			g.Waiting = append(g.Waiting, reg.Entry.ID)
 		}
-		if !reg.WroteWithin(now, liveSpan) {
+		if !reg.WroteWithin(now, maxRegistrationAge) {
 			continue
 		}
 		g.Entries++
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -19,14 +19,14 @@
 	"github.com/pomeloferry/pomeloferry/storer"
 )
 
-// bench is a store with a publisher and a key to sign with.
-type bench struct {
-	store *storer.Store
-	pub   *publisher.Publisher
-	key   ed25519.PrivateKey
+// fixture is a store with a publisher and a key that signs bundles.
+type fixture struct {
+	store     *storer.Store
+	publisher *publisher.Publisher
+	key       ed25519.PrivateKey
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	clock := clockwork.NewRealClock()
 	store := storer.NewStore(clock)
@@ -35,14 +35,14 @@
 	public, private, err := ed25519.GenerateKey(strings.NewReader(strings.Repeat("seed", 16)))
 	require.NoError(t, err)
 	trust := approver.Trust{"berta": base64.StdEncoding.EncodeToString(public)}
-	return &bench{
-		store: store,
-		pub:   publisher.NewPublisher(clock, keeper.NewClient(server.URL), trust),
-		key:   private,
+	return &fixture{
+		store:     store,
+		publisher: publisher.NewPublisher(clock, keeper.NewClient(server.URL), trust),
+		key:       private,
 	}
 }
 
-func (b *bench) sign(t *testing.T, version uint64, author string) approver.Signed {
+func (b *fixture) sign(t *testing.T, version uint64, author string) approver.Signed {
 	t.Helper()
 	s, err := approver.Sign(approver.Bundle{
 		Version:     version,
@@ -65,53 +65,53 @@
 }
 
 func TestPublishIsSettledWhenAnswersAreLost(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	ctx := context.Background()
 	b.store.SetFault(storer.Fault{LoseAnswers: true})
-	require.NoError(t, b.pub.Publish(ctx, b.sign(t, 1, "anna")))
+	require.NoError(t, b.publisher.Publish(ctx, b.sign(t, 1, "anna")))
 	_, writes := b.store.Calls()
-	require.Equal(t, 1, writes, "the write was made again")
+	require.Equal(t, 1, writes, "the write was repeated")
 	b.store.SetFault(storer.Fault{})
-	_, got, err := b.pub.Current(ctx)
+	_, got, err := b.publisher.Current(ctx)
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), got.Version)
 }
 
 func TestPublishTwiceIsOnce(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	ctx := context.Background()
 	s := b.sign(t, 1, "anna")
-	require.NoError(t, b.pub.Publish(ctx, s))
-	require.NoError(t, b.pub.Publish(ctx, s))
-	list, err := b.pub.History(ctx)
+	require.NoError(t, b.publisher.Publish(ctx, s))
+	require.NoError(t, b.publisher.Publish(ctx, s))
+	list, err := b.publisher.History(ctx)
 	require.NoError(t, err)
 	require.Len(t, list, 1)
 }
 
 func TestPublishOfARacerNamesTheWinner(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	ctx := context.Background()
-	require.NoError(t, b.pub.Publish(ctx, b.sign(t, 1, "anna")))
-	requireRaced(t, b.pub.Publish(ctx, b.sign(t, 1, "carl")), "version 1 by anna, approved by berta")
+	require.NoError(t, b.publisher.Publish(ctx, b.sign(t, 1, "anna")))
+	requireRaced(t, b.publisher.Publish(ctx, b.sign(t, 1, "carl")), "version 1 by anna, approved by berta")
 }
 
 func TestPublishSkipsNoVersion(t *testing.T) {
-	b := newBench(t)
-	requireRaced(t, b.pub.Publish(context.Background(), b.sign(t, 3, "anna")), "version 0")
+	b := newFixture(t)
+	requireRaced(t, b.publisher.Publish(context.Background(), b.sign(t, 3, "anna")), "version 0")
 }
 
 func TestExactlyOneOfManyRacersWins(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	ctx := context.Background()
-	const racers = 8
-	errs := make([]error, racers)
+	const publishers = 8
+	errs := make([]error, publishers)
 	var wg sync.WaitGroup
-	for i := range racers {
+	for i := range publishers {
 		s := b.sign(t, 1, fmt.Sprintf("racer-%d", i))
-		wg.Go(func() { errs[i] = b.pub.Publish(ctx, s) })
+		wg.Go(func() { errs[i] = b.publisher.Publish(ctx, s) })
 	}
 	wg.Wait()
-	_, won, err := b.pub.Current(ctx)
+	_, won, err := b.publisher.Current(ctx)
 	require.NoError(t, err)
 	for i, err := range errs {
 		if author := fmt.Sprintf("racer-%d", i); author == won.Author {
@@ -123,10 +123,10 @@
 }
 
 func TestPublishRefusesAlteredBundles(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	s := b.sign(t, 1, "anna")
 	s.Bundle = []byte(strings.Replace(string(s.Bundle), "wien", "graz", 1))
-	require.ErrorContains(t, b.pub.Publish(context.Background(), s), "does not match")
+	require.ErrorContains(t, b.publisher.Publish(context.Background(), s), "does not match")
 	_, writes := b.store.Calls()
 	require.Zero(t, writes)
 }
