--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -1,6 +1,6 @@
-// Package configurer reads the settings of a deployment: which processes there
-// are, where they listen, and whom they trust. The settings are checked as a
-// whole before anything is served.
+// Package configurer reads the settings of a deployment: its processes, their
+// addresses and the approvers that they trust. All settings are checked before a
+// process serves requests.
 package configurer
 
 import (
@@ -21,26 +21,26 @@
 	"github.com/pomeloferry/pomeloferry/approver"
 )
 
-// Entry is the settings of one entry.
+// Entry holds the settings of one entry.
 type Entry struct {
 	ID         string
 	DataCentre string
-	// Listen is the host and port for callers and operators.
+	// Listen is the address (host and port) for callers and operators.
 	Listen string
-	// Link is the host and port for agents and other entries.
+	// Link is the address (host and port) for agents and other entries.
 	Link string
 }
 
-// Agent is the settings of one agent.
+// Agent holds the settings of one agent.
 type Agent struct {
 	ID         string
 	DataCentre string
 	Rack       string
-	// Listen is the host and port for the upstream and for operators.
+	// Listen is the address (host and port) for the upstream and for operators.
 	Listen string
 }
 
-// Upstream is the settings of one stand-in for an upstream.
+// Upstream holds the settings of one emulated upstream.
 type Upstream struct {
 	ID string
 	// Agent is the ID of the agent beside it.
@@ -51,18 +51,18 @@
 	Services    []string
 }
 
-// Settings is one deployment.
+// Settings describes a deployment.
 type Settings struct {
 	// Store is the URL of the platform's key-value service.
 	Store string
-	// Trust maps the names of approvers to Ed25519 public keys in base64.
+	// Trust maps the names of approvers to base64-encoded Ed25519 public keys.
 	Trust     approver.Trust
 	Entries   []Entry
 	Agents    []Agent
 	Upstreams []Upstream
 }
 
-// The limits of values in settings.
+// The largest allowed values in settings.
 const (
 	maxSlots       = 1024
 	maxConnections = 65535
@@ -70,7 +70,8 @@
 
 var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Load reads and checks the settings in the file at path.
+// Load reads and checks the settings in the file at path. Its errors are of type
+// *Error, with the kind Unreadable or Invalid.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -79,11 +80,12 @@
 	return Parse(path, raw)
 }
 
-// Parse reads and checks settings; path names their source in errors.
+// Parse decodes and checks settings; path is their source in errors, which are of
+// type *Error with the kind Invalid.
 func Parse(path string, raw []byte) (Settings, error) {
 	s, err := Decode(raw)
 	if err != nil {
-		return Settings{}, &Error{Op: "parse", Kind: Invalid, File: path, Err: describe(err)}
+		return Settings{}, &Error{Op: "parse", Kind: Invalid, File: path, Err: addKeyToTypeError(err)}
 	}
 	faults := s.Faults()
 	if len(faults) == 0 {
@@ -96,8 +98,8 @@
 	return Settings{}, &Error{Op: "check", Kind: Invalid, File: path, Err: errors.New(strings.Join(lines, "; "))}
 }
 
-// Decode reads settings without checking their values. Its errors are those
-// of encoding/json.
+// Decode decodes settings without checking their values. It returns the errors of
+// encoding/json, also for unknown keys.
 func Decode(raw []byte) (Settings, error) {
 	var s Settings
 	d := json.NewDecoder(bytes.NewReader(raw))
@@ -108,46 +110,46 @@
 	return s, nil
 }
 
-// describe names the key at fault where the decoder knows it.
-func describe(err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return errors.Errorf("%s: found a JSON %s, allowed %s", wrong.Field, wrong.Value, wrong.Type)
+// addKeyToTypeError adds the key to an error of the decoder that knows it.
+func addKeyToTypeError(err error) error {
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		return errors.Errorf("%s: found a JSON %s, allowed %s", typeError.Field, typeError.Value, typeError.Type)
 	}
 	return err
 }
 
-// Entry returns the settings of the entry called id.
+// Entry returns the settings of the entry with the given ID.
 func (s Settings) Entry(id string) (Entry, error) {
 	for _, e := range s.Entries {
 		if e.ID == id {
 			return e, nil
 		}
 	}
-	return Entry{}, &Error{Op: "find", Kind: Invalid, Err: errors.Errorf("Entries: found no ID %q", id)}
+	return Entry{}, &Error{Op: "find", Kind: Invalid, Err: errors.Errorf("Entries: no entry with ID %q", id)}
 }
 
-// Agent returns the settings of the agent called id.
+// Agent returns the settings of the agent with the given ID.
 func (s Settings) Agent(id string) (Agent, error) {
 	for _, a := range s.Agents {
 		if a.ID == id {
 			return a, nil
 		}
 	}
-	return Agent{}, &Error{Op: "find", Kind: Invalid, Err: errors.Errorf("Agents: found no ID %q", id)}
+	return Agent{}, &Error{Op: "find", Kind: Invalid, Err: errors.Errorf("Agents: no agent with ID %q", id)}
 }
 
-// Upstream returns the settings of the upstream called id.
+// Upstream returns the settings of the upstream with the given ID.
 func (s Settings) Upstream(id string) (Upstream, error) {
 	for _, u := range s.Upstreams {
 		if u.ID == id {
 			return u, nil
 		}
 	}
-	return Upstream{}, &Error{Op: "find", Kind: Invalid, Err: errors.Errorf("Upstreams: found no ID %q", id)}
+	return Upstream{}, &Error{Op: "find", Kind: Invalid, Err: errors.Errorf("Upstreams: no upstream with ID %q", id)}
 }
 
-// LinkAddresses returns where the entries take links.
+// LinkAddresses returns the addresses at which the entries accept links.
 func (s Settings) LinkAddresses() []string {
 	var out []string
 	for _, e := range s.Entries {
@@ -156,114 +158,115 @@
 	return out
 }
 
-// Fault is one value of the settings that is not allowed.
+// Fault is an invalid value in the settings.
 type Fault struct {
 	// Key is the path of the value, such as Entries[0].Listen.
 	Key string
-	// Text tells the value found and what is allowed.
+	// Text states the value found and the allowed values.
 	Text string
 }
 
-// String returns the fault in a line.
+// String returns the path and the text on one line.
 func (f Fault) String() string { return f.Key + ": " + f.Text }
 
-// checker gathers faults and the names and addresses seen so far.
-type checker struct {
-	faults    []Fault
+// validator collects invalid values, and the IDs and addresses seen so far, each with
+// the path at which it is used.
+type validator struct {
+	invalid   []Fault
 	addresses map[string]string
 	ids       map[string]string
 }
 
-func (c *checker) add(key string, found any, allowed string) {
-	c.faults = append(c.faults, Fault{Key: key, Text: fmt.Sprintf("found %#v, allowed %s", found, allowed)})
+func (v *validator) addInvalid(key string, found any, allowed string) {
+	v.invalid = append(v.invalid, Fault{Key: key, Text: fmt.Sprintf("found %#v, allowed %s", found, allowed)})
 }
 
-// Faults lists every fault of s.
+// Faults returns every invalid value of s.
 func (s Settings) Faults() []Fault {
-	c := &checker{addresses: make(map[string]string), ids: make(map[string]string)}
+	v := &validator{addresses: make(map[string]string), ids: make(map[string]string)}
 	u, err := url.Parse(s.Store)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		c.add("Store", s.Store, "an http or https URL")
+		v.addInvalid("Store", s.Store, "an http or https URL")
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Trust)) {
 		key := s.Trust[name]
 		raw, err := base64.StdEncoding.DecodeString(key)
 		if err != nil || len(raw) != 32 {
-			c.add("Trust."+name, key, "an Ed25519 public key of 32 bytes in base64")
+			v.addInvalid("Trust."+name, key, "an Ed25519 public key of 32 bytes in base64")
 		}
 	}
 	if len(s.Entries) == 0 {
-		c.add("Entries", len(s.Entries), "at least one")
+		v.addInvalid("Entries", len(s.Entries), "at least one")
 	}
 	for i, e := range s.Entries {
 		path := fmt.Sprintf("Entries[%d]", i)
-		c.id(path+".ID", e.ID)
-		c.name(path+".DataCentre", e.DataCentre)
-		c.address(path+".Listen", e.Listen)
-		c.address(path+".Link", e.Link)
+		v.checkID(path+".ID", e.ID)
+		v.checkName(path+".DataCentre", e.DataCentre)
+		v.checkAddress(path+".Listen", e.Listen)
+		v.checkAddress(path+".Link", e.Link)
 	}
-	agents := s.checkAgents(c)
-	s.checkUpstreams(c, agents)
-	return c.faults
+	agents := s.checkAgents(v)
+	s.checkUpstreams(v, agents)
+	return v.invalid
 }
 
-func (s Settings) checkAgents(c *checker) map[string]bool {
+func (s Settings) checkAgents(v *validator) map[string]bool {
 	agents := make(map[string]bool)
 	for i, a := range s.Agents {
 		path := fmt.Sprintf("Agents[%d]", i)
-		c.id(path+".ID", a.ID)
-		c.name(path+".DataCentre", a.DataCentre)
-		c.name(path+".Rack", a.Rack)
-		c.address(path+".Listen", a.Listen)
+		v.checkID(path+".ID", a.ID)
+		v.checkName(path+".DataCentre", a.DataCentre)
+		v.checkName(path+".Rack", a.Rack)
+		v.checkAddress(path+".Listen", a.Listen)
 		agents[a.ID] = true
 	}
 	return agents
 }
 
-func (s Settings) checkUpstreams(c *checker, agents map[string]bool) {
+func (s Settings) checkUpstreams(v *validator, agents map[string]bool) {
 	for i, u := range s.Upstreams {
 		path := fmt.Sprintf("Upstreams[%d]", i)
-		c.id(path+".ID", u.ID)
-		c.address(path+".Listen", u.Listen)
+		v.checkID(path+".ID", u.ID)
+		v.checkAddress(path+".Listen", u.Listen)
 		if !agents[u.Agent] {
-			c.add(path+".Agent", u.Agent, "the ID of one of Agents")
+			v.addInvalid(path+".Agent", u.Agent, "the ID of one of Agents")
 		}
-		c.between(path+".Slots", u.Slots, 1, maxSlots)
-		c.between(path+".Connections", u.Connections, 1, maxConnections)
+		v.checkRange(path+".Slots", u.Slots, 1, maxSlots)
+		v.checkRange(path+".Connections", u.Connections, 1, maxConnections)
 		if len(u.Services) == 0 {
-			c.add(path+".Services", u.Services, "at least one service")
+			v.addInvalid(path+".Services", u.Services, "at least one service")
 		}
 	}
 }
 
-func (c *checker) id(key, id string) {
-	c.name(key, id)
-	if other := c.ids[id]; other != "" {
-		c.add(key, id, "an ID not used by "+other)
+func (v *validator) checkID(key, id string) {
+	v.checkName(key, id)
+	if other := v.ids[id]; other != "" {
+		v.addInvalid(key, id, "an ID not used by "+other)
 	}
-	c.ids[id] = key
+	v.ids[id] = key
 }
 
-func (c *checker) name(key, name string) {
+func (v *validator) checkName(key, name string) {
 	if !idPattern.MatchString(name) {
-		c.add(key, name, "1 to 63 lower-case letters, digits and hyphens")
+		v.addInvalid(key, name, "1 to 63 lower-case letters, digits and hyphens")
 	}
 }
 
-func (c *checker) between(key string, n, low, high int) {
+func (v *validator) checkRange(key string, n, low, high int) {
 	if n < low || n > high {
-		c.add(key, n, fmt.Sprintf("%d to %d", low, high))
+		v.addInvalid(key, n, fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-func (c *checker) address(key, addr string) {
+func (v *validator) checkAddress(key, addr string) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
-		c.add(key, addr, "an IP number and a port")
+		v.addInvalid(key, addr, "an IP number and a port")
 		return
 	}
-	if other := c.addresses[addr]; other != "" {
-		c.add(key, addr, "an address not used by "+other)
+	if other := v.addresses[addr]; other != "" {
+		v.addInvalid(key, addr, "an address not used by "+other)
 	}
-	c.addresses[addr] = key
+	v.addresses[addr] = key
 }
--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomeloferry/pomeloferry/configurer"
 )
 
-const good = `{
+const validSettings = `{
   "Store": "http://127.0.0.1:2379",
   "Entries": [{"ID": "entry-1", "DataCentre": "wien", "Listen": "127.0.0.1:1", "Link": "127.0.0.1:2"}],
   "Agents": [{"ID": "agent-1", "DataCentre": "wien", "Rack": "rack-1", "Listen": "127.0.0.1:3"}],
@@ -35,7 +35,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := configurer.Parse("settings.json", []byte(strings.Replace(good, tt.old, tt.new, 1)))
+			_, err := configurer.Parse("settings.json", []byte(strings.Replace(validSettings, tt.old, tt.new, 1)))
 			if tt.want == "" {
 				require.NoError(t, err)
 				return
--- a/configurer/error.go
+++ b/configurer/error.go
@@ -9,15 +9,16 @@
 const (
 	// Unreadable means that the file cannot be read.
 	Unreadable Kind = "Unreadable"
-	// Invalid means that the settings are wrong.
+	// Invalid means that the settings are malformed, hold an invalid value or lack a
+	// process that was looked up.
 	Invalid Kind = "Invalid"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
-	// File names the settings file; it may be empty.
+	// File is the path of the settings file; it may be empty.
 	File string
 	Err  error
 }
