--- a/checker/bundle.go
+++ b/checker/bundle.go
@@ -8,8 +8,8 @@
 	"github.com/pomeloferry/pomeloferry/configurer"
 )
 
-// loadDeployment reads the settings of the deployment of a bundle. It returns
-// nil for none.
+// loadDeployment parses the settings of a bundle's deployment. It returns nil if f is
+// nil.
 func loadDeployment(f *File) (*configurer.Settings, error) {
 	if f == nil {
 		return nil, nil
@@ -21,76 +21,77 @@
 	return &s, nil
 }
 
-// checkBundle judges a bundle, and against the settings of its deployment if
-// they are given.
+// checkBundle checks a bundle, also against the settings of its deployment if they
+// are given.
 func (d document) checkBundle(deployment *File) ([]Finding, error) {
 	settings, err := loadDeployment(deployment)
 	if err != nil {
 		return nil, err
 	}
-	read := decode(d, approver.Decode)
-	out := read.findings
-	if !read.whole {
-		return out, nil
+	result := decode(d, approver.Decode)
+	findings := result.findings
+	if !result.complete {
+		return findings, nil
 	}
-	for _, f := range read.value.Faults() {
-		if read.readable(f.Key) {
-			out = append(out, d.finding(Fault, f.Key, f.Text))
+	for _, f := range result.value.Faults() {
+		if result.wasDecoded(f.Key) {
+			findings = append(findings, d.finding(Fault, f.Key, f.Text))
 		}
 	}
-	if hasFault(out) {
-		return out, nil
+	if hasFault(findings) {
+		return findings, nil
 	}
-	out = append(out, d.serviceRules(read.value)...)
-	out = append(out, d.dataCentreRules(read.value)...)
+	findings = append(findings, d.checkServices(result.value)...)
+	findings = append(findings, d.checkDataCentres(result.value)...)
 	if settings != nil {
-		out = append(out, d.deploymentRules(read.value, *settings)...)
+		findings = append(findings, d.checkDeployment(result.value, *settings)...)
 	}
-	return out, nil
+	return findings, nil
 }
 
-// serviceRules finds the limits of services that contradict each other or the
-// limits of the whole.
-func (d document) serviceRules(b approver.Bundle) []Finding {
-	var out []Finding
+// checkServices finds limits of services that contradict each other, the limits of the
+// teams or those of the whole system.
+func (d document) checkServices(b approver.Bundle) []Finding {
+	var findings []Finding
 	add := func(key, format string, args ...any) {
-		out = append(out, d.finding(Contradiction, key, fmt.Sprintf(format, args...)))
+		findings = append(findings, d.finding(Contradiction, key, fmt.Sprintf(format, args...)))
 	}
-	widest := slices.MaxFunc(b.Teams, func(a, b approver.Team) int { return a.TaskLimit - b.TaskLimit })
+	largestTeam := slices.MaxFunc(b.Teams, func(a, b approver.Team) int { return a.TaskLimit - b.TaskLimit })
 	for i, s := range b.Services {
 		path := fmt.Sprintf("Services[%d]", i)
 		if s.DeadlineLimitMillis < s.ExpectedRunMillis {
 			add(path+".DeadlineLimitMillis", "%d is below ExpectedRunMillis, %d: by this first guess no deadline within the limit leaves time for a run",
 				s.DeadlineLimitMillis, s.ExpectedRunMillis)
 		}
-		if s.TaskLimit > widest.TaskLimit {
-			add(path+".TaskLimit", "no team can submit %d tasks: the largest TaskLimit of Teams is %d", s.TaskLimit, widest.TaskLimit)
+		if s.TaskLimit > largestTeam.TaskLimit {
+			add(path+".TaskLimit", "no team can submit %d tasks: the largest TaskLimit of Teams is %d", s.TaskLimit, largestTeam.TaskLimit)
 		}
 		if s.TaskLimit > b.Limits.WaitingTaskLimit {
 			add(path+".TaskLimit", "a job of %d tasks is always refused: Limits.WaitingTaskLimit is %d", s.TaskLimit, b.Limits.WaitingTaskLimit)
 		}
 	}
-	return out
+	return findings
 }
 
-// dataCentreRules finds a bundle that takes out every data centre it lists.
-// Agents in others still start tasks.
-func (d document) dataCentreRules(b approver.Bundle) []Finding {
+// checkDataCentres reports a bundle in which every listed data centre is out. Agents
+// in data centres that are not listed still start tasks.
+func (d document) checkDataCentres(b approver.Bundle) []Finding {
 	if len(b.DataCentres) == 0 || len(b.OutDataCentres()) < len(b.DataCentres) {
 		return nil
 	}
 	return []Finding{d.finding(Unmatched, "DataCentres", "every data centre listed is Out: no task can start in any of them")}
 }
 
-// deploymentRules finds what no process of a deployment can match or reach.
-func (d document) deploymentRules(b approver.Bundle, s configurer.Settings) []Finding {
+// checkDeployment finds entries of the bundle that match no process of the deployment
+// and limits that its processes cannot reach.
+func (d document) checkDeployment(b approver.Bundle, s configurer.Settings) []Finding {
 	f := newFleet(s)
-	out := d.unknownServices(b, f)
-	out = append(out, d.unknownDataCentres(b, f)...)
-	return append(out, d.ejectionRules(b, f)...)
+	out := d.checkServicesKnown(b, f)
+	out = append(out, d.checkDataCentresKnown(b, f)...)
+	return append(out, d.checkEjectPercent(b, f)...)
 }
 
-func (d document) unknownServices(b approver.Bundle, f fleet) []Finding {
+func (d document) checkServicesKnown(b approver.Bundle, f fleet) []Finding {
 	var out []Finding
 	for i, s := range b.Services {
 		if len(f.services) > 0 && !f.services[s.Name] {
@@ -101,7 +102,7 @@
 	return out
 }
 
-func (d document) unknownDataCentres(b approver.Bundle, f fleet) []Finding {
+func (d document) checkDataCentresKnown(b approver.Bundle, f fleet) []Finding {
 	var out []Finding
 	listed := make(map[string]bool)
 	for i, dc := range b.DataCentres {
@@ -120,8 +121,9 @@
 	return out
 }
 
-// ejectionRules finds a limit on ejected workers that allows none.
-func (d document) ejectionRules(b approver.Bundle, f fleet) []Finding {
+// checkEjectPercent reports a limit on ejected workers that is less than one worker,
+// unless it is 0, which disables ejection.
+func (d document) checkEjectPercent(b approver.Bundle, f fleet) []Finding {
 	p := b.Limits.EjectPercent
 	if p == 0 || f.agents == 0 || p*f.agents >= 100 {
 		return nil
--- a/checker/change.go
+++ b/checker/change.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Change is a difference of one value from the version in force.
+// Change is the difference of one value from the version in force.
 type Change struct {
-	// Path is the key with elements listed under their names.
+	// Path is the key of the value, with list elements identified by their names.
 	Path string
-	// Was is the value in force, or nil for one that was added.
+	// Was is the value in force. It is nil if the value was added.
 	Was *string `json:",omitempty"`
-	// Is is the value in the file, or nil for one that was removed.
+	// Is is the value in the file. It is nil if the value was removed.
 	Is *string `json:",omitempty"`
 }
 
-// String returns the change in words.
+// String describes the change on one line.
 func (c Change) String() string {
 	switch {
 	case c.Was == nil:
--- a/checker/checker.go
+++ b/checker/checker.go
@@ -1,7 +1,6 @@
-// Package checker checks a configuration before it is sent. It reads a file
-// with the code with which the programs read it, and adds rules on entries
-// that can never match, on limits that contradict each other, and on
-// differences from the version in force.
+// Package checker checks a configuration file before it is deployed. It decodes the
+// file with the code that the programs use, and also reports entries that can never
+// match, limits that contradict each other, and differences from the version in force.
 package checker
 
 import (
@@ -13,22 +12,23 @@
 	"github.com/go-faster/errors"
 )
 
-// File is the content of a file.
+// File is a file's name and content.
 type File struct {
 	Name string
 	Raw  []byte
 }
 
-// Options are what a file is compared with.
+// Options hold the files that a file is checked against.
 type Options struct {
-	// Against is the version in force, or nil.
+	// Against is the version in force. It may be nil.
 	Against *File
-	// Deployment holds the settings of the deployment that the file is meant
-	// for, or nil: Settings for a bundle, Machine for a Configuration.
+	// Deployment holds the settings of the deployment that the file is meant for,
+	// of the form Settings for a bundle and Machine for a Configuration. It may be
+	// nil.
 	Deployment *File
 }
 
-// Check checks f. An error means that it could not be checked.
+// Check checks f. An error, of type *Error, means that f could not be checked.
 func Check(f File, o Options) (Report, error) {
 	r := Report{File: f.Name, Findings: []Finding{}}
 	d, findings, err := newDocument(f.Name, f.Raw)
@@ -40,12 +40,12 @@
 	if d.form == "" {
 		return r, nil
 	}
-	r.Findings = append(r.Findings, d.textFindings()...)
-	found, err := d.check(o.Deployment)
+	r.Findings = append(r.Findings, d.ignoredTextFindings()...)
+	contentFindings, err := d.checkContent(o.Deployment)
 	if err != nil {
 		return Report{}, err
 	}
-	r.Findings = append(r.Findings, found...)
+	r.Findings = append(r.Findings, contentFindings...)
 	if o.Against != nil {
 		changes, err := compare(d, *o.Against)
 		if err != nil {
@@ -58,13 +58,13 @@
 	return r, nil
 }
 
-// check judges the content of d by its form.
-func (d document) check(deployment *File) ([]Finding, error) {
+// checkContent checks the content of d according to its form.
+func (d document) checkContent(deployment *File) ([]Finding, error) {
 	switch d.form {
 	case Machine:
-		return d.checkMachine(), d.refuse(deployment)
+		return d.checkMachine(), d.rejectDeployment(deployment)
 	case Settings:
-		return d.checkSettings(), d.refuse(deployment)
+		return d.checkSettings(), d.rejectDeployment(deployment)
 	case Configuration:
 		return d.checkConfiguration(deployment)
 	case Signed:
@@ -73,8 +73,9 @@
 	return d.checkBundle(deployment)
 }
 
-// refuse returns an error for a deployment that nothing of d is compared with.
-func (d document) refuse(deployment *File) error {
+// rejectDeployment returns an error if deployment settings are given, for a form that is not
+// checked against them.
+func (d document) rejectDeployment(deployment *File) error {
 	if deployment == nil {
 		return nil
 	}
@@ -82,23 +83,24 @@
 		"settings are compared with a bundle or a configuration, and %s is neither", d.file)}
 }
 
-// textFindings tells what the readers of JSON pass over without a word.
-func (d document) textFindings() []Finding {
+// ignoredTextFindings reports what JSON decoders ignore silently: duplicate keys and text
+// after the value.
+func (d document) ignoredTextFindings() []Finding {
 	var out []Finding
-	for _, r := range d.at.repeats {
+	for _, r := range d.locator.duplicates {
 		out = append(out, Finding{
 			File: d.file, Line: r.line, Key: r.key, Kind: Unmatched,
-			Text: fmt.Sprintf("the same key in line %d takes precedence", r.again),
+			Text: fmt.Sprintf("the same key in line %d takes precedence", r.overridingLine),
 		})
 	}
 	if d.form == Machine {
 		return out
 	}
-	rest := d.raw[d.at.end():]
+	rest := d.raw[d.locator.end():]
 	if more := bytes.TrimSpace(rest); len(more) > 0 {
-		offset := bytes.Index(d.raw[d.at.end():], more) + d.at.end()
+		offset := bytes.Index(d.raw[d.locator.end():], more) + d.locator.end()
 		out = append(out, Finding{
-			File: d.file, Line: d.at.lineAt(offset), Kind: Fault,
+			File: d.file, Line: d.locator.lineAt(offset), Kind: Fault,
 			Text: "text after the end of the JSON value is refused or not read",
 		})
 	}
--- a/checker/checker_test.go
+++ b/checker/checker_test.go
@@ -50,7 +50,7 @@
 	require.Equal(t, string(want), string(got))
 }
 
-// Guards against a finding that is lost, doubled or filed under another line or
+// Guards against a finding that is lost, duplicated or reported at a wrong line or
 // key, and against a change of the output that scripts read.
 func TestReports(t *testing.T) {
 	tests := []struct {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Guards against false alarms: what is shipped as an example is sound.
+// Guards against false positives: the shipped examples are valid.
 func TestExamplesAreClean(t *testing.T) {
 	for _, name := range []string{"marktblick", "mtkvari"} {
 		settings := readFile(t, "../examples/"+name+".json")
@@ -97,8 +97,8 @@
 	}
 }
 
-// Each case makes one fault in an example. Guards against a rule that stays
-// silent, and against one that raises others with it.
+// Each case introduces one fault into an example. Guards against a rule that does not
+// report it, and against one that reports others as well.
 func TestOneFault(t *testing.T) {
 	const bundle, settings = "../examples/marktblick-bundle.json", "../examples/marktblick.json"
 	tests := []struct {
@@ -144,7 +144,7 @@
 	}
 }
 
-// Guards against a finding about the service when just one team is small.
+// Guards against a finding on the service if just one team has a small limit.
 func TestServiceIsWiderThanAnyTeam(t *testing.T) {
 	f := readFile(t, "../examples/mtkvari-bundle.json")
 	f.Raw = bytes.ReplaceAll(f.Raw, []byte(`"TaskLimit": 100000`), []byte(`"TaskLimit": 1000`))
@@ -157,8 +157,8 @@
 	}, r.Findings[0])
 }
 
-// signed returns an example with its approval, and its settings.
-func signed(t *testing.T) (approver.Signed, *checker.File) {
+// signedExample returns an example bundle, signed, and the settings of its deployment.
+func signedExample(t *testing.T) (approver.Signed, *checker.File) {
 	t.Helper()
 	b, err := approver.Parse(readFile(t, "../examples/marktblick-bundle.json").Raw)
 	require.NoError(t, err)
@@ -171,16 +171,16 @@
 	return s, readFile(t, "../examples/marktblick.json")
 }
 
-// Guards against a signed bundle that is sent although entries would refuse it,
-// and against keys and lines that are counted from the bundle's own start.
+// Guards against a signed bundle that is deployed although entries would reject it, and
+// against keys and lines that are relative to the bundle instead of the file.
 func TestSignedBundle(t *testing.T) {
-	good, settings := signed(t)
+	good, settings := signedExample(t)
 	tests := []struct {
 		name   string
 		change func(string) string
 		want   []string
 	}{
-		{"sound", func(s string) string { return s }, nil},
+		{"valid", func(s string) string { return s }, nil},
 		{"altered", func(s string) string {
 			return strings.Replace(s, `"TaskLimit": 1100`, `"TaskLimit": 1099`, 1)
 		}, []string{`signed.json:50: Fault: Signature: verify bundle: the signature of "example-approver" does not match: the bundle was altered or signed with another key`}},
@@ -205,9 +205,9 @@
 	}
 }
 
-// Guards against differences that are only of form: approval, order, white space.
+// Guards against differences in form only: approval, order and white space.
 func TestSignedBundleIsComparedByItsContent(t *testing.T) {
-	s, _ := signed(t)
+	s, _ := signedExample(t)
 	raw, err := json.Marshal(s)
 	require.NoError(t, err)
 	f := checker.File{Name: "signed.json", Raw: raw}
@@ -216,7 +216,7 @@
 	require.Empty(t, r.Findings)
 }
 
-// Guards against a report about a file that could not be judged.
+// Guards against a report on a file that could not be checked.
 func TestWhatCannotBeChecked(t *testing.T) {
 	bundle := readFile(t, "../examples/marktblick-bundle.json")
 	settings := readFile(t, "../examples/marktblick.json")
@@ -250,7 +250,7 @@
 	}
 }
 
-// samples returns all files of the tests and the examples.
+// samples returns all test data and example files.
 func samples(t testing.TB) []*checker.File {
 	t.Helper()
 	var out []*checker.File
@@ -264,9 +264,9 @@
 	return out
 }
 
-// requireSound checks what holds for each input: no panic, lines within the
+// requireInvariants checks the invariants for any input: no panic, line numbers within the
 // file, and the same report on a second run.
-func requireSound(t require.TestingT, f checker.File, o checker.Options) {
+func requireInvariants(t require.TestingT, f checker.File, o checker.Options) {
 	r, err := checker.Check(f, o)
 	again, errAgain := checker.Check(f, o)
 	require.Equal(t, err, errAgain)
@@ -283,8 +283,8 @@
 	}
 }
 
-// Guards against inputs that make the checker panic or give a line that the
-// file does not have: samples with pieces cut out, doubled or swapped.
+// Guards against inputs that make the checker panic or report a line that the file does
+// not have: samples in which random pieces are removed or replaced.
 func TestNoInputPanics(t *testing.T) {
 	files := samples(t)
 	pieces := []string{"", "null", "{}", "[]", "-1", "1e400", `"x"`, "0", `{"Name":null}`, "\n", "\x00", "}", "]", ","}
@@ -303,32 +303,32 @@
 		if rapid.Bool().Draw(t, "judge") {
 			o.Deployment = rapid.SampledFrom(files).Draw(t, "deployment")
 		}
-		requireSound(t, f, o)
+		requireInvariants(t, f, o)
 	})
 }
 
-// member matches a member of an object up to its value, and a value without
-// others in it.
-var member = regexp.MustCompile(`("\w+":\s*)([^\s,{}\[\]]+|[{\[])`)
+// memberPattern matches the name of an object's member, then its scalar value or the opening
+// bracket of its value.
+var memberPattern = regexp.MustCompile(`("\w+":\s*)([^\s,{}\[\]]+|[{\[])`)
 
-// Guards against any value at any key that makes the checker panic: one value
-// of a sample is replaced, so that most of the text stays well formed.
+// Guards against values that make the checker panic: replaces one value of a sample at
+// a time, so that most of the text stays well formed.
 func TestNoValuePanics(t *testing.T) {
 	values := []string{"null", "{}", "[]", "[null]", `{"":{}}`, "-1", "0", "1e18", "true", `""`, `"x"`}
 	for _, f := range samples(t) {
 		if len(f.Raw) > 2000 {
 			continue
 		}
-		for _, at := range member.FindAllSubmatchIndex(f.Raw, -1) {
+		for _, at := range memberPattern.FindAllSubmatchIndex(f.Raw, -1) {
 			for _, v := range values {
 				raw := slices.Concat(f.Raw[:at[4]], []byte(v), f.Raw[at[5]:])
-				requireSound(t, checker.File{Name: f.Name, Raw: raw}, checker.Options{Against: f})
+				requireInvariants(t, checker.File{Name: f.Name, Raw: raw}, checker.Options{Against: f})
 			}
 		}
 	}
 }
 
-// Guards against nesting that costs more than the file is worth.
+// Guards against a cost of deep nesting that is out of proportion to the file's size.
 func TestDeepNesting(t *testing.T) {
 	const depth = 9000
 	raw := `{"Version": ` + strings.Repeat("[", depth) + strings.Repeat("]", depth) + `}`
@@ -349,6 +349,6 @@
 		if len(against) > 0 {
 			o.Against = &checker.File{Name: "against", Raw: against}
 		}
-		requireSound(t, checker.File{Name: "file", Raw: raw}, o)
+		requireInvariants(t, checker.File{Name: "file", Raw: raw}, o)
 	})
 }
--- a/checker/configuration.go
+++ b/checker/configuration.go
@@ -11,39 +11,40 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// checkConfiguration judges the operators' configuration, and against the
-// settings of a machine if they are given.
+// checkConfiguration checks the operators' configuration, also against the settings of
+// a machine if they are given.
 func (d document) checkConfiguration(deployment *File) ([]Finding, error) {
-	read := decode(d, platform.ParseConfiguration)
-	out := read.findings
-	if hasFault(out) {
-		return out, nil
+	result := decode(d, platform.ParseConfiguration)
+	findings := result.findings
+	if hasFault(findings) {
+		return findings, nil
 	}
-	out = append(out, d.coveredQueues(read.value.Queues)...)
-	out = append(out, d.queueLimits(read.value.Queues)...)
+	findings = append(findings, d.checkUnreachableQueues(result.value.Queues)...)
+	findings = append(findings, d.checkQueueLimits(result.value.Queues)...)
 	if deployment == nil {
-		return out, nil
+		return findings, nil
 	}
 	s, err := platform.ParseSettings(string(deployment.Raw))
 	if err != nil {
 		return nil, &Error{Op: "read settings", Kind: Unreadable, File: deployment.Name, Err: err}
 	}
-	return append(out, d.resendRules(read.value.Queues, s.MinResendDelay)...), nil
+	return append(findings, d.checkResendDelay(result.value.Queues, s.MinResendDelay)...), nil
 }
 
-// place is where a queue takes requests.
-type place struct{ host, prefix string }
+// routeKey is the host and the path prefix of the requests that a queue accepts.
+type routeKey struct{ host, prefix string }
 
-// coveredQueues finds queues that no request can reach. Of two queues with the
-// longest prefix, the one that is listed first gets the request.
-func (d document) coveredQueues(queues []scheduler.Queue) []Finding {
-	first := make(map[place]int)
+// checkUnreachableQueues finds queues that no request can reach. A request goes to the queue
+// with the longest matching prefix, and of several with the same prefix to the one
+// listed first.
+func (d document) checkUnreachableQueues(queues []scheduler.Queue) []Finding {
+	firstByRoute := make(map[routeKey]int)
 	for i, q := range slices.Backward(queues) {
-		first[place{q.Host, q.Prefix}] = i
+		firstByRoute[routeKey{q.Host, q.Prefix}] = i
 	}
 	var out []Finding
 	for i, q := range queues {
-		j, covered := coveredBy(first, i, q)
+		j, covered := coveredBy(firstByRoute, i, q)
 		switch {
 		case covered:
 			out = append(out, d.finding(Unmatched, platform.QueueKey(i, platform.PrefixKey),
@@ -58,53 +59,54 @@
 	return out
 }
 
-// coveredBy returns the queue that gets all requests of queue i, if there is
-// one. Since paths begin with a slash, the prefix "/" covers an empty one.
-func coveredBy(first map[place]int, i int, q scheduler.Queue) (int, bool) {
-	if j, ok := first[place{q.Host, "/"}]; ok && q.Prefix == "" {
+// coveredBy returns the index of the queue that receives all requests that would match
+// queue i, if there is one. Since paths begin with a slash, the prefix "/" covers an
+// empty one.
+func coveredBy(firstByRoute map[routeKey]int, i int, q scheduler.Queue) (int, bool) {
+	if j, ok := firstByRoute[routeKey{q.Host, "/"}]; ok && q.Prefix == "" {
 		return j, true
 	}
-	j := first[place{q.Host, q.Prefix}]
+	j := firstByRoute[routeKey{q.Host, q.Prefix}]
 	return j, j != i
 }
 
-// queueLimits finds queues whose deadline and objective contradict each other.
-func (d document) queueLimits(queues []scheduler.Queue) []Finding {
+// checkQueueLimits finds queues whose timeout and latency objective contradict each other.
+func (d document) checkQueueLimits(queues []scheduler.Queue) []Finding {
 	var out []Finding
 	for i, q := range queues {
 		if q.Timeout > 0 && q.Timeout < q.Slack {
 			out = append(out, d.finding(Contradiction, platform.QueueKey(i, platform.TimeoutKey),
 				fmt.Sprintf("%s is shorter than %s, %s", q.Timeout, platform.SlackKey, q.Slack)))
 		}
-		if most, bounded := longestInTime(q); bounded && (q.Timeout <= 0 || most < q.Timeout) {
+		if longest, bounded := maxChainWithinObjective(q); bounded && (q.Timeout <= 0 || longest < q.Timeout) {
 			out = append(out, d.finding(Contradiction, platform.QueueKey(i, platform.StretchKey),
-				fmt.Sprintf("a job whose longest chain is estimated at more than %s has an objective below that estimate", most)))
+				fmt.Sprintf("a job whose longest chain is estimated at more than %s has an objective below that estimate", longest)))
 		}
 	}
 	return out
 }
 
-// longestInTime returns the longest chain of work that the objective of a job
-// just allows for, unless it allows for any.
-func longestInTime(q scheduler.Queue) (time.Duration, bool) {
+// maxChainWithinObjective returns the length of the longest chain of tasks that can meet the
+// objective of a job. It returns false if the objective does not bound the length.
+func maxChainWithinObjective(q scheduler.Queue) (time.Duration, bool) {
 	if q.Stretch >= 1 {
 		return 0, false
 	}
-	most := float64(q.Slack) / (1 - q.Stretch)
-	if most >= math.MaxInt64 {
+	longest := float64(q.Slack) / (1 - q.Stretch)
+	if longest >= math.MaxInt64 {
 		return 0, false
 	}
-	return max(0, time.Duration(most).Round(time.Millisecond)), true
+	return max(0, time.Duration(longest).Round(time.Millisecond)), true
 }
 
-// resendRules finds queues whose deadline is over before callers send a job
-// again. Callers that name a deadline of their own are not bound by it.
-func (d document) resendRules(queues []scheduler.Queue, resend time.Duration) []Finding {
+// checkResendDelay finds queues whose timeout ends before a caller without an answer sends
+// its job again. The timeout does not apply to callers that set a deadline.
+func (d document) checkResendDelay(queues []scheduler.Queue, minResendDelay time.Duration) []Finding {
 	var out []Finding
 	for i, q := range queues {
-		if q.Timeout > 0 && q.Timeout < resend {
+		if q.Timeout > 0 && q.Timeout < minResendDelay {
 			out = append(out, d.finding(Contradiction, platform.QueueKey(i, platform.TimeoutKey),
-				fmt.Sprintf("%s, for callers that name no deadline, is over before one without an answer sends the job again, after %s", q.Timeout, resend)))
+				fmt.Sprintf("%s, for callers that name no deadline, is over before one without an answer sends the job again, after %s", q.Timeout, minResendDelay)))
 		}
 	}
 	return out
--- a/checker/configuration_test.go
+++ b/checker/configuration_test.go
@@ -20,9 +20,9 @@
 	Stretch float64 `json:"stretch"`
 }
 
-// Guards against a queue that is called covered although requests reach it, and
-// against one that is passed over although none does: the entries' own choice of
-// a queue is the judge.
+// Guards against a queue that is reported as covered although requests reach it, and
+// against one that is not reported although none does. The reference is the lookup of
+// queues that the entries use.
 func TestCoveredQueuesAreThoseThatNoRequestReaches(t *testing.T) {
 	prefixes := []string{"", "/", "/q", "/q/", "/q/long/", "q/"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -39,39 +39,39 @@
 		require.NoError(t, err)
 		c, err := platform.ParseConfiguration(raw)
 		require.NoError(t, err)
-		reached := make(map[string]bool)
+		reachable := make(map[string]bool)
 		for _, host := range []string{"a", "b"} {
 			for _, prefix := range prefixes {
 				path := "/" + strings.TrimPrefix(prefix, "/")
 				for _, rest := range []string{"", "0", "x/0"} {
 					if q, _, ok := c.Find(host, path+rest); ok {
-						reached[q.Name] = true
+						reachable[q.Name] = true
 					}
 				}
 			}
 		}
 		r, err := checker.Check(checker.File{Name: "c.json", Raw: raw}, checker.Options{})
 		require.NoError(t, err)
-		told := make(map[string]bool)
+		reported := make(map[string]bool)
 		for _, f := range r.Findings {
 			require.Equal(t, checker.Unmatched, f.Kind, f)
-			told[f.Key[:strings.IndexByte(f.Key, '.')]] = true
+			reported[f.Key[:strings.IndexByte(f.Key, '.')]] = true
 		}
 		for i, rt := range routes {
-			require.NotEqual(t, reached[rt.Name], told[fmt.Sprintf("routes[%d]", i)], "%s in %s: %v", rt.Name, raw, r.Findings)
+			require.NotEqual(t, reachable[rt.Name], reported[fmt.Sprintf("routes[%d]", i)], "%s in %s: %v", rt.Name, raw, r.Findings)
 		}
 	})
 }
 
-// Guards against findings that a sound configuration does not deserve, and
-// against faults that are reported under the wrong key.
+// Guards against findings for a valid configuration, and against findings under the
+// wrong key.
 func TestConfigurationFindings(t *testing.T) {
-	const sound = `{"version": 1, "routes": [{"host": "h", "prefix": "/", "target_latency_ms": 60, "timeout_ms": 1500, "stretch": 1.6}]}`
+	const valid = `{"version": 1, "routes": [{"host": "h", "prefix": "/", "target_latency_ms": 60, "timeout_ms": 1500, "stretch": 1.6}]}`
 	tests := []struct {
 		name, old, new string
 		want           []string
 	}{
-		{"sound", "", "", nil},
+		{"valid", "", "", nil},
 		{"stretch just below one", "1.6", "0.9999999999999999", nil},
 		{"text after the value", "]}", "]} more", []string{"c.json:1: Fault: text after the end of the JSON value is refused or not read"}},
 		{"objective below the estimate", "1.6", "0.5", []string{
@@ -80,7 +80,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			raw := []byte(strings.Replace(sound, tt.old, tt.new, 1))
+			raw := []byte(strings.Replace(valid, tt.old, tt.new, 1))
 			r, err := checker.Check(checker.File{Name: "c.json", Raw: raw}, checker.Options{})
 			require.NoError(t, err)
 			var got []string
--- a/checker/decode.go
+++ b/checker/decode.go
@@ -12,96 +12,97 @@
 	"github.com/go-faster/errors"
 )
 
-// maxTypeFaults bounds the values of a wrong type that are looked for.
-const maxTypeFaults = 50
+// maxTypeErrors is the maximum number of values of a wrong type that are searched for.
+const maxTypeErrors = 50
 
-// decoded is the outcome of reading a document into a T.
-type decoded[T any] struct {
+// decodeResult is the result of decoding a document into a T.
+type decodeResult[T any] struct {
 	value T
-	// whole tells that value holds all that could be read.
-	whole bool
-	// bad are the keys of the values that could not be read.
-	bad      []string
-	findings []Finding
+	// complete means that value holds everything that could be decoded.
+	complete bool
+	// undecodable lists the keys of the values that could not be decoded.
+	undecodable []string
+	findings    []Finding
 }
 
-// decode reads d with the function that the programs use. That function stops
-// at the first error, so decode takes a value of a wrong type out and reads
-// again, until no error is left.
-func decode[T any](d document, read func([]byte) (T, error)) decoded[T] {
-	var out decoded[T]
-	rest := d
-	for range maxTypeFaults {
-		// textFindings reports what follows the value.
-		v, err := read(rest.raw[:rest.at.end()])
+// decode decodes d with the function that the programs use. Since that function stops
+// at the first error, decode replaces a value of a wrong type by null and tries again
+// until no error is left.
+func decode[T any](d document, read func([]byte) (T, error)) decodeResult[T] {
+	var out decodeResult[T]
+	remaining := d
+	for range maxTypeErrors {
+		// The text after the value is left out; ignoredTextFindings reports it.
+		v, err := read(remaining.raw[:remaining.locator.end()])
 		if err == nil {
 			out.value = v
-			out.whole = true
+			out.complete = true
 			return out
 		}
-		if wrong, ok := errors.Into[*json.UnmarshalTypeError](err); ok {
-			bad, ok := rest.at.around(int(wrong.Offset))
-			if !ok || bad.key == "" {
-				return out.with(d.finding(Fault, "", err.Error()))
+		if typeError, ok := errors.Into[*json.UnmarshalTypeError](err); ok {
+			undecodable, ok := remaining.locator.smallestAt(int(typeError.Offset))
+			if !ok || undecodable.key == "" {
+				return out.withFinding(d.finding(Fault, "", err.Error()))
 			}
-			out.bad = append(out.bad, bad.key)
-			out = out.with(d.finding(Fault, bad.key, fmt.Sprintf("found a JSON %s, allowed %s", wrong.Value, wrong.Type)))
-			rest = rest.without(bad)
+			out.undecodable = append(out.undecodable, undecodable.key)
+			out = out.withFinding(d.finding(Fault, undecodable.key, fmt.Sprintf("found a JSON %s, allowed %s", typeError.Value, typeError.Type)))
+			remaining = remaining.withNull(undecodable)
 			continue
 		}
-		unknown := unknownKeys[T](rest.raw)
+		unknown := unknownKeys[T](remaining.raw)
 		if len(unknown) == 0 {
-			return out.with(d.finding(Fault, "", err.Error()))
+			return out.withFinding(d.finding(Fault, "", err.Error()))
 		}
 		for _, key := range unknown {
-			out = out.with(d.finding(Fault, key, "no such key"))
+			out = out.withFinding(d.finding(Fault, key, "no such key"))
 		}
-		read = lenient
+		read = decodeLenient
 	}
 	return out
 }
 
-func (d decoded[T]) with(f Finding) decoded[T] {
+func (d decodeResult[T]) withFinding(f Finding) decodeResult[T] {
 	d.findings = append(d.findings, f)
 	return d
 }
 
-// lenient reads a T and passes unknown keys over.
-func lenient[T any](raw []byte) (T, error) {
+// decodeLenient decodes a T and ignores unknown keys.
+func decodeLenient[T any](raw []byte) (T, error) {
 	var v T
 	err := json.NewDecoder(bytes.NewReader(raw)).Decode(&v)
 	return v, err
 }
 
-// without returns a copy of d with null in place of v. It keeps the lines.
-func (d document) without(v value) document {
+// withNull returns a copy of d in which v is replaced by null, with the line numbers
+// of the rest unchanged.
+func (d document) withNull(v value) document {
 	lines := bytes.Count(d.raw[v.start:v.end], []byte("\n"))
 	null := append([]byte("null"), bytes.Repeat([]byte("\n"), lines)...)
 	d.raw = slices.Concat(d.raw[:v.start], null, d.raw[v.end:])
 	if at, err := locate(d.raw); err == nil {
-		d.at = at
+		d.locator = at
 	}
 	return d
 }
 
-// readable reports whether a fault of key is no mere consequence of a value
-// that could not be read.
-func (d decoded[T]) readable(key string) bool {
-	return !slices.ContainsFunc(d.bad, func(bad string) bool {
+// wasDecoded reports whether the value of key was decoded. If not, an error that its
+// zero value causes is only a consequence.
+func (d decodeResult[T]) wasDecoded(key string) bool {
+	return !slices.ContainsFunc(d.undecodable, func(bad string) bool {
 		return key == bad || strings.HasPrefix(key, bad+".") || strings.HasPrefix(key, bad+"[")
 	})
 }
 
-// unknownKeys lists the keys in raw that a T has no place for.
+// unknownKeys lists the keys in raw for which T has no field.
 func unknownKeys[T any](raw []byte) []string {
-	v, err := lenient[any](raw)
+	v, err := decodeLenient[any](raw)
 	if err != nil {
 		return nil
 	}
-	return unknownIn(reflect.TypeFor[T](), v, "")
+	return unknownKeysIn(reflect.TypeFor[T](), v, "")
 }
 
-func unknownIn(t reflect.Type, v any, key string) []string {
+func unknownKeysIn(t reflect.Type, v any, key string) []string {
 	var out []string
 	switch v := v.(type) {
 	case []any:
@@ -109,7 +110,7 @@
 			return nil
 		}
 		for i, e := range v {
-			out = append(out, unknownIn(t.Elem(), e, fmt.Sprintf("%s[%d]", key, i))...)
+			out = append(out, unknownKeysIn(t.Elem(), e, fmt.Sprintf("%s[%d]", key, i))...)
 		}
 	case map[string]any:
 		if t.Kind() != reflect.Struct {
@@ -121,7 +122,7 @@
 				out = append(out, join(key, name))
 				continue
 			}
-			out = append(out, unknownIn(f.Type, v[name], join(key, name))...)
+			out = append(out, unknownKeysIn(f.Type, v[name], join(key, name))...)
 		}
 	}
 	return out
--- a/checker/difference.go
+++ b/checker/difference.go
@@ -14,22 +14,22 @@
 	"github.com/pomeloferry/pomeloferry/platform"
 )
 
-// Leaf is one value of a JSON text that holds no others, or one that is nested
-// too deep to be told apart.
+// Leaf is a value of a JSON text that contains no other values, or one that is nested
+// deeper than values are distinguished.
 type Leaf struct {
-	// Path is the key with elements listed under their names, so that a moved
-	// element is no difference.
+	// Path is the key with list elements identified by their names, so that a moved
+	// element is not a difference.
 	Path string
-	// Key is the key with elements listed by their numbers.
+	// Key is the key with list elements identified by their indexes.
 	Key  string
 	Text string
 }
 
-// String returns the leaf in a line.
+// String returns path and value on one line.
 func (l Leaf) String() string { return fmt.Sprintf("%s = %s", l.Path, l.Text) }
 
-// Leaves lists the leaves of a JSON text, in the order of their paths. Numbers
-// read as they are written.
+// Leaves returns the leaves of a JSON text. Members of objects are sorted by name, list
+// elements keep their order, and numbers keep their notation.
 func Leaves(raw []byte) ([]Leaf, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
@@ -40,34 +40,34 @@
 	return flatten(Leaf{}, v, 0), nil
 }
 
-func flatten(at Leaf, v any, depth int) []Leaf {
+func flatten(leaf Leaf, v any, depth int) []Leaf {
 	if depth > maxDepth {
-		at.Text = fmt.Sprint(v)
-		return []Leaf{at}
+		leaf.Text = fmt.Sprint(v)
+		return []Leaf{leaf}
 	}
 	var out []Leaf
 	switch v := v.(type) {
 	case map[string]any:
 		for _, name := range slices.Sorted(maps.Keys(v)) {
-			out = append(out, flatten(Leaf{Path: join(at.Path, name), Key: join(at.Key, name)}, v[name], depth+1)...)
+			out = append(out, flatten(Leaf{Path: join(leaf.Path, name), Key: join(leaf.Key, name)}, v[name], depth+1)...)
 		}
 	case []any:
 		names := elementNames(v)
 		for i, e := range v {
 			out = append(out, flatten(Leaf{
-				Path: fmt.Sprintf("%s[%s]", at.Path, names[i]),
-				Key:  fmt.Sprintf("%s[%d]", at.Key, i),
+				Path: fmt.Sprintf("%s[%s]", leaf.Path, names[i]),
+				Key:  fmt.Sprintf("%s[%d]", leaf.Key, i),
 			}, e, depth+1)...)
 		}
 	default:
-		at.Text = fmt.Sprint(v)
-		out = append(out, at)
+		leaf.Text = fmt.Sprint(v)
+		out = append(out, leaf)
 	}
 	return out
 }
 
-// elementNames returns what the elements of a list are listed under: their
-// names, or their numbers where they have none or share one.
+// elementNames returns the names that identify the elements of a list, and the index
+// for an element without a name or with one that is not unique.
 func elementNames(list []any) []string {
 	out := make([]string, len(list))
 	count := make(map[string]int)
@@ -96,13 +96,13 @@
 	return ""
 }
 
-// leaves lists what a document says.
+// leaves returns the values of a document.
 func (d document) leaves() ([]Leaf, error) {
 	if d.form == Machine {
-		return d.lineLeaves(), nil
+		return d.keyValueLeaves(), nil
 	}
 	if d.form == Signed {
-		inner, ok := d.inner()
+		inner, ok := d.embeddedBundle()
 		if !ok {
 			return nil, errors.New("found no bundle")
 		}
@@ -111,7 +111,7 @@
 	return Leaves(d.raw)
 }
 
-func (d document) lineLeaves() []Leaf {
+func (d document) keyValueLeaves() []Leaf {
 	var out []Leaf
 	for _, text := range strings.Split(string(d.raw), "\n") {
 		if key, v, ok := strings.Cut(strings.TrimSpace(text), "="); ok {
@@ -122,15 +122,15 @@
 	return out
 }
 
-// content is what a form describes, whether it is signed or not.
-func (f Form) content() Form {
+// contentForm returns the form of the content: Bundle for a signed bundle, else f.
+func (f Form) contentForm() Form {
 	if f == Signed {
 		return Bundle
 	}
 	return f
 }
 
-// compare lists the differences of d from the version in force.
+// compare returns the differences of d from the version in force.
 func compare(d document, against File) ([]Finding, error) {
 	fail := func(kind ErrorKind, err error) error {
 		return &Error{Op: "compare", Kind: kind, File: against.Name, Err: err}
@@ -142,16 +142,16 @@
 	if len(findings) > 0 {
 		return nil, fail(Unreadable, errors.New(findings[0].Text))
 	}
-	if old.form.content() != d.form.content() {
-		return nil, fail(Mismatched, errors.Errorf("found a file of the form %s, allowed %s", old.form, d.form.content()))
+	if old.form.contentForm() != d.form.contentForm() {
+		return nil, fail(Mismatched, errors.Errorf("found a file of the form %s, allowed %s", old.form, d.form.contentForm()))
 	}
 	before, err := old.leaves()
 	if err != nil {
 		return nil, fail(Unreadable, err)
 	}
-	d, ok := d.innermost()
+	d, ok := d.content()
 	if !ok {
-		// checkSigned reports that the bundle is missing.
+		// The bundle is missing, which checkSigned reports.
 		return nil, nil
 	}
 	after, err := d.leaves()
@@ -162,77 +162,77 @@
 	if len(out) == 0 {
 		return nil, nil
 	}
-	found, err := d.versionRules(old)
+	versionFindings, err := d.checkVersion(old)
 	if err != nil {
 		return nil, fail(Unreadable, err)
 	}
-	return append(out, found...), nil
+	return append(out, versionFindings...), nil
 }
 
-// innermost returns the document that holds the content.
-func (d document) innermost() (document, bool) {
+// content returns the document with the content: the bundle of a signed one, else d.
+func (d document) content() (document, bool) {
 	if d.form != Signed {
 		return d, true
 	}
-	return d.inner()
+	return d.embeddedBundle()
 }
 
-// changes lists values that were added, changed and removed.
+// changes returns findings on the values that were added, changed and removed.
 func (d document) changes(before, after []Leaf) []Finding {
 	old := make(map[string]Leaf, len(before))
 	for _, l := range before {
 		old[l.Path] = l
 	}
 	var out []Finding
-	there := make(map[string]bool, len(after))
+	present := make(map[string]bool, len(after))
 	for _, l := range after {
-		there[l.Path] = true
+		present[l.Path] = true
 		was, ok := old[l.Path]
 		switch {
 		case !ok:
-			out = append(out, d.change(l.Key, Change{Path: l.Path, Is: &l.Text}))
+			out = append(out, d.changeFinding(l.Key, Change{Path: l.Path, Is: &l.Text}))
 		case was.Text != l.Text:
-			out = append(out, d.change(l.Key, Change{Path: l.Path, Was: &was.Text, Is: &l.Text}))
+			out = append(out, d.changeFinding(l.Key, Change{Path: l.Path, Was: &was.Text, Is: &l.Text}))
 		}
 	}
 	for _, l := range before {
-		if !there[l.Path] {
-			out = append(out, d.removal(l))
+		if !present[l.Path] {
+			out = append(out, d.removalFinding(l))
 		}
 	}
 	return out
 }
 
-// removal returns a finding about a value that d no longer has. It is filed
-// under the list or object that held it.
-func (d document) removal(l Leaf) Finding {
+// removalFinding returns a finding on a value that d no longer has. Its key is that of the
+// list or object that contained the value.
+func (d document) removalFinding(l Leaf) Finding {
 	key := l.Key
 	for strings.Contains(key, "[") {
 		key = parent(key)
 	}
-	return d.change(key, Change{Path: l.Path, Was: &l.Text})
+	return d.changeFinding(key, Change{Path: l.Path, Was: &l.Text})
 }
 
-func (d document) change(key string, c Change) Finding {
+func (d document) changeFinding(key string, c Change) Finding {
 	f := d.finding(Changed, key, c.String())
 	f.Change = &c
 	return f
 }
 
-// versionRules finds a version that the programs would not take in place of
-// the one in force.
-func (d document) versionRules(old document) ([]Finding, error) {
+// checkVersion reports a version that the programs would not accept as the successor
+// of the one in force.
+func (d document) checkVersion(old document) ([]Finding, error) {
 	switch d.form {
 	case Bundle:
-		return d.bundleVersion(old)
+		return d.checkBundleVersion(old)
 	case Configuration:
-		return d.configurationVersion(old)
+		return d.checkConfigurationVersion(old)
 	}
 	return nil, nil
 }
 
-func (d document) bundleVersion(old document) ([]Finding, error) {
-	inner, ok := old.innermost()
+func (d document) checkBundleVersion(old document) ([]Finding, error) {
+	inner, ok := old.content()
 	if !ok {
 		return nil, errors.New("found no bundle")
 	}
@@ -240,7 +240,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// checkBundle reports a file that cannot be decoded.
+	// A file that cannot be decoded is reported by checkBundle.
 	after, err := approver.Decode(d.raw)
 	if err != nil || after.Version == before.Version+1 {
 		return nil, nil
@@ -249,12 +249,12 @@
 		fmt.Sprintf("found %d, allowed %d, one more than the version in force", after.Version, before.Version+1))}, nil
 }
 
-func (d document) configurationVersion(old document) ([]Finding, error) {
+func (d document) checkConfigurationVersion(old document) ([]Finding, error) {
 	before, err := platform.ParseConfiguration(old.raw)
 	if err != nil {
 		return nil, err
 	}
-	// checkConfiguration reports a file that cannot be decoded.
+	// A file that cannot be decoded is reported by checkConfiguration.
 	after, err := platform.ParseConfiguration(d.raw)
 	if err != nil || after.Version >= before.Version {
 		return nil, nil
--- a/checker/document.go
+++ b/checker/document.go
@@ -13,30 +13,30 @@
 	"github.com/pomeloferry/pomeloferry/platform"
 )
 
-// Form is what a file describes.
+// Form is the kind of configuration that a file holds.
 type Form string
 
 // The forms of files.
 const (
 	// Settings are the settings of a deployment (package configurer).
 	Settings Form = "Settings"
-	// Bundle is a bundle that waits for its approval (package approver).
+	// Bundle is a bundle without approval (package approver).
 	Bundle Form = "Bundle"
-	// Signed is a bundle with its approval.
+	// Signed is an approved bundle with its signature (package approver).
 	Signed Form = "Signed"
-	// Configuration is the operators' configuration on the platform.
+	// Configuration is the operators' configuration on the platform (package platform).
 	Configuration Form = "Configuration"
-	// Machine is the platform's settings file of one machine, in lines of key
-	// and value.
+	// Machine is the platform's settings file of one machine, with one key-value
+	// pair a line.
 	Machine Form = "Machine"
 )
 
-// bundleKey is the key of the bundle in a signed one.
+// bundleKey is the key of the bundle in a signed bundle.
 const bundleKey = "Bundle"
 
-// topLevel lists the names at the top of each form, the forms in the order in
-// which they are preferred.
-var topLevel = []struct {
+// topLevelKeys lists the top-level keys of each form, with the forms in the order of
+// preference.
+var topLevelKeys = []struct {
 	form  Form
 	names []string
 }{
@@ -54,31 +54,31 @@
 	return out
 }
 
-// document is a text with the places of its values.
+// document is a file with the positions of its values.
 type document struct {
-	file string
-	raw  []byte
-	form Form
-	at   *locator
-	// prefix is put before each key. It is not empty for the bundle in a signed
-	// one.
+	file    string
+	raw     []byte
+	form    Form
+	locator *locator
+	// prefix is prepended to each key. It is empty except for the bundle in a signed
+	// bundle.
 	prefix string
 }
 
-// newDocument reads raw. A JSON text with an error of syntax gives a finding
-// and no form.
+// newDocument parses raw and determines its form. For a JSON text with a syntax error
+// it returns a finding and a document without a form.
 func newDocument(file string, raw []byte) (document, []Finding, error) {
 	d := document{file: file, raw: raw}
-	if isLines(raw) {
+	if isKeyValueText(raw) {
 		d.form = Machine
-		d.at = locateLines(raw)
+		d.locator = locateKeyValueLines(raw)
 		return d, nil, nil
 	}
 	at, err := locate(raw)
 	if err != nil {
 		return d, []Finding{syntaxFinding(file, raw, err)}, nil
 	}
-	d.at = at
+	d.locator = at
 	if d.form = formOf(at); d.form == "" {
 		return d, nil, &Error{Op: "check", Kind: Unknown, File: file, Err: errors.New(
 			"found none of the top-level keys of settings, a bundle, a signed bundle or a configuration")}
@@ -99,29 +99,29 @@
 	return Finding{File: file, Line: line, Kind: Fault, Text: "no JSON: " + text}
 }
 
-// formOf returns the form with the most of its names at the top, or "".
+// formOf returns the form of which most top-level keys are present, or "" if none is.
 func formOf(at *locator) Form {
-	var best Form
-	most := 0
-	for _, t := range topLevel {
-		n := 0
+	var bestForm Form
+	maxMatches := 0
+	for _, t := range topLevelKeys {
+		matches := 0
 		for _, name := range t.names {
 			if _, ok := at.byKey[name]; ok {
-				n++
+				matches++
 			}
 		}
-		if n > most {
-			best, most = t.form, n
+		if matches > maxMatches {
+			bestForm, maxMatches = t.form, matches
 		}
 	}
-	return best
+	return bestForm
 }
 
-// inner returns the bundle in a signed one. The lines stay what they are in
-// the file.
-func (d document) inner() (document, bool) {
-	v, ok := d.at.find(bundleKey)
-	if !ok || !v.object {
+// embeddedBundle returns the bundle in a signed bundle. Its line numbers are those in the
+// file.
+func (d document) embeddedBundle() (document, bool) {
+	v, ok := d.locator.find(bundleKey)
+	if !ok || !v.isObject {
 		return document{}, false
 	}
 	raw := append(bytes.Repeat([]byte("\n"), v.line-1), d.raw[v.start:v.end]...)
@@ -129,10 +129,10 @@
 	if err != nil {
 		return document{}, false
 	}
-	return document{file: d.file, raw: raw, form: Bundle, at: at, prefix: v.key + "."}, true
+	return document{file: d.file, raw: raw, form: Bundle, locator: at, prefix: v.key + "."}, true
 }
 
-// finding returns a finding about a key.
+// finding returns a finding on a key, at the line of the key.
 func (d document) finding(kind Kind, key, text string) Finding {
-	return Finding{File: d.file, Line: d.at.line(key), Key: d.prefix + key, Kind: kind, Text: text}
+	return Finding{File: d.file, Line: d.locator.line(key), Key: d.prefix + key, Kind: kind, Text: text}
 }
--- a/checker/error.go
+++ b/checker/error.go
@@ -7,15 +7,16 @@
 
 // The kinds of errors.
 const (
-	// Unreadable means that the file cannot be read.
+	// Unreadable means that the file cannot be decoded.
 	Unreadable ErrorKind = "Unreadable"
-	// Unknown means that the file is none of those that can be checked.
+	// Unknown means that the file has none of the forms that can be checked.
 	Unknown ErrorKind = "Unknown"
-	// Mismatched means that two files do not belong together.
+	// Mismatched means that two files have forms that are not compared with each
+	// other.
 	Mismatched ErrorKind = "Mismatched"
 )
 
-// Error tells why a check could not be done.
+// Error states why a file could not be checked.
 type Error struct {
 	Op   string
 	Kind ErrorKind
--- a/checker/fleet.go
+++ b/checker/fleet.go
@@ -7,15 +7,15 @@
 	"github.com/pomeloferry/pomeloferry/configurer"
 )
 
-// fleet is what the settings of a deployment tell of its processes.
+// fleet summarizes the processes in the settings of a deployment.
 type fleet struct {
 	agents int
-	// dataCentres are those of all processes, agentDataCentres those of agents
-	// in the order of their names.
+	// dataCentres holds those of all processes, agentDataCentres those of agents,
+	// sorted by name.
 	dataCentres      map[string]bool
 	agentDataCentres []string
-	// services are what the upstreams run. They are empty unless the settings
-	// name the upstream of each agent, since others announce themselves.
+	// services holds the services that the upstreams run. It is empty unless the
+	// settings list an upstream for each agent, since others announce themselves.
 	services map[string]bool
 }
 
@@ -24,17 +24,17 @@
 	for _, e := range s.Entries {
 		f.dataCentres[e.DataCentre] = true
 	}
-	ofAgents := make(map[string]bool)
+	agentDataCentres := make(map[string]bool)
 	for _, a := range s.Agents {
 		f.dataCentres[a.DataCentre] = true
-		ofAgents[a.DataCentre] = true
+		agentDataCentres[a.DataCentre] = true
 	}
-	f.agentDataCentres = slices.Sorted(maps.Keys(ofAgents))
-	served := make(map[string]bool)
+	f.agentDataCentres = slices.Sorted(maps.Keys(agentDataCentres))
+	agentsWithUpstream := make(map[string]bool)
 	for _, u := range s.Upstreams {
-		served[u.Agent] = true
+		agentsWithUpstream[u.Agent] = true
 	}
-	if len(served) < len(s.Agents) {
+	if len(agentsWithUpstream) < len(s.Agents) {
 		return f
 	}
 	f.services = make(map[string]bool)
--- a/checker/locator.go
+++ b/checker/locator.go
@@ -9,60 +9,59 @@
 	"github.com/go-faster/errors"
 )
 
-// maxDepth bounds how deep values are told apart. No form is nested as deep.
+// maxDepth is the nesting depth down to which values are distinguished. No form is
+// nested as deep.
 const maxDepth = 16
 
-// value is the place of one JSON value in a file.
+// value is the position of a JSON value in a file.
 type value struct {
 	key string
-	// name is the member's name in its object, or empty for an element.
+	// name is the name of an object's member. It is empty for a list element.
 	name string
-	// start and end are byte offsets; end is the first one after the value.
-	start int
-	end   int
-	line  int
-	// object tells that the value is an object.
-	object bool
+	// start and end are byte offsets; end is exclusive.
+	start    int
+	end      int
+	line     int
+	isObject bool
 }
 
-// repeat is a member of an object whose name occurs again further down.
-type repeat struct {
+// duplicateKey is a member of an object whose name occurs again later in the object.
+type duplicateKey struct {
 	key  string
 	line int
-	// again is the line of the member that takes precedence. Members of the
-	// earlier object that it lacks still count.
-	again int
+	// overridingLine is the line of the member that takes precedence. If both values are
+	// objects, members of the earlier one that the later one lacks still count.
+	overridingLine int
 }
 
-// locator knows the places of all values of one JSON text.
+// locator holds the positions of all values of a JSON text.
 type locator struct {
 	raw     []byte
 	decoder *json.Decoder
-	// depth counts the values that hold the next one.
+	// depth is the number of values that contain the next one.
 	depth int
-	// lineOffset and lineNumber are the last place whose line was counted.
+	// lineOffset and lineNumber are the last position whose line was counted.
 	lineOffset int
 	lineNumber int
-	// values are in the order of their ends, so that a value comes after those
-	// that it holds.
-	values  []value
-	byKey   map[string]value
-	folded  map[string]value
-	repeats []repeat
+	// values are in the order of their ends, so that a value comes after those that
+	// it contains.
+	values      []value
+	byKey       map[string]value
+	byFoldedKey map[string]value
+	duplicates  []duplicateKey
 }
 
-// locate finds all values of the JSON text at the start of raw. An error is a
-// *json.SyntaxError, or io.EOF or io.ErrUnexpectedEOF for a text that ends too
-// early.
+// locate finds all values of the JSON text at the start of raw. The error is a
+// *json.SyntaxError, or io.EOF or io.ErrUnexpectedEOF if the text ends too early.
 func locate(raw []byte) (*locator, error) {
 	l := &locator{
-		raw:        raw,
-		decoder:    json.NewDecoder(bytes.NewReader(raw)),
-		lineNumber: 1,
-		byKey:      make(map[string]value),
-		folded:     make(map[string]value),
+		raw:         raw,
+		decoder:     json.NewDecoder(bytes.NewReader(raw)),
+		lineNumber:  1,
+		byKey:       make(map[string]value),
+		byFoldedKey: make(map[string]value),
 	}
-	// Reading the whole first gives the errors of syntax that the programs give.
+	// Decoding the whole text first returns the same syntax errors as the programs.
 	var whole json.RawMessage
 	if err := json.NewDecoder(bytes.NewReader(raw)).Decode(&whole); err != nil {
 		return nil, err
@@ -70,7 +69,7 @@
 	return l, l.walk("", "")
 }
 
-// walk notes the value that comes next, and all values in it.
+// walk records the next value and all values in it.
 func (l *locator) walk(key, name string) error {
 	if l.depth > maxDepth {
 		var deep json.RawMessage
@@ -78,7 +77,7 @@
 	}
 	l.depth++
 	defer func() { l.depth-- }()
-	v := value{key: key, name: name, start: l.skip(int(l.decoder.InputOffset()))}
+	v := value{key: key, name: name, start: l.skipSeparators(int(l.decoder.InputOffset()))}
 	v.line = l.lineAt(v.start)
 	token, err := l.decoder.Token()
 	if err != nil {
@@ -86,7 +85,7 @@
 	}
 	switch token {
 	case json.Delim('{'):
-		v.object = true
+		v.isObject = true
 		err = l.walkObject(key)
 	case json.Delim('['):
 		err = l.walkArray(key)
@@ -97,7 +96,7 @@
 	v.end = int(l.decoder.InputOffset())
 	l.values = append(l.values, v)
 	l.byKey[key] = v
-	l.folded[strings.ToLower(key)] = v
+	l.byFoldedKey[strings.ToLower(key)] = v
 	return nil
 }
 
@@ -114,8 +113,8 @@
 		}
 		member := join(key, name)
 		line := l.lineAt(int(l.decoder.InputOffset()) - 1)
-		if before := lines[name]; before != 0 {
-			l.repeats = append(l.repeats, repeat{key: member, line: before, again: line})
+		if previous := lines[name]; previous != 0 {
+			l.duplicates = append(l.duplicates, duplicateKey{key: member, line: previous, overridingLine: line})
 		}
 		lines[name] = line
 		if err := l.walk(member, name); err != nil {
@@ -136,17 +135,17 @@
 	return err
 }
 
-// skip returns the offset of the value that follows what separates it from the
-// last token.
-func (l *locator) skip(offset int) int {
+// skipSeparators returns the offset of the next value: the first one after the white space and
+// the separators at offset.
+func (l *locator) skipSeparators(offset int) int {
 	for offset < len(l.raw) && strings.IndexByte(" \t\r\n:,", l.raw[offset]) >= 0 {
 		offset++
 	}
 	return offset
 }
 
-// lineAt returns the line of an offset. It counts on from the last one asked
-// for where it can.
+// lineAt returns the line of an offset. It counts from the offset of the previous call
+// if that is not greater.
 func (l *locator) lineAt(offset int) int {
 	offset = max(0, min(offset, len(l.raw)))
 	if offset < l.lineOffset {
@@ -157,17 +156,18 @@
 	return l.lineNumber
 }
 
-// find returns the value of a key. As encoding/json does, it takes names in
-// another case for the same.
+// find returns the value of a key. Like encoding/json, it falls back to a match that
+// ignores case.
 func (l *locator) find(key string) (value, bool) {
 	if v, ok := l.byKey[key]; ok {
 		return v, true
 	}
-	v, ok := l.folded[strings.ToLower(key)]
+	v, ok := l.byFoldedKey[strings.ToLower(key)]
 	return v, ok
 }
 
-// line returns the line of a key, or of the closest one that holds it.
+// line returns the line of a key, or if the key is missing, of the closest key that
+// contains it.
 func (l *locator) line(key string) int {
 	for {
 		if v, ok := l.find(key); ok {
@@ -180,9 +180,9 @@
 	}
 }
 
-// around returns the smallest value that a decoder had begun to read when it
-// stopped at offset.
-func (l *locator) around(offset int) (value, bool) {
+// smallestAt returns the smallest value that a decoder had begun to decode when it stopped
+// at offset.
+func (l *locator) smallestAt(offset int) (value, bool) {
 	for _, v := range l.values {
 		if v.start < offset && offset <= v.end {
 			return v, true
@@ -191,7 +191,7 @@
 	return value{}, false
 }
 
-// end returns the offset after the JSON text.
+// end returns the offset of the end of the JSON text.
 func (l *locator) end() int { return l.byKey[""].end }
 
 // join returns the key of a member.
@@ -202,7 +202,7 @@
 	return key + "." + name
 }
 
-// parent returns the key that holds key.
+// parent returns the key of the value that contains key.
 func parent(key string) string {
 	return key[:max(0, strings.LastIndexAny(key, ".["))]
 }
--- a/checker/machine.go
+++ b/checker/machine.go
@@ -7,25 +7,25 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// checkMachine judges the settings of a machine of the platform.
+// checkMachine checks the settings of a machine of the platform.
 func (d document) checkMachine() []Finding {
 	s, faults := platform.InspectSettings(string(d.raw))
 	var out []Finding
-	told := make(map[string]bool)
+	reported := make(map[string]bool)
 	for _, f := range faults {
-		if !told[f.Key] {
+		if !reported[f.Key] {
 			out = append(out, d.finding(Fault, f.Key, f.Problem))
 		}
-		told[f.Key] = true
+		reported[f.Key] = true
 	}
 	if len(out) > 0 {
 		return out
 	}
-	return d.machineRules(s)
+	return d.checkMachineLimits(s)
 }
 
-// machineRules finds the times that contradict each other.
-func (d document) machineRules(s platform.Settings) []Finding {
+// checkMachineLimits finds times and ports that contradict each other.
+func (d document) checkMachineLimits(s platform.Settings) []Finding {
 	var out []Finding
 	if s.DrainTimeout > s.GracePeriod {
 		out = append(out, d.finding(Contradiction, platform.DrainTimeoutKey,
--- a/checker/report.go
+++ b/checker/report.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Report is the outcome of a check.
+// Report is the result of a check.
 type Report struct {
 	File string
-	// Form is empty when the file is no JSON.
+	// Form is empty if the file is not valid JSON.
 	Form Form
-	// Against names the version in force that the file was compared with.
+	// Against is the name of the version in force that the file was compared with.
 	Against string `json:",omitempty"`
 	// Findings are in the order of their lines.
 	Findings []Finding
 }
 
-// Clean reports whether there is nothing to know.
+// Clean reports whether there are no findings.
 func (r Report) Clean() bool { return len(r.Findings) == 0 }
 
-// Print writes the findings one a line, then the differences, then a summary.
+// Print writes the findings, one a line, then the differences and a summary.
 func (r Report) Print(w io.Writer) error {
 	var b strings.Builder
 	changes := 0
--- a/checker/settings.go
+++ b/checker/settings.go
@@ -6,27 +6,27 @@
 	"github.com/pomeloferry/pomeloferry/configurer"
 )
 
-// checkSettings judges the settings of a deployment.
+// checkSettings checks the settings of a deployment.
 func (d document) checkSettings() []Finding {
-	read := decode(d, configurer.Decode)
-	out := read.findings
-	if !read.whole {
-		return out
+	result := decode(d, configurer.Decode)
+	findings := result.findings
+	if !result.complete {
+		return findings
 	}
-	for _, f := range read.value.Faults() {
-		if read.readable(f.Key) {
-			out = append(out, d.finding(Fault, f.Key, f.Text))
+	for _, f := range result.value.Faults() {
+		if result.wasDecoded(f.Key) {
+			findings = append(findings, d.finding(Fault, f.Key, f.Text))
 		}
 	}
-	if hasFault(out) {
-		return out
+	if hasFault(findings) {
+		return findings
 	}
-	out = append(out, d.emptyLists(read.value)...)
-	return append(out, d.upstreamRules(read.value)...)
+	findings = append(findings, d.checkEmptyLists(result.value)...)
+	return append(findings, d.checkUpstreams(result.value)...)
 }
 
-// emptyLists finds lists without which a deployment does nothing.
-func (d document) emptyLists(s configurer.Settings) []Finding {
+// checkEmptyLists reports empty lists without which a deployment cannot work.
+func (d document) checkEmptyLists(s configurer.Settings) []Finding {
 	var out []Finding
 	if len(s.Trust) == 0 {
 		out = append(out, d.finding(Unmatched, "Trust", "no approver: no bundle can be rolled out"))
@@ -37,28 +37,28 @@
 	return out
 }
 
-// upstreamRules finds upstreams that displace each other, and limits that
-// cannot be used.
-func (d document) upstreamRules(s configurer.Settings) []Finding {
+// checkUpstreams finds upstreams that use the same agent, where one displaces the
+// other, limits that cannot be reached, and services that are listed twice.
+func (d document) checkUpstreams(s configurer.Settings) []Finding {
 	var out []Finding
-	beside := make(map[string]string)
+	upstreamByAgent := make(map[string]string)
 	for i, u := range s.Upstreams {
 		path := fmt.Sprintf("Upstreams[%d]", i)
-		if other := beside[u.Agent]; other != "" {
+		if other := upstreamByAgent[u.Agent]; other != "" {
 			out = append(out, d.finding(Unmatched, path+".Agent",
 				fmt.Sprintf("%s is beside %s already; an agent keeps one upstream", other, u.Agent)))
 		}
-		beside[u.Agent] = u.ID
+		upstreamByAgent[u.Agent] = u.ID
 		if u.Slots > u.Connections {
 			out = append(out, d.finding(Contradiction, path+".Slots",
 				fmt.Sprintf("%d cannot run at once over %d connections", u.Slots, u.Connections)))
 		}
-		out = append(out, d.repeatedServices(path, u.Services)...)
+		out = append(out, d.checkDuplicateServices(path, u.Services)...)
 	}
 	return out
 }
 
-func (d document) repeatedServices(path string, services []string) []Finding {
+func (d document) checkDuplicateServices(path string, services []string) []Finding {
 	var out []Finding
 	seen := make(map[string]bool)
 	for i, name := range services {
--- a/checker/signed.go
+++ b/checker/signed.go
@@ -2,14 +2,15 @@
 
 import "github.com/pomeloferry/pomeloferry/approver"
 
-// checkSigned judges a bundle with its approval.
+// checkSigned checks a signed bundle, and its signature if the settings of its
+// deployment are given and there are no other faults.
 func (d document) checkSigned(deployment *File) ([]Finding, error) {
-	read := decode(d, lenient[approver.Signed])
-	inner, ok := d.inner()
+	result := decode(d, decodeLenient[approver.Signed])
+	bundle, ok := d.embeddedBundle()
 	if !ok {
-		return append(read.findings, d.finding(Fault, bundleKey, "found none, allowed a bundle")), nil
+		return append(result.findings, d.finding(Fault, bundleKey, "found none, allowed a bundle")), nil
 	}
-	found, err := inner.checkBundle(deployment)
+	bundleFindings, err := bundle.checkBundle(deployment)
 	if err != nil {
 		return nil, err
 	}
@@ -17,11 +18,11 @@
 	if err != nil {
 		return nil, err
 	}
-	out := append(read.findings, found...)
+	out := append(result.findings, bundleFindings...)
 	if settings == nil || hasFault(out) {
 		return out, nil
 	}
-	if _, err := settings.Trust.Verify(read.value); err != nil {
+	if _, err := settings.Trust.Verify(result.value); err != nil {
 		out = append(out, d.finding(Fault, "Signature", err.Error()))
 	}
 	return out, nil
