--- a/checker/decode.go
+++ b/checker/decode.go
@@ -79,8 +79,8 @@
 	lines := bytes.Count(d.raw[v.start:v.end], []byte("\n"))
 	null := append([]byte("null"), bytes.Repeat([]byte("\n"), lines)...)
 	d.raw = slices.Concat(d.raw[:v.start], null, d.raw[v.end:])
-	if at, err := locate(d.raw); err == nil {
-		d.locator = at
+	if l, err := locate(d.raw); err == nil {
+		d.locator = l
 	}
 	return d
 }
--- a/checker/document.go
+++ b/checker/document.go
@@ -74,12 +74,12 @@
 		d.locator = locateKeyValueLines(raw)
 		return d, nil, nil
 	}
-	at, err := locate(raw)
+	l, err := locate(raw)
 	if err != nil {
 		return d, []Finding{syntaxFinding(file, raw, err)}, nil
 	}
-	d.locator = at
-	if d.form = formOf(at); d.form == "" {
+	d.locator = l
+	if d.form = formOf(l); d.form == "" {
 		return d, nil, &Error{Op: "check", Kind: Unknown, File: file, Err: errors.New(
 			"found none of the top-level keys of settings, a bundle, a signed bundle or a configuration")}
 	}
@@ -100,13 +100,13 @@
 }
 
 // formOf returns the form of which most top-level keys are present, or "" if none is.
-func formOf(at *locator) Form {
+func formOf(l *locator) Form {
 	var bestForm Form
 	maxMatches := 0
 	for _, t := range topLevelKeys {
 		matches := 0
 		for _, name := range t.names {
-			if _, ok := at.byKey[name]; ok {
+			if _, ok := l.byKey[name]; ok {
 				matches++
 			}
 		}
@@ -125,11 +125,11 @@
 		return document{}, false
 	}
 	raw := append(bytes.Repeat([]byte("\n"), v.line-1), d.raw[v.start:v.end]...)
-	at, err := locate(raw)
+	l, err := locate(raw)
 	if err != nil {
 		return document{}, false
 	}
-	return document{file: d.file, raw: raw, form: Bundle, locator: at, prefix: v.key + "."}, true
+	return document{file: d.file, raw: raw, form: Bundle, locator: l, prefix: v.key + "."}, true
 }
 
 // finding returns a finding on a key, at the line of the key.
