--- a/storer/dump.go
+++ b/storer/dump.go
@@ -1,15 +1,16 @@
 package storer
 
-// Dump is the state of the stand-in.
+// Dump is a snapshot of the emulated store's state.
 type Dump struct {
-	Fault  Fault
+	Fault Fault
+	// Reads and Writes are the numbers of calls so far.
 	Reads  int
 	Writes int
-	// Revisions holds the revision of each key.
+	// Revisions maps each key to its revision.
 	Revisions map[string]int64
 }
 
-// Dump returns the state of the stand-in. The error is always nil.
+// Dump returns a snapshot of the store's state. The error is always nil.
 func (s *Store) Dump() (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -1,6 +1,6 @@
-// Package storer is a stand-in for the platform's key-value service, for
-// tests, the demo and measurements. It keeps its pairs in memory, serves the
-// calls that package keeper makes, and shows the service's faults on request.
+// Package storer emulates the platform's key-value service for tests, the demo and
+// measurements. It keeps its pairs in memory, serves the calls that package keeper
+// makes, and injects faults of the service on request.
 package storer
 
 import (
@@ -18,17 +18,18 @@
 	"github.com/pomeloferry/pomeloferry/keeper"
 )
 
-// Fault is a fault that the stand-in shows.
+// Fault describes the faults that the emulated service injects.
 type Fault struct {
-	// Down refuses every call.
+	// Down makes every call fail with status 503.
 	Down bool
-	// LoseAnswers makes writes take effect without an answer.
+	// LoseAnswers closes the connection of every write after it has taken effect,
+	// without an answer.
 	LoseAnswers bool
-	// Delay is added to every call.
+	// Delay is a delay before every call.
 	Delay time.Duration
 }
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store is the emulated service. It is safe for concurrent use.
 type Store struct {
 	clock clockwork.Clock
 
@@ -50,7 +51,7 @@
 	return &Store{clock: clock, pairs: make(map[string]pair)}
 }
 
-// SetFault changes the fault that is shown from now on.
+// SetFault sets the faults of the calls from now on.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,9 +79,9 @@
 	}
 	switch r.URL.Path {
 	case "/v3/kv/range":
-		answer(w, r, s.readRange)
+		serveJSON(w, r, s.readRange)
 	case "/v3/kv/txn":
-		answer(w, r, s.commit)
+		serveJSON(w, r, s.commitTxn)
 		if f.LoseAnswers {
 			panic(http.ErrAbortHandler)
 		}
@@ -89,23 +90,23 @@
 	}
 }
 
-// answer decodes the body of r, calls f and writes what it returns.
-func answer[Request, Response any](w http.ResponseWriter, r *http.Request, f func(Request) Response) {
+// serveJSON decodes the body of r, calls f with it and writes the encoded result.
+func serveJSON[Request, Response any](w http.ResponseWriter, r *http.Request, call func(Request) Response) {
 	var req Request
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(f(req))
+	_ = json.NewEncoder(w).Encode(call(req))
 }
 
 func (s *Store) readRange(req keeper.RangeRequest) keeper.RangeResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	key, end := decode(req.Key), decode(req.RangeEnd)
+	key, end := decodeBase64(req.Key), decodeBase64(req.RangeEnd)
 	var out keeper.RangeResponse
-	for _, k := range s.keys() {
+	for _, k := range s.sortedKeys() {
 		if k == key || (end != "" && k >= key && k < end) {
 			out.Kvs = append(out.Kvs, keeper.KeyValue{
 				Key:         base64.StdEncoding.EncodeToString([]byte(k)),
@@ -117,7 +118,7 @@
 	return out
 }
 
-func (s *Store) keys() []string {
+func (s *Store) sortedKeys() []string {
 	out := make([]string, 0, len(s.pairs))
 	for k := range s.pairs {
 		out = append(out, k)
@@ -126,31 +127,31 @@
 	return out
 }
 
-func (s *Store) commit(req keeper.TxnRequest) keeper.TxnResponse {
+func (s *Store) commitTxn(req keeper.TxnRequest) keeper.TxnResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes++
 	for _, c := range req.Compare {
-		if strconv.FormatInt(s.pairs[decode(c.Key)].revision, 10) != c.ModRevision {
+		if strconv.FormatInt(s.pairs[decodeBase64(c.Key)].revision, 10) != c.ModRevision {
 			return keeper.TxnResponse{}
 		}
 	}
 	s.revision++
 	for _, op := range req.Success {
 		if op.RequestPut != nil {
-			s.pairs[decode(op.RequestPut.Key)] = pair{value: op.RequestPut.Value, revision: s.revision}
+			s.pairs[decodeBase64(op.RequestPut.Key)] = pair{value: op.RequestPut.Value, revision: s.revision}
 		}
 	}
 	return keeper.TxnResponse{Succeeded: true}
 }
 
-func decode(s string) string {
+func decodeBase64(s string) string {
 	b, _ := base64.StdEncoding.DecodeString(s)
 	return string(b)
 }
 
-// Handler returns the store's interface, and for experiments /fault to set a
-// Fault, /calls to read the numbers of calls, and /dump.
+// Handler returns the HTTP interface of the service, which includes for experiments
+// /fault to set a Fault, /calls to read the numbers of calls, and /dump.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/v3/", s)
--- a/worker/dump.go
+++ b/worker/dump.go
@@ -1,17 +1,17 @@
 package worker
 
-// Dump is the state of the stand-in.
+// Dump is a snapshot of the emulated upstream's state.
 type Dump struct {
 	Announcement Announcement
 	Behaviour    Behaviour
 	Leaving      bool
 	Running      int
 	Busiest      int
-	// Started counts the tasks that have started.
+	// Started is the number of different tasks that have started.
 	Started int
 }
 
-// Dump returns the state of the stand-in. The error is always nil.
+// Dump returns a snapshot of the upstream's state. The error is always nil.
 func (w *Worker) Dump() (any, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -20,7 +20,7 @@
 		Behaviour:    w.behaviour,
 		Leaving:      w.leaving,
 		Running:      len(w.running),
-		Busiest:      w.busiest,
+		Busiest:      w.maxRunning,
 		Started:      len(w.starts),
 	}, nil
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,7 +1,7 @@
-// Package worker is a stand-in for an upstream: a process on a worker that
-// runs tasks in slots. It announces itself to the agent beside it and serves
-// the tasks that the agent sends. It counts every start by task, so that tests
-// can tell when a task has started twice.
+// Package worker emulates an upstream, the process on a worker that runs tasks in
+// slots. It announces itself to the agent beside it and runs the tasks that the agent
+// sends. It counts the starts of each task, so that tests can detect a task that has
+// started twice.
 package worker
 
 import (
@@ -20,14 +20,14 @@
 // AnnounceInterval is the time between two announcements to the agent.
 const AnnounceInterval = 500 * time.Millisecond
 
-// Announcement is what an upstream tells its agent.
+// Announcement is an upstream's message to its agent.
 type Announcement struct {
-	// Address is the host and port where the upstream serves tasks.
+	// Address is the host and port at which the upstream accepts tasks.
 	Address     string
 	Slots       int
 	Connections int
 	Services    []string
-	// Leaving means that the upstream takes no new tasks.
+	// Leaving means that the upstream is shutting down and accepts no new tasks.
 	Leaving bool
 }
 
@@ -39,57 +39,57 @@
 	Payload json.RawMessage
 }
 
-// RunResult is the upstream's answer to a task that it has run.
+// RunResult is the upstream's response to a RunRequest.
 type RunResult struct {
 	Result json.RawMessage `json:",omitempty"`
-	// Error is set when the task failed.
+	// Error is set if the task failed.
 	Error string `json:",omitempty"`
-	// NotStarted means that the upstream has not started the task.
+	// NotStarted means that the upstream did not start the task.
 	NotStarted bool `json:",omitempty"`
 }
 
-// Payload is what the stand-in understands of a task's payload.
+// Payload is the payload of a task for the emulated upstream.
 type Payload struct {
-	// Millis is the run time of the task.
+	// Millis is the run time of the task in milliseconds.
 	Millis int
-	// Echo is returned in the result.
+	// Echo is returned as the result.
 	Echo string `json:",omitempty"`
 	// Fail makes the task fail.
 	Fail bool `json:",omitempty"`
 }
 
-// Config describes one stand-in.
+// Config configures a Worker.
 type Config struct {
-	// Announcement is what it tells its agent.
+	// Announcement is sent to the agent, with Leaving set during a shutdown.
 	Announcement Announcement
 	// Agent is the host and port of the agent beside it.
 	Agent string
 }
 
-// Behaviour changes how a stand-in treats tasks.
+// Behaviour describes the faults that the upstream injects into tasks.
 type Behaviour struct {
-	// FailAll makes every task fail at once.
+	// FailAll makes every task fail immediately after its start.
 	FailAll bool
-	// RefuseAll makes the stand-in refuse every task without starting it.
+	// RefuseAll makes the upstream refuse every task without starting it.
 	RefuseAll bool
-	// Slowdown multiplies run times; 0 and 1 leave them.
+	// Slowdown is a factor of run times; 0 and 1 leave them unchanged.
 	Slowdown float64
 }
 
-// Worker is the stand-in. It is safe for concurrent use.
+// Worker is an emulated upstream. It is safe for concurrent use.
 type Worker struct {
 	deps provider.Deps
 	cfg  Config
 
-	mu        sync.Mutex
-	starts    map[string]int
-	running   map[string]context.CancelFunc
-	busiest   int
-	leaving   bool
-	behaviour Behaviour
+	mu         sync.Mutex
+	starts     map[string]int
+	running    map[string]context.CancelFunc
+	maxRunning int
+	leaving    bool
+	behaviour  Behaviour
 }
 
-// NewWorker returns a stand-in that has not announced itself yet.
+// NewWorker returns an upstream that has not announced itself yet.
 func NewWorker(deps provider.Deps, cfg Config) *Worker {
 	return &Worker{
 		deps:    deps,
@@ -99,14 +99,14 @@
 	}
 }
 
-// SetBehaviour changes how tasks are treated from now on.
+// SetBehaviour sets the behaviour towards tasks that start from now on.
 func (w *Worker) SetBehaviour(b Behaviour) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.behaviour = b
 }
 
-// Starts returns how often each task has started, by task name.
+// Starts returns the number of starts of each task, by task name (see TaskName).
 func (w *Worker) Starts() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,14 +117,14 @@
 	return out
 }
 
-// Busiest returns the largest number of tasks that ran at once.
+// Busiest returns the largest number of tasks that have run at the same time.
 func (w *Worker) Busiest() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.busiest
+	return w.maxRunning
 }
 
-// Announce tells the agent about the stand-in until ctx ends.
+// Announce sends announcements to the agent until ctx ends. It returns nil.
 func (w *Worker) Announce(ctx context.Context) error {
 	tick := w.deps.Clock.NewTicker(AnnounceInterval)
 	defer tick.Stop()
@@ -154,30 +154,31 @@
 	client := http.Client{Timeout: AnnounceInterval}
 	resp, err := client.Do(r)
 	if err != nil {
-		w.deps.Log.WithError(err).Debug("announcement failed")
+		w.deps.Log.WithError(err).Debug("announcement to the agent failed")
 		return
 	}
 	_ = resp.Body.Close()
 }
 
-// Leave announces the departure and waits until no task runs, or ctx ends.
+// Leave announces the shutdown and waits until no task is running or ctx ends.
 func (w *Worker) Leave(ctx context.Context) {
 	w.mu.Lock()
 	w.leaving = true
 	w.mu.Unlock()
 	w.announceOnce(ctx)
-	for w.runningTasks() > 0 && ctx.Err() == nil {
+	for w.countRunning() > 0 && ctx.Err() == nil {
 		w.deps.Clock.Sleep(10 * time.Millisecond)
 	}
 }
 
-func (w *Worker) runningTasks() int {
+func (w *Worker) countRunning() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.running)
 }
 
-// Handler returns the interface that the agent calls.
+// Handler returns the HTTP interface that the agent calls, which includes for
+// experiments /starts, /behaviour and /dump.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /run", w.serveRun)
@@ -197,7 +198,7 @@
 	return mux
 }
 
-// TaskName names a task in the counts of starts.
+// TaskName returns the name of a task in the counts of starts.
 func TaskName(job string, index int) string { return fmt.Sprintf("%s#%d", job, index) }
 
 func (w *Worker) serveRun(rw http.ResponseWriter, r *http.Request) {
@@ -223,7 +224,7 @@
 	}
 }
 
-// run runs a task to its end whether or not the agent still listens.
+// run runs a task to its end, even if the agent has disconnected meanwhile.
 func (w *Worker) run(req RunRequest) RunResult {
 	var p Payload
 	if err := json.Unmarshal(req.Payload, &p); err != nil {
@@ -232,11 +233,11 @@
 	name := TaskName(req.Job, req.Index)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	b, ok := w.begin(name, stop)
+	b, ok := w.registerStart(name, stop)
 	if !ok {
 		return RunResult{NotStarted: true}
 	}
-	defer w.end(name)
+	defer w.unregister(name)
 	if b.FailAll || p.Fail {
 		return RunResult{Error: "the worker failed the task"}
 	}
@@ -258,7 +259,7 @@
 	return RunResult{Result: out}
 }
 
-func (w *Worker) begin(name string, stop context.CancelFunc) (Behaviour, bool) {
+func (w *Worker) registerStart(name string, stop context.CancelFunc) (Behaviour, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.behaviour.RefuseAll {
@@ -266,11 +267,11 @@
 	}
 	w.starts[name]++
 	w.running[name] = stop
-	w.busiest = max(w.busiest, len(w.running))
+	w.maxRunning = max(w.maxRunning, len(w.running))
 	return w.behaviour, true
 }
 
-func (w *Worker) end(name string) {
+func (w *Worker) unregister(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.running, name)
