--- a/loader/metrics.go
+++ b/loader/metrics.go
@@ -11,10 +11,10 @@
 	"github.com/go-faster/errors"
 )
 
-// metricsTimeout bounds the reading of one process's counts.
+// metricsTimeout is the timeout of reading one process's metrics.
 const metricsTimeout = 5 * time.Second
 
-// processMetrics are the counts of one process.
+// processMetrics holds the metrics of one process.
 type processMetrics struct {
 	cpuSeconds  float64
 	memoryBytes float64
@@ -24,10 +24,10 @@
 	declined    float64
 }
 
-func readProcesses(ctx context.Context, cfg Config) (map[string]processMetrics, error) {
+func readMetrics(ctx context.Context, cfg Config) (map[string]processMetrics, error) {
 	out := make(map[string]processMetrics)
 	for _, addr := range append(append([]string{}, cfg.Entries...), cfg.Agents...) {
-		m, err := readProcess(ctx, addr)
+		m, err := readProcessMetrics(ctx, addr)
 		if err != nil {
 			return nil, &Error{Op: "read metrics of " + addr, Kind: Failed, Err: err}
 		}
@@ -36,7 +36,7 @@
 	return out, nil
 }
 
-func readProcess(ctx context.Context, addr string) (processMetrics, error) {
+func readProcessMetrics(ctx context.Context, addr string) (processMetrics, error) {
 	var m processMetrics
 	ctx, cancel := context.WithTimeout(ctx, metricsTimeout)
 	defer cancel()
@@ -51,13 +51,13 @@
 	defer resp.Body.Close()
 	s := bufio.NewScanner(resp.Body)
 	for s.Scan() {
-		m.add(s.Text())
+		m.addLine(s.Text())
 	}
 	return m, s.Err()
 }
 
-// add takes one line of the exposition format.
-func (m *processMetrics) add(line string) {
+// addLine adds one line of the Prometheus exposition format.
+func (m *processMetrics) addLine(line string) {
 	i := strings.LastIndexByte(line, ' ')
 	if i < 0 {
 		return
--- a/loader/plot.go
+++ b/loader/plot.go
@@ -14,8 +14,8 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot draws the work completed in each second, against the offered load and
-// the capacity, into the file at path; its ending chooses the format.
+// Plot draws the work completed in each second, together with the capacity, into the
+// file at path. The extension of the file determines the format.
 func (g Report) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Work completed at %d%% load", g.Workload.LoadPercent)
--- a/loader/report.go
+++ b/loader/report.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// ratioScale keeps three decimals of a ratio in a histogram of integers.
-	ratioScale = 1000
-	maxRatio   = 10_000 * ratioScale
-	digits     = 3
-	// warmUpSeconds are left out of the steady utilisation.
+	// ratioScale is the scale of ratios in the histograms, which hold integers: three
+	// decimals are kept.
+	ratioScale        = 1000
+	maxRatio          = 10_000 * ratioScale
+	significantDigits = 3
+	// warmUpSeconds is the time at the start that SteadyUtilisation leaves out.
 	warmUpSeconds = 5
 )
 
-// Quantiles summarises response over ideal.
+// Quantiles summarises the ratio of response time to ideal time.
 type Quantiles struct {
 	Jobs int64
 	P50  float64
@@ -31,38 +32,41 @@
 	Max  float64
 }
 
-// Second is what was done in one second.
+// Second holds the work completed and the jobs answered in one second.
 type Second struct {
-	// WorkSeconds is the run time of the tasks of the jobs completed.
+	// WorkSeconds is the total run time of the tasks of the completed jobs.
 	WorkSeconds float64
 	Complete    int
 	Failed      int
 	NotRun      int
 }
 
-// ProcessUse is what one process used during the experiment.
+// ProcessUse is the resource usage of one process during the experiment.
 type ProcessUse struct {
 	Process     string
 	CPUSeconds  float64
 	MemoryBytes float64
 }
 
-// Report is the outcome of an experiment.
+// Report is the result of an experiment.
 type Report struct {
 	Workload Workload
 	Seconds  float64
-	// Ratio is response over ideal of the completed jobs; the ideal is the
-	// job's longest task. BySize has it by the number of tasks.
+	// Ratio is the ratio of the response time to the ideal time of the completed
+	// jobs; the ideal time is the run time of the job's longest task. BySize groups
+	// it by the number of tasks.
 	Ratio  Quantiles
 	BySize map[int]Quantiles
-	// Answers counts the answers by state and reason; Broken counts requests
-	// without one.
+	// Answers counts the answers by state and reason, Broken the requests without an
+	// answer.
 	Answers map[string]int
 	Broken  int
-	// WrongResults counts completed jobs whose results were not their own.
+	// WrongResults counts completed jobs with results other than those expected for
+	// their tasks.
 	WrongResults int
-	// Copies and Cancels count the second copies and the cancellations sent;
-	// the Failed ones got no answer.
+	// Copies and Cancels count the second submissions and the cancellations that
+	// were sent, CopiesFailed and CancelsFailed those without a final answer and an
+	// answer, respectively.
 	Copies        int
 	CopiesFailed  int
 	Cancels       int
@@ -70,14 +74,14 @@
 	Started       float64
 	Refused       float64
 	Declined      float64
-	// MessagesPerTask counts messages between entries and agents for each
-	// started task, without heartbeats; WastedPercent is the share of
-	// messages that were refusals, declined offers, and what they answer.
+	// MessagesPerTask is the number of messages between entries and agents for each
+	// started task, without heartbeats. WastedPercent is the share of messages that
+	// were refusals, declined offers, and the messages that these answer.
 	MessagesPerTask float64
 	WastedPercent   float64
-	// Utilisation is the completed work over the capacity of the slots, and
-	// SteadyUtilisation the same between the first seconds and the last
-	// arrival.
+	// Utilisation is the ratio of the completed work to the capacity of the slots.
+	// SteadyUtilisation is the same without the first seconds and the time after the
+	// last arrival.
 	Utilisation       float64
 	SteadyUtilisation float64
 	Timeline          []Second
@@ -85,45 +89,45 @@
 	Processes         []ProcessUse
 }
 
-// results gathers the outcomes. It is safe for concurrent use.
+// results collects the measurements. It is safe for concurrent use.
 type results struct {
 	mu       sync.Mutex
 	ratio    *hdrhistogram.Histogram
 	bySize   map[int]*hdrhistogram.Histogram
 	timeline []Second
 	work     time.Duration
-	out      Report
+	partial  Report
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRatio, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRatio, significantDigits) }
 
 func newResults() *results {
 	return &results{
-		ratio:  newHistogram(),
-		bySize: make(map[int]*hdrhistogram.Histogram),
-		out:    Report{Answers: make(map[string]int)},
+		ratio:   newHistogram(),
+		bySize:  make(map[int]*hdrhistogram.Histogram),
+		partial: Report{Answers: make(map[string]int)},
 	}
 }
 
-func (r *results) note(j job, a courier.Answer, err error, took, at time.Duration) {
+func (r *results) recordAnswer(j job, a courier.Answer, err error, took, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.out.Broken++
+		r.partial.Broken++
 		return
 	}
 	key := string(a.State)
 	if a.Reason != "" {
 		key += " " + string(a.Reason)
 	}
-	r.out.Answers[key]++
-	s := r.second(at)
+	r.partial.Answers[key]++
+	s := r.secondAt(at)
 	switch a.State {
 	case courier.Complete:
 		s.Complete++
 		s.WorkSeconds += j.work.Seconds()
 		r.work += j.work
-		r.noteRatio(j, took)
+		r.recordRatio(j, took)
 		r.checkResults(j, a)
 	case courier.NotRun:
 		s.NotRun++
@@ -132,10 +136,10 @@
 	}
 }
 
-func (r *results) noteRatio(j job, took time.Duration) {
+func (r *results) recordRatio(j job, took time.Duration) {
 	v := int64(float64(took) / float64(j.longest) * ratioScale)
 	_ = r.ratio.RecordValue(min(v, maxRatio))
-	n := len(j.sub.Tasks)
+	n := len(j.submission.Tasks)
 	if r.bySize[n] == nil {
 		r.bySize[n] = newHistogram()
 	}
@@ -143,16 +147,16 @@
 }
 
 func (r *results) checkResults(j job, a courier.Answer) {
-	for i := range j.sub.Tasks {
-		want := fmt.Sprintf("%q", fmt.Sprintf("%s#%d", j.sub.Key, i))
+	for i := range j.submission.Tasks {
+		want := fmt.Sprintf("%q", fmt.Sprintf("%s#%d", j.submission.Key, i))
 		if i >= len(a.Results) || string(a.Results[i]) != want {
-			r.out.WrongResults++
+			r.partial.WrongResults++
 			return
 		}
 	}
 }
 
-func (r *results) second(at time.Duration) *Second {
+func (r *results) secondAt(at time.Duration) *Second {
 	n := int(at / time.Second)
 	for len(r.timeline) <= n {
 		r.timeline = append(r.timeline, Second{})
@@ -160,32 +164,32 @@
 	return &r.timeline[n]
 }
 
-func (r *results) noteCopy(a courier.Answer, err error) {
+func (r *results) recordCopy(a courier.Answer, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out.Copies++
+	r.partial.Copies++
 	if err != nil || !a.Final() {
-		r.out.CopiesFailed++
+		r.partial.CopiesFailed++
 	}
 }
 
-func (r *results) noteCancel(err error) {
+func (r *results) recordCancel(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out.Cancels++
+	r.partial.Cancels++
 	if err != nil {
-		r.out.CancelsFailed++
+		r.partial.CancelsFailed++
 	}
 }
 
-func (r *results) noteEvent(e Event, at time.Duration, err error) {
+func (r *results) recordEvent(e Event, at time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	line := fmt.Sprintf("%.1fs %s %s", at.Seconds(), e.Kind, e.Name)
 	if err != nil {
 		line += ": " + err.Error()
 	}
-	r.out.Events = append(r.out.Events, line)
+	r.partial.Events = append(r.partial.Events, line)
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
@@ -193,10 +197,10 @@
 	return Quantiles{Jobs: h.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / ratioScale}
 }
 
-func (r *results) report(w Workload, took time.Duration, before, after map[string]processMetrics) Report {
+func (r *results) buildReport(w Workload, took time.Duration, before, after map[string]processMetrics) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.out
+	out := r.partial
 	out.Workload = w
 	out.Seconds = took.Seconds()
 	out.Ratio = quantiles(r.ratio)
@@ -206,13 +210,14 @@
 	}
 	out.Timeline = r.timeline
 	out.Utilisation = r.work.Seconds() / (took.Seconds() * float64(w.Slots))
-	out.SteadyUtilisation = r.steady(w)
+	out.SteadyUtilisation = r.steadyUtilisation(w)
 	out.addProcesses(before, after)
 	return out
 }
 
-// steady returns the utilisation without the ends of the experiment.
-func (r *results) steady(w Workload) float64 {
+// steadyUtilisation returns the utilisation without the warm-up and the time after the last
+// arrival.
+func (r *results) steadyUtilisation(w Workload) float64 {
 	end := min(w.DurationMillis/1000, len(r.timeline))
 	if end <= warmUpSeconds {
 		return 0
@@ -224,7 +229,8 @@
 	return work / float64((end-warmUpSeconds)*w.Slots)
 }
 
-// addProcesses works out the differences of the processes' counts.
+// addProcesses adds the differences between the processes' metrics before and after
+// the experiment.
 func (g *Report) addProcesses(before, after map[string]processMetrics) {
 	var messages float64
 	for _, name := range slices.Sorted(maps.Keys(after)) {
@@ -248,7 +254,7 @@
 	}
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (g Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "load %d%% of %d slots for %.1f s; utilisation %.3f, steady %.3f\n",
 		g.Workload.LoadPercent, g.Workload.Slots, g.Seconds, g.Utilisation, g.SteadyUtilisation)
--- a/loader/workload.go
+++ b/loader/workload.go
@@ -17,13 +17,13 @@
 
 // The kinds of errors.
 const (
-	// Invalid means that a workload is wrong.
+	// Invalid means that a workload or an address is invalid.
 	Invalid Kind = "Invalid"
-	// Failed means that an experiment could not be carried out.
+	// Failed means that an experiment could not be run or its report not be drawn.
 	Failed Kind = "Failed"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -36,32 +36,33 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// JobSize is one size of jobs and how often it comes.
+// JobSize is a number of tasks of a job with its relative frequency.
 type JobSize struct {
 	Tasks  int
 	Weight int
 }
 
-// RunTime is one range of run times and how often it comes.
+// RunTime is a range of tasks' run times with its relative frequency.
 type RunTime struct {
 	FromMillis int
 	ToMillis   int
 	Weight     int
 }
 
-// Wave is a number of jobs at one time.
+// Wave is a number of jobs that arrive at the same time.
 type Wave struct {
 	AtMillis int
 	Jobs     int
-	// Cancel makes the jobs be cancelled after CancelAfterMillis.
+	// Cancel means that the jobs are cancelled after CancelAfterMillis.
 	Cancel            bool
 	CancelAfterMillis int
 }
 
-// EventKind tells what happens in an Event.
+// EventKind says which change an Event makes.
 type EventKind string
 
-// The kinds of events.
+// The kinds of events. TakeOut and BringBack change the state of a data centre; the
+// others change the behaviour of an upstream.
 const (
 	TakeOut   EventKind = "TakeOut"
 	BringBack EventKind = "BringBack"
@@ -71,12 +72,12 @@
 	Recover   EventKind = "Recover"
 )
 
-// Event is a change of the deployment during the load.
+// Event is a change of the deployment during the experiment.
 type Event struct {
 	AtMillis int
 	Kind     EventKind
-	// Name is a data centre for TakeOut and BringBack, and otherwise the ID
-	// of an upstream.
+	// Name is the name of a data centre for TakeOut and BringBack, else the ID of an
+	// upstream.
 	Name string
 }
 
@@ -87,15 +88,16 @@
 	Team           string
 	Service        string
 	DeadlineMillis int
-	// LoadPercent is the offered work as a share of what Slots can do.
+	// LoadPercent is the offered work as a percentage of the capacity of Slots.
 	LoadPercent int
 	Slots       int
 	JobSizes    []JobSize
 	RunTimes    []RunTime
-	// ResubmitPercent is the share of jobs that are sent a second time,
+	// ResubmitPercent is the percentage of jobs that are submitted a second time,
 	// through another entry, while they run.
 	ResubmitPercent int
-	// FollowRetryAfter makes refused jobs come back when they are told to.
+	// FollowRetryAfter means that refused jobs are submitted again after the delay
+	// that the answer gives.
 	FollowRetryAfter bool
 	Waves            []Wave
 	Events           []Event
@@ -120,42 +122,43 @@
 	if err := d.Decode(&w); err != nil {
 		return w, &Error{Op: "parse " + path, Kind: Invalid, Err: err}
 	}
-	if faults := w.check(); len(faults) > 0 {
-		return w, &Error{Op: "check " + path, Kind: Invalid, Err: errors.New(strings.Join(faults, "; "))}
+	if invalid := w.validate(); len(invalid) > 0 {
+		return w, &Error{Op: "check " + path, Kind: Invalid, Err: errors.New(strings.Join(invalid, "; "))}
 	}
 	return w, nil
 }
 
-func (w Workload) check() []string {
-	var faults []string
-	between := func(key string, n, low, high int) {
+func (w Workload) validate() []string {
+	var invalid []string
+	checkRange := func(key string, n, low, high int) {
 		if n < low || n > high {
-			faults = append(faults, fmt.Sprintf("%s: found %d, allowed %d to %d", key, n, low, high))
+			invalid = append(invalid, fmt.Sprintf("%s: found %d, allowed %d to %d", key, n, low, high))
 		}
 	}
-	between("DurationMillis", w.DurationMillis, 1, int(maxDuration.Milliseconds()))
-	between("DeadlineMillis", w.DeadlineMillis, 1, 60_000)
-	between("LoadPercent", w.LoadPercent, 0, maxLoad)
-	between("Slots", w.Slots, 1, 100_000)
-	between("ResubmitPercent", w.ResubmitPercent, 0, 100)
-	between("JobSizes", len(w.JobSizes), 1, 100)
-	between("RunTimes", len(w.RunTimes), 1, 100)
+	checkRange("DurationMillis", w.DurationMillis, 1, int(maxDuration.Milliseconds()))
+	checkRange("DeadlineMillis", w.DeadlineMillis, 1, 60_000)
+	checkRange("LoadPercent", w.LoadPercent, 0, maxLoad)
+	checkRange("Slots", w.Slots, 1, 100_000)
+	checkRange("ResubmitPercent", w.ResubmitPercent, 0, 100)
+	checkRange("JobSizes", len(w.JobSizes), 1, 100)
+	checkRange("RunTimes", len(w.RunTimes), 1, 100)
 	for i, s := range w.JobSizes {
-		between(fmt.Sprintf("JobSizes[%d].Tasks", i), s.Tasks, 1, 1100)
-		between(fmt.Sprintf("JobSizes[%d].Weight", i), s.Weight, 1, 1_000_000)
+		checkRange(fmt.Sprintf("JobSizes[%d].Tasks", i), s.Tasks, 1, 1100)
+		checkRange(fmt.Sprintf("JobSizes[%d].Weight", i), s.Weight, 1, 1_000_000)
 	}
 	for i, r := range w.RunTimes {
-		between(fmt.Sprintf("RunTimes[%d].FromMillis", i), r.FromMillis, 1, 60_000)
-		between(fmt.Sprintf("RunTimes[%d].ToMillis", i), r.ToMillis, r.FromMillis, 60_000)
-		between(fmt.Sprintf("RunTimes[%d].Weight", i), r.Weight, 1, 1_000_000)
+		checkRange(fmt.Sprintf("RunTimes[%d].FromMillis", i), r.FromMillis, 1, 60_000)
+		checkRange(fmt.Sprintf("RunTimes[%d].ToMillis", i), r.ToMillis, r.FromMillis, 60_000)
+		checkRange(fmt.Sprintf("RunTimes[%d].Weight", i), r.Weight, 1, 1_000_000)
 	}
 	for i, v := range w.Waves {
-		between(fmt.Sprintf("Waves[%d].Jobs", i), v.Jobs, 1, maxWave)
+		checkRange(fmt.Sprintf("Waves[%d].Jobs", i), v.Jobs, 1, maxWave)
 	}
-	return faults
+	return invalid
 }
 
-// jobsPerSecond returns the rate that offers LoadPercent of the slots' work.
+// jobsPerSecond returns the arrival rate of jobs at which the offered work is
+// LoadPercent of the capacity of the slots.
 func (w Workload) jobsPerSecond() float64 {
 	tasks, sizes := 0, 0
 	for _, s := range w.JobSizes {
@@ -171,7 +174,7 @@
 	return float64(w.LoadPercent) / 100 * float64(w.Slots) / workPerJob
 }
 
-func (w Workload) jobSize(rng *rand.Rand) int {
+func (w Workload) drawJobSize(rng *rand.Rand) int {
 	total := 0
 	for _, s := range w.JobSizes {
 		total += s.Weight
@@ -185,7 +188,7 @@
 	return w.JobSizes[0].Tasks
 }
 
-func (w Workload) runMillis(rng *rand.Rand) int {
+func (w Workload) drawRunMillis(rng *rand.Rand) int {
 	total := 0
 	for _, r := range w.RunTimes {
 		total += r.Weight
--- a/submitter/submitter.go
+++ b/submitter/submitter.go
@@ -1,6 +1,6 @@
-// Package submitter is a client of an entry's HTTP interface. It submits jobs,
-// submits them again through other entries when a connection breaks, and asks
-// for or cancels them.
+// Package submitter is a client of the entries' HTTP interface. It submits jobs,
+// resubmits them through other entries if a connection fails, and queries and cancels
+// jobs.
 package submitter
 
 import (
@@ -18,21 +18,21 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// resubmitPause is the pause before a broken request is sent again.
-const resubmitPause = 100 * time.Millisecond
+// resubmitDelay is the delay before a request without an answer is sent again.
+const resubmitDelay = 100 * time.Millisecond
 
 // Kind classifies an Error.
 type Kind string
 
 // The kinds of errors.
 const (
-	// Rejected means that the request is wrong; nothing was started.
+	// Rejected means that the request is invalid. No task was started.
 	Rejected Kind = "Rejected"
-	// Broken means that no answer came; the job may be running.
+	// Broken means that no valid answer was received. The job may be running.
 	Broken Kind = "Broken"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -45,31 +45,32 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Client calls entries. It is safe for concurrent use.
+// Client is a client of a list of entries. It is safe for concurrent use.
 type Client struct {
 	clock   clockwork.Clock
 	http    *http.Client
 	entries []string
 }
 
-// NewClient returns a client of the entries at the given hosts and ports. It
-// keeps up to connections idle connections to each.
+// NewClient returns a client of the entries at the given addresses (host and port). It
+// keeps up to connections idle connections to each of them.
 func NewClient(clock clockwork.Clock, entries []string, connections int) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: connections}
 	return &Client{clock: clock, http: &http.Client{Transport: transport}, entries: entries}
 }
 
-// Once sends s to the i-th entry and returns its answer.
+// Once sends s once, to the i-th entry modulo their number, and returns the answer.
 func (c *Client) Once(ctx context.Context, i int, s courier.Submission) (courier.Answer, error) {
-	raw, err := json.Marshal(s)
+	encoded, err := json.Marshal(s)
 	if err != nil {
 		return courier.Answer{}, &Error{Op: "submit", Kind: Rejected, Err: err}
 	}
-	return c.call(ctx, "submit", http.MethodPost, c.url(i, "/v1/jobs"), raw)
+	return c.call(ctx, "submit", http.MethodPost, c.entryURL(i, "/v1/jobs"), encoded)
 }
 
-// Submit sends s, and sends it again through the next entry, as a higher
-// attempt, while no answer comes and the deadline has not passed.
+// Submit sends s to the entry with the index first. As long as no answer is received
+// and the deadline has not passed, it sends s again to the next entry, with the next
+// attempt number.
 func (c *Client) Submit(ctx context.Context, first int, s courier.Submission) (courier.Answer, error) {
 	for i := first; ; i++ {
 		a, err := c.Once(ctx, i, s)
@@ -78,24 +79,24 @@
 			return a, err
 		}
 		s.Attempt++
-		if ctx.Err() != nil || !c.clock.Now().Add(resubmitPause).Before(s.Deadline) {
+		if ctx.Err() != nil || !c.clock.Now().Add(resubmitDelay).Before(s.Deadline) {
 			return a, err
 		}
-		c.clock.Sleep(resubmitPause)
+		c.clock.Sleep(resubmitDelay)
 	}
 }
 
-// State asks the i-th entry for the state of a job.
+// State queries the state of a job at the i-th entry.
 func (c *Client) State(ctx context.Context, i int, job string) (courier.Answer, error) {
-	return c.call(ctx, "state", http.MethodGet, c.url(i, "/v1/jobs/"+job), nil)
+	return c.call(ctx, "state", http.MethodGet, c.entryURL(i, "/v1/jobs/"+job), nil)
 }
 
 // Cancel cancels a job through the i-th entry.
 func (c *Client) Cancel(ctx context.Context, i int, job string) (courier.Answer, error) {
-	return c.call(ctx, "cancel", http.MethodDelete, c.url(i, "/v1/jobs/"+job), nil)
+	return c.call(ctx, "cancel", http.MethodDelete, c.entryURL(i, "/v1/jobs/"+job), nil)
 }
 
-func (c *Client) url(i int, path string) string {
+func (c *Client) entryURL(i int, path string) string {
 	return "http://" + c.entries[i%len(c.entries)] + path
 }
 
