--- a/checker/checker.go
+++ b/checker/checker.go
@@ -73,8 +73,8 @@
 	return d.checkBundle(deployment)
 }
 
-// rejectDeployment returns an error if deployment settings are given, for a form that is not
-// checked against them.
+// rejectDeployment returns an error if deployment settings are given, for a form that
+// is not checked against them.
 func (d document) rejectDeployment(deployment *File) error {
 	if deployment == nil {
 		return nil
@@ -83,8 +83,8 @@
 		"settings are compared with a bundle or a configuration, and %s is neither", d.file)}
 }
 
-// ignoredTextFindings reports what JSON decoders ignore silently: duplicate keys and text
-// after the value.
+// ignoredTextFindings reports what JSON decoders ignore silently: duplicate keys and
+// text after the value.
 func (d document) ignoredTextFindings() []Finding {
 	var out []Finding
 	for _, r := range d.locator.duplicates {
--- a/checker/checker_test.go
+++ b/checker/checker_test.go
@@ -264,8 +264,8 @@
 	return out
 }
 
-// requireInvariants checks the invariants for any input: no panic, line numbers within the
-// file, and the same report on a second run.
+// requireInvariants checks the invariants for any input: no panic, line numbers within
+// the file, and the same report on a second run.
 func requireInvariants(t require.TestingT, f checker.File, o checker.Options) {
 	r, err := checker.Check(f, o)
 	again, errAgain := checker.Check(f, o)
@@ -307,8 +307,8 @@
 	})
 }
 
-// memberPattern matches the name of an object's member, then its scalar value or the opening
-// bracket of its value.
+// memberPattern matches the name of an object's member, then its scalar value or the
+// opening bracket of its value.
 var memberPattern = regexp.MustCompile(`("\w+":\s*)([^\s,{}\[\]]+|[{\[])`)
 
 // Guards against values that make the checker panic: replaces one value of a sample at
--- a/checker/configuration.go
+++ b/checker/configuration.go
@@ -34,9 +34,9 @@
 // routeKey is the host and the path prefix of the requests that a queue accepts.
 type routeKey struct{ host, prefix string }
 
-// checkUnreachableQueues finds queues that no request can reach. A request goes to the queue
-// with the longest matching prefix, and of several with the same prefix to the one
-// listed first.
+// checkUnreachableQueues finds queues that no request can reach. A request goes to the
+// queue with the longest matching prefix, and of several with the same prefix to the
+// one listed first.
 func (d document) checkUnreachableQueues(queues []scheduler.Queue) []Finding {
 	firstByRoute := make(map[routeKey]int)
 	for i, q := range slices.Backward(queues) {
@@ -70,7 +70,8 @@
 	return j, j != i
 }
 
-// checkQueueLimits finds queues whose timeout and latency objective contradict each other.
+// checkQueueLimits finds queues whose timeout and latency objective contradict each
+// other.
 func (d document) checkQueueLimits(queues []scheduler.Queue) []Finding {
 	var out []Finding
 	for i, q := range queues {
@@ -86,8 +87,9 @@
 	return out
 }
 
-// maxChainWithinObjective returns the length of the longest chain of tasks that can meet the
-// objective of a job. It returns false if the objective does not bound the length.
+// maxChainWithinObjective returns the length of the longest chain of tasks that can
+// meet the objective of a job. It returns false if the objective does not bound the
+// length.
 func maxChainWithinObjective(q scheduler.Queue) (time.Duration, bool) {
 	if q.Stretch >= 1 {
 		return 0, false
@@ -99,8 +101,8 @@
 	return max(0, time.Duration(longest).Round(time.Millisecond)), true
 }
 
-// checkResendDelay finds queues whose timeout ends before a caller without an answer sends
-// its job again. The timeout does not apply to callers that set a deadline.
+// checkResendDelay finds queues whose timeout ends before a caller without an answer
+// sends its job again. The timeout does not apply to callers that set a deadline.
 func (d document) checkResendDelay(queues []scheduler.Queue, minResendDelay time.Duration) []Finding {
 	var out []Finding
 	for i, q := range queues {
--- a/checker/difference.go
+++ b/checker/difference.go
@@ -203,8 +203,8 @@
 	return out
 }
 
-// removalFinding returns a finding on a value that d no longer has. Its key is that of the
-// list or object that contained the value.
+// removalFinding returns a finding on a value that d no longer has. Its key is that of
+// the list or object that contained the value.
 func (d document) removalFinding(l Leaf) Finding {
 	key := l.Key
 	for strings.Contains(key, "[") {
--- a/checker/document.go
+++ b/checker/document.go
@@ -117,8 +117,8 @@
 	return bestForm
 }
 
-// embeddedBundle returns the bundle in a signed bundle. Its line numbers are those in the
-// file.
+// embeddedBundle returns the bundle in a signed bundle. Its line numbers are those in
+// the file.
 func (d document) embeddedBundle() (document, bool) {
 	v, ok := d.locator.find(bundleKey)
 	if !ok || !v.isObject {
--- a/checker/lines.go
+++ b/checker/lines.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// isKeyValueText reports whether raw consists of key-value lines, like a machine's settings
-// file, and is not JSON.
+// isKeyValueText reports whether raw consists of key-value lines, like a machine's
+// settings file, and is not JSON.
 func isKeyValueText(raw []byte) bool {
 	text := bytes.TrimSpace(raw)
 	if len(text) == 0 || strings.IndexByte("{[\"", text[0]) >= 0 {
--- a/checker/locator.go
+++ b/checker/locator.go
@@ -29,8 +29,8 @@
 type duplicateKey struct {
 	key  string
 	line int
-	// overridingLine is the line of the member that takes precedence. If both values are
-	// objects, members of the earlier one that the later one lacks still count.
+	// overridingLine is the line of the member that takes precedence. If both values
+	// are objects, members of the earlier one that the later one lacks still count.
 	overridingLine int
 }
 
@@ -135,8 +135,8 @@
 	return err
 }
 
-// skipSeparators returns the offset of the next value: the first one after the white space and
-// the separators at offset.
+// skipSeparators returns the offset of the next value: the first one after the white
+// space and the separators at offset.
 func (l *locator) skipSeparators(offset int) int {
 	for offset < len(l.raw) && strings.IndexByte(" \t\r\n:,", l.raw[offset]) >= 0 {
 		offset++
@@ -180,8 +180,8 @@
 	}
 }
 
-// smallestAt returns the smallest value that a decoder had begun to decode when it stopped
-// at offset.
+// smallestAt returns the smallest value that a decoder had begun to decode when it
+// stopped at offset.
 func (l *locator) smallestAt(offset int) (value, bool) {
 	for _, v := range l.values {
 		if v.start < offset && offset <= v.end {
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -153,8 +153,8 @@
 	return l.clock.Now().Add(time.Duration(l.workload.DeadlineMillis) * time.Millisecond).UTC()
 }
 
-// submitJob submits a job, and if the workload asks for it, submits it again after a refusal
-// at the time that the answer gives.
+// submitJob submits a job, and if the workload asks for it, submits it again after a
+// refusal at the time that the answer gives.
 func (l *Loader) submitJob(ctx context.Context, j job) {
 	for range maxSubmissions {
 		sentAt := l.clock.Now()
--- a/loader/report.go
+++ b/loader/report.go
@@ -215,8 +215,8 @@
 	return out
 }
 
-// steadyUtilisation returns the utilisation without the warm-up and the time after the last
-// arrival.
+// steadyUtilisation returns the utilisation without the warm-up and the time after the
+// last arrival.
 func (r *results) steadyUtilisation(w Workload) float64 {
 	end := min(w.DurationMillis/1000, len(r.timeline))
 	if end <= warmUpSeconds {
