--- a/commander/bundle.go
+++ b/commander/bundle.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// publishTimeout bounds the writing of a bundle.
+	// publishTimeout is the timeout of writing a bundle to the store.
 	publishTimeout = 30 * time.Second
-	// progressPause is the pause between two lines of progress.
-	progressPause = 500 * time.Millisecond
-	keyFileMode   = 0o600
+	// progressInterval is the interval between two lines of progress.
+	progressInterval = 500 * time.Millisecond
+	keyFileMode      = 0o600
 )
 
 type bundleCommand struct {
@@ -121,7 +121,7 @@
 	return printJSON(env.out, s)
 }
 
-// storeFlags tell where the store is and whom to trust.
+// storeFlags names the settings, which hold the address of the store and the approvers.
 type storeFlags struct {
 	Settings string `required:"" type:"existingfile" help:"Settings file of the deployment."`
 }
@@ -157,7 +157,8 @@
 	return rollOut(env, p, s, c.Wait)
 }
 
-// rollOut publishes s and prints its progress until it is in force everywhere.
+// rollOut publishes s and prints its progress until it is in force in every process. It
+// returns an error if that takes longer than wait.
 func rollOut(env *environment, p *publisher.Publisher, s approver.Signed, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(env.ctx, publishTimeout)
 	defer cancel()
@@ -168,25 +169,25 @@
 	if err != nil {
 		return err
 	}
-	began := env.deps.Clock.Now()
+	startedAt := env.deps.Clock.Now()
 	for {
 		g, err := p.Progress(env.ctx, b.Version)
 		if err != nil {
-			fmt.Fprintln(env.out, "progress not known:", err)
+			fmt.Fprintln(env.out, "progress unknown:", err)
 		} else {
-			fmt.Fprintf(env.out, "%5.1fs %s\n", env.deps.Clock.Since(began).Seconds(), g)
+			fmt.Fprintf(env.out, "%5.1fs %s\n", env.deps.Clock.Since(startedAt).Seconds(), g)
 			if g.Done() {
 				return nil
 			}
 		}
-		if env.ctx.Err() != nil || env.deps.Clock.Since(began) > wait {
+		if env.ctx.Err() != nil || env.deps.Clock.Since(startedAt) > wait {
 			return errors.Errorf("version %d is written but not yet known to be in force everywhere", b.Version)
 		}
-		env.deps.Clock.Sleep(progressPause)
+		env.deps.Clock.Sleep(progressInterval)
 	}
 }
 
-// current reads the newest bundle from the store.
+// current returns the bundle in the store.
 func (c storeFlags) current(env *environment) (approver.Bundle, error) {
 	p, err := c.publisher(env)
 	if err != nil {
@@ -249,12 +250,12 @@
 	if err != nil {
 		return err
 	}
-	printMissing(env, "-", from, to)
-	printMissing(env, "+", to, from)
+	printLinesNotIn(env, "-", from, to)
+	printLinesNotIn(env, "+", to, from)
 	return nil
 }
 
-// versionLines returns a version as lines of path and value.
+// versionLines returns the values of a published version as lines of path and value.
 func versionLines(env *environment, p *publisher.Publisher, version uint64) ([]string, error) {
 	s, _, err := p.Version(env.ctx, version)
 	if err != nil {
@@ -271,13 +272,13 @@
 	return lines, nil
 }
 
-func printMissing(env *environment, mark string, lines, others []string) {
-	there := make(map[string]bool, len(others))
+func printLinesNotIn(env *environment, mark string, lines, others []string) {
+	present := make(map[string]bool, len(others))
 	for _, l := range others {
-		there[l] = true
+		present[l] = true
 	}
 	for _, l := range lines {
-		if !there[l] {
+		if !present[l] {
 			fmt.Fprintln(env.out, mark, l)
 		}
 	}
--- a/commander/check.go
+++ b/commander/check.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// inForceTimeout bounds the reading of the version in force.
+	// inForceTimeout is the timeout of reading the version in force.
 	inForceTimeout = 5 * time.Second
-	// maxCheckedBytes bounds a file to check.
+	// maxCheckedBytes is the maximum size of a file to check.
 	maxCheckedBytes = 8 << 20
 )
 
@@ -33,10 +33,10 @@
 func (c *checkFileCommand) Run(env *environment) error {
 	report, err := c.check(env)
 	if err != nil {
-		return &exitError{status: exitUnusable, err: err}
+		return &exitError{status: exitNotChecked, err: err}
 	}
 	if err := c.print(env.out, report); err != nil {
-		return &exitError{status: exitUnusable, err: err}
+		return &exitError{status: exitNotChecked, err: err}
 	}
 	if !report.Clean() {
 		return &exitError{status: exitFailed}
@@ -52,7 +52,7 @@
 }
 
 func (c *checkFileCommand) check(env *environment) (checker.Report, error) {
-	file, err := readChecked(c.File)
+	file, err := readLimited(c.File)
 	if err != nil {
 		return checker.Report{}, err
 	}
@@ -63,26 +63,26 @@
 	return checker.Check(*file, o)
 }
 
-// options reads what the file is compared with.
+// options reads the files that the file is checked against.
 func (c *checkFileCommand) options(env *environment) (checker.Options, error) {
 	var o checker.Options
 	var err error
 	if c.Settings != "" {
-		if o.Deployment, err = readChecked(c.Settings); err != nil {
+		if o.Deployment, err = readLimited(c.Settings); err != nil {
 			return o, err
 		}
 	}
 	switch {
 	case c.Against != "":
-		o.Against, err = readChecked(c.Against)
+		o.Against, err = readLimited(c.Against)
 	case c.Entry != "":
-		o.Against, err = c.inForce(env)
+		o.Against, err = c.readInForce(env)
 	}
 	return o, err
 }
 
-// readChecked reads a file of bounded size.
-func readChecked(path string) (*checker.File, error) {
+// readLimited reads a file of up to maxCheckedBytes.
+func readLimited(path string) (*checker.File, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -98,15 +98,15 @@
 	return &checker.File{Name: path, Raw: raw}, nil
 }
 
-// inForce asks the entry for the version in force, and reads that version from
+// readInForce queries the entry for the version in force and reads that version from
 // the store.
-func (c *checkFileCommand) inForce(env *environment) (*checker.File, error) {
+func (c *checkFileCommand) readInForce(env *environment) (*checker.File, error) {
 	if c.Settings == "" {
-		return nil, errors.New("--entry: --settings is needed too, since an entry tells its version and the store holds the bundle")
+		return nil, errors.New("--entry: --settings is needed too, since an entry reports only the version and the store holds the bundle")
 	}
 	ctx, cancel := context.WithTimeout(env.ctx, inForceTimeout)
 	defer cancel()
-	version, err := versionAt(ctx, c.Entry)
+	version, err := versionInForceAt(ctx, c.Entry)
 	if err != nil {
 		return nil, err
 	}
@@ -121,9 +121,9 @@
 	return &checker.File{Name: fmt.Sprintf("version %d at %s", version, c.Entry), Raw: s.Bundle}, nil
 }
 
-// versionAt returns the version of the bundle in force at an entry, which its
-// dump (receiver.Dump) tells.
-func versionAt(ctx context.Context, entry string) (uint64, error) {
+// versionInForceAt returns the version of the bundle in force at an entry, from its
+// state dump (receiver.Dump).
+func versionInForceAt(ctx context.Context, entry string) (uint64, error) {
 	resp, err := getDump(ctx, entry)
 	if err != nil {
 		return 0, errors.Wrapf(err, "entry %s", entry)
--- a/commander/check_test.go
+++ b/commander/check_test.go
@@ -30,8 +30,9 @@
 	exampleSettings = "../examples/marktblick.json"
 )
 
-// changed writes a copy of a file with old replaced by new, and returns its path.
-func changed(t *testing.T, path, old, new string) string {
+// writeChangedCopy writes a copy of a file in which old is replaced by new, and returns
+// its path.
+func writeChangedCopy(t *testing.T, path, old, new string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -41,24 +42,24 @@
 	return out
 }
 
-// check runs the command and returns its exit status and what it printed.
-func check(args ...string) (status int, out, errs string) {
+// runCheck runs the check command and returns its exit status and output.
+func runCheck(args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
 	status = commander.Main(append([]string{"check"}, args...), &o, &e)
 	return status, o.String(), e.String()
 }
 
-// Guards against a script that sends a file because a check that found
-// something, or could not be done, looked like one that was clean.
+// Guards against exit statuses by which a script takes a check with findings, or one
+// that could not be performed, for a clean one and deploys the file.
 func TestCheckExitStatus(t *testing.T) {
-	faulty := changed(t, exampleBundle, `"EjectPercent": 30`, `"EjectPercent": 300`)
-	second := changed(t, exampleBundle, `"Version": 1`, `"Version": 2`)
-	odd := filepath.Join(t.TempDir(), "odd.json")
-	require.NoError(t, os.WriteFile(odd, []byte(`{"Seed": 1}`), 0o600))
-	big := filepath.Join(t.TempDir(), "big.json")
-	require.NoError(t, os.WriteFile(big, bytes.Repeat([]byte(" "), 9<<20), 0o600))
+	faulty := writeChangedCopy(t, exampleBundle, `"EjectPercent": 30`, `"EjectPercent": 300`)
+	nextVersion := writeChangedCopy(t, exampleBundle, `"Version": 1`, `"Version": 2`)
+	unknownForm := filepath.Join(t.TempDir(), "odd.json")
+	require.NoError(t, os.WriteFile(unknownForm, []byte(`{"Seed": 1}`), 0o600))
+	oversized := filepath.Join(t.TempDir(), "big.json")
+	require.NoError(t, os.WriteFile(oversized, bytes.Repeat([]byte(" "), 9<<20), 0o600))
 	closed := httptest.NewServer(http.NotFoundHandler())
-	nobody := closed.Listener.Addr().String()
+	closedAddr := closed.Listener.Addr().String()
 	closed.Close()
 	tests := []struct {
 		name   string
@@ -72,21 +73,21 @@
 		{"clean against the settings", []string{"--settings", exampleSettings, exampleBundle}, 0, "clean", ""},
 		{"same as in force", []string{"--against", exampleBundle, exampleBundle}, 0, "clean", ""},
 		{"fault", []string{faulty}, 1, faulty + ":44: Fault: Limits.EjectPercent: found 300, allowed 0 to 100", ""},
-		{"difference", []string{"--against", exampleBundle, second}, 1, "-Version = 1\n+Version = 2\n", ""},
+		{"difference", []string{"--against", exampleBundle, nextVersion}, 1, "-Version = 1\n+Version = 2\n", ""},
 		{"no such file", []string{"nowhere.json"}, 2, "", "nowhere.json: no such file"},
 		{"directory", []string{"../examples"}, 2, "", "is a directory"},
-		{"file of another form", []string{odd}, 2, "", "odd.json: found none of the top-level keys"},
-		{"file too large", []string{big}, 2, "", "big.json: found more than"},
+		{"file of another form", []string{unknownForm}, 2, "", "odd.json: found none of the top-level keys"},
+		{"file too large", []string{oversized}, 2, "", "big.json: found more than"},
 		{"no such file in force", []string{"--against", "nowhere.json", exampleBundle}, 2, "", "nowhere.json: no such file"},
 		{"no such settings", []string{"--settings", "nowhere.json", exampleBundle}, 2, "", "nowhere.json: no such file"},
-		{"entry not reached", []string{"--entry", nobody, "--settings", exampleSettings, exampleBundle}, 2, "", nobody},
-		{"entry without settings", []string{"--entry", nobody, exampleBundle}, 2, "", "--settings is needed"},
-		{"both versions in force", []string{"--entry", nobody, "--against", exampleBundle, exampleBundle}, 2, "", "--against"},
+		{"entry not reached", []string{"--entry", closedAddr, "--settings", exampleSettings, exampleBundle}, 2, "", closedAddr},
+		{"entry without settings", []string{"--entry", closedAddr, exampleBundle}, 2, "", "--settings is needed"},
+		{"both versions in force", []string{"--entry", closedAddr, "--against", exampleBundle, exampleBundle}, 2, "", "--against"},
 		{"no file", nil, 2, "", "<file>"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			status, out, errs := check(tt.args...)
+			status, out, errs := runCheck(tt.args...)
 			require.Equal(t, tt.status, status, errs)
 			require.Contains(t, out, tt.out)
 			require.Contains(t, errs, tt.errs)
@@ -97,14 +98,14 @@
 	}
 }
 
-// Guards against JSON that scripts cannot read back, also when nothing is found.
+// Guards against JSON output that scripts cannot decode, also if there are no findings.
 func TestCheckJSON(t *testing.T) {
-	status, out, _ := check("--json", exampleBundle)
+	status, out, _ := runCheck("--json", exampleBundle)
 	require.Zero(t, status)
 	require.JSONEq(t, fmt.Sprintf(`{"File": %q, "Form": "Bundle", "Findings": []}`, exampleBundle), out)
 
-	second := changed(t, exampleBundle, `"Version": 1`, `"Version": 2`)
-	status, out, _ = check("--json", "--against", exampleBundle, second)
+	nextVersion := writeChangedCopy(t, exampleBundle, `"Version": 1`, `"Version": 2`)
+	status, out, _ = runCheck("--json", "--against", exampleBundle, nextVersion)
 	require.Equal(t, 1, status)
 	var r checker.Report
 	require.NoError(t, json.Unmarshal([]byte(out), &r))
@@ -115,13 +116,14 @@
 	require.Equal(t, "2", *r.Findings[0].Change.Is)
 }
 
-// published writes the example bundle to a store, and returns settings of it.
-func published(t *testing.T) string {
+// publishExample publishes the example bundle in a store and returns the path of
+// settings with its address.
+func publishExample(t *testing.T) string {
 	t.Helper()
 	clock := clockwork.NewRealClock()
 	store := httptest.NewServer(storer.NewStore(clock))
 	t.Cleanup(store.Close)
-	path := changed(t, exampleSettings, "http://127.0.0.1:23000", store.URL)
+	path := writeChangedCopy(t, exampleSettings, "http://127.0.0.1:23000", store.URL)
 	settings, err := configurer.Load(path)
 	require.NoError(t, err)
 	raw, err := os.ReadFile(exampleBundle)
@@ -138,12 +140,12 @@
 	return path
 }
 
-// Guards against differences from another version than the one that the entry
-// has in force, and against a check that passes although the entry or the store
-// could not tell.
+// Guards against differences from a version other than the one in force at the entry,
+// and against a check that succeeds although the version could not be read from the
+// entry or the store.
 func TestCheckAgainstEntry(t *testing.T) {
-	settings := published(t)
-	second := changed(t, exampleBundle, `"Version": 1`, `"Version": 2`)
+	settings := publishExample(t)
+	nextVersion := writeChangedCopy(t, exampleBundle, `"Version": 1`, `"Version": 2`)
 	tests := []struct {
 		name      string
 		code      int
@@ -164,7 +166,7 @@
 				fmt.Fprint(w, tt.dump)
 			}))
 			defer entry.Close()
-			status, out, errs := check("--entry", entry.Listener.Addr().String(), "--settings", settings, second)
+			status, out, errs := runCheck("--entry", entry.Listener.Addr().String(), "--settings", settings, nextVersion)
 			require.Equal(t, tt.status, status, errs)
 			require.Contains(t, out, tt.out)
 			require.Contains(t, errs, tt.errs)
--- a/commander/client.go
+++ b/commander/client.go
@@ -16,7 +16,7 @@
 	"github.com/pomeloferry/pomeloferry/submitter"
 )
 
-// clientFlags name the entries that a client calls.
+// clientFlags lists the entries that a client calls.
 type clientFlags struct {
 	Entry []string `required:"" help:"Host and port of an entry; give several to fall back on."`
 }
@@ -79,7 +79,7 @@
 	}
 	var out []json.RawMessage
 	if err := json.NewDecoder(in).Decode(&out); err != nil {
-		return nil, errors.Wrapf(err, "%s: a JSON array of payloads is needed", path)
+		return nil, errors.Wrapf(err, "%s: expected a JSON array of payloads", path)
 	}
 	return out, nil
 }
@@ -127,7 +127,7 @@
 	return err
 }
 
-// getDump asks a process for its state. The caller closes the body.
+// getDump requests the state dump of a process. The caller has to close the body.
 func getDump(ctx context.Context, process string) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+process+"/dump", nil)
 	if err != nil {
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -1,5 +1,5 @@
-// Package commander is the command line. It translates flags and settings into
-// the configurations of the other packages and holds no other logic.
+// Package commander implements the command line. It translates flags and settings into
+// the configurations of the other packages and contains no other logic.
 package commander
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// environment is what every command gets.
+// environment holds the dependencies of all commands.
 type environment struct {
 	ctx  context.Context
 	deps provider.Deps
 	out  io.Writer
-	// hangups carries the SIGHUPs since the start of a process that serves.
+	// hangups receives SIGHUP in the processes of the serve command, from their start.
 	hangups chan os.Signal
 }
 
-// commandLine lists the commands and the flags that they share.
+// commandLine holds the commands and the flags that they share.
 type commandLine struct {
 	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"Least severe log lines to write (${enum})."`
 
@@ -48,16 +48,17 @@
 
 // Main runs the command line in args and returns the exit status.
 func Main(args []string, stdout, stderr io.Writer) int {
-	// Processes that serve reload their settings on a hang-up; it ends the others.
+	// The processes of the serve command reload their settings on SIGHUP. All other
+	// commands end on it.
 	hangups := make(chan os.Signal, 1)
-	serves := len(args) > 0 && args[0] == "serve"
-	if serves {
+	isServe := len(args) > 0 && args[0] == "serve"
+	if isServe {
 		signal.Notify(hangups, syscall.SIGHUP)
 		defer signal.Stop(hangups)
 	}
-	var cl commandLine
+	var line commandLine
 	status := -1
-	parser, err := kong.New(&cl,
+	parser, err := kong.New(&line,
 		kong.Name("pomeloferry"),
 		kong.Description("Dispatches sub-second tasks to workers."),
 		kong.Writers(stdout, stderr),
@@ -76,18 +77,18 @@
 		return 2
 	}
 	deps := provider.NewDeps(stderr)
-	level, err := logrus.ParseLevel(cl.LogLevel)
+	level, err := logrus.ParseLevel(line.LogLevel)
 	if err == nil {
 		deps.Log.Logger.SetLevel(level)
 	}
-	ends := []os.Signal{syscall.SIGINT, syscall.SIGTERM}
-	if !serves {
-		ends = append(ends, syscall.SIGHUP)
+	endSignals := []os.Signal{syscall.SIGINT, syscall.SIGTERM}
+	if !isServe {
+		endSignals = append(endSignals, syscall.SIGHUP)
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), ends...)
+	ctx, stop := signal.NotifyContext(context.Background(), endSignals...)
 	defer stop()
 	if err := kctx.Run(&environment{ctx: ctx, deps: deps, out: stdout, hangups: hangups}); err != nil {
-		return exit(stderr, err)
+		return reportExit(stderr, err)
 	}
 	return 0
 }
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -13,8 +13,9 @@
 	"github.com/pomeloferry/pomeloferry/commander"
 )
 
-// settingsWith returns a settings file in which an entry listens at addr.
-func settingsWith(t *testing.T, addr string) string {
+// writeSettings writes a settings file in which an entry listens at addr and returns
+// its path.
+func writeSettings(t *testing.T, addr string) string {
 	t.Helper()
 	text := strings.ReplaceAll(`{
   "Store": "http://127.0.0.1:1",
@@ -25,11 +26,11 @@
 	return path
 }
 
-func TestWrongStartsNameWhatIsWrong(t *testing.T) {
+func TestFailedStartsReportTheCause(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
-	inUse := settingsWith(t, taken.Addr().String())
+	inUse := writeSettings(t, taken.Addr().String())
 	tests := []struct {
 		name string
 		args []string
@@ -38,7 +39,7 @@
 		{"address in use", []string{"entry", "--settings", inUse, "--id", "entry-1"}, []string{inUse, "entry-1", "Listen", taken.Addr().String()}},
 		{"no such entry", []string{"entry", "--settings", inUse, "--id", "entry-9"}, []string{inUse, "entry-9"}},
 		{"no such file", []string{"entry", "--settings", "nowhere.json", "--id", "entry-1"}, []string{"nowhere.json"}},
-		{"bad address", []string{"settings", "check", settingsWith(t, "here")}, []string{"Entries[0].Listen", `"here"`, "an IP number and a port"}},
+		{"bad address", []string{"settings", "check", writeSettings(t, "here")}, []string{"Entries[0].Listen", `"here"`, "an IP number and a port"}},
 		{"unknown command", []string{"fly"}, []string{"fly"}},
 	}
 	for _, tt := range tests {
--- a/commander/datacentre.go
+++ b/commander/datacentre.go
@@ -15,7 +15,7 @@
 	List      dataCentresCommand `cmd:"" help:"List the data centres and their states."`
 }
 
-// changeFlags make and approve a change of one data centre.
+// changeFlags describe a change of a data centre's state and its approval.
 type changeFlags struct {
 	storeFlags
 	Author   string        `required:"" help:"Who makes the change."`
@@ -45,7 +45,8 @@
 	return rollOut(env, p, s, c.Wait)
 }
 
-// change is a new state of a data centre with its author and approval.
+// change is a new state of a data centre with its author, note and approver. key is the
+// path of the approver's private key.
 type change struct {
 	name     string
 	state    approver.DataCentreState
@@ -55,7 +56,7 @@
 	key      string
 }
 
-// sign returns the signed successor of the bundle in the store.
+// sign applies the change to the bundle in the store and returns the signed successor.
 func (c change) sign(ctx context.Context, p *publisher.Publisher) (approver.Signed, error) {
 	key, err := readKey(c.key)
 	if err != nil {
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -20,8 +20,8 @@
 	demoService  = "price-report"
 	demoTeam     = "wholesale"
 	demoDeadline = 20 * time.Second
-	// demoReady bounds the wait for the deployment to take its first job.
-	demoReady = 5 * time.Second
+	// demoReadyTimeout is the timeout of waiting for the first job to complete.
+	demoReadyTimeout = 5 * time.Second
 )
 
 type demoCommand struct{}
@@ -53,11 +53,11 @@
 		return err
 	}
 	for i, n := range []int{1, 30, 300} {
-		if err := show.job(env.ctx, i, fmt.Sprintf("job-of-%d", n), n); err != nil {
+		if err := show.submitTwice(env.ctx, i, fmt.Sprintf("job-of-%d", n), n); err != nil {
 			return err
 		}
 	}
-	return show.doubleStarts(d)
+	return show.checkDoubleStarts(d)
 }
 
 func demoBundle() approver.Bundle {
@@ -78,29 +78,29 @@
 	}
 }
 
-// demo submits jobs and prints their answers.
+// demo submits jobs and prints the answers.
 type demo struct {
 	env    *environment
 	client *submitter.Client
 }
 
-// awaitReady submits small jobs until one completes.
+// awaitReady submits jobs of one task until one completes.
 func (d *demo) awaitReady(ctx context.Context) error {
-	began := d.env.deps.Clock.Now()
+	startedAt := d.env.deps.Clock.Now()
 	for i := 0; ; i++ {
 		s, _ := d.submission(fmt.Sprintf("probe-%d", i), 1)
 		a, err := d.client.Once(ctx, i, s)
 		if err == nil && a.State == courier.Complete {
 			return nil
 		}
-		if d.env.deps.Clock.Since(began) > demoReady {
-			return fmt.Errorf("the deployment is not ready after %s: %v %+v", demoReady, err, a)
+		if d.env.deps.Clock.Since(startedAt) > demoReadyTimeout {
+			return fmt.Errorf("the deployment is not ready after %s: %v %+v", demoReadyTimeout, err, a)
 		}
 		d.env.deps.Clock.Sleep(100 * time.Millisecond)
 	}
 }
 
-// submission returns a job of n tasks and the longest of their run times.
+// submission returns a job of n tasks and the run time of the longest one.
 func (d *demo) submission(key string, n int) (courier.Submission, time.Duration) {
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	s := courier.Submission{
@@ -120,43 +120,45 @@
 	return s, time.Duration(longest) * time.Millisecond
 }
 
-// job submits a job, and again through another entry, and prints both answers.
-func (d *demo) job(ctx context.Context, entry int, key string, n int) error {
+// submitTwice submits a job, submits it again through another entry, and prints both
+// answers.
+func (d *demo) submitTwice(ctx context.Context, entry int, key string, n int) error {
 	s, longest := d.submission(key, n)
-	began := d.env.deps.Clock.Now()
+	sentAt := d.env.deps.Clock.Now()
 	a, err := d.client.Once(ctx, entry, s)
 	if err != nil {
 		return err
 	}
-	took := d.env.deps.Clock.Since(began)
+	took := d.env.deps.Clock.Since(sentAt)
 	fmt.Fprintf(d.env.out, "%-12s %-8s %4d results from %s, bundle %d, in %v (longest task %v)\n",
 		key, a.State, len(a.Results), a.Entry, a.BundleVersion, took.Round(time.Millisecond), longest)
 	s.Attempt = 2
-	again, err := d.client.Once(ctx, entry+1, s)
+	secondAnswer, err := d.client.Once(ctx, entry+1, s)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(d.env.out, "%-12s %-8s %4d results: the same answer through another entry\n",
-		"  again", again.State, len(again.Results))
+		"  again", secondAnswer.State, len(secondAnswer.Results))
 	return nil
 }
 
-// doubleStarts prints how many tasks started, and how many more than once.
-func (d *demo) doubleStarts(deployment *launcher.Deployment) error {
-	started, doubled := 0, 0
+// checkDoubleStarts prints how many tasks have started and how many of them more than
+// once, which is an error.
+func (d *demo) checkDoubleStarts(deployment *launcher.Deployment) error {
+	started, startedTwice := 0, 0
 	for _, w := range deployment.Workers {
 		for _, n := range w.Starts() {
 			started++
 			if n > 1 {
-				doubled++
+				startedTwice++
 			}
 		}
 	}
 	reads, writes := deployment.Store.Calls()
 	fmt.Fprintf(d.env.out, "%d tasks started, %d of them twice; the store served %d reads and %d writes\n",
-		started, doubled, reads, writes)
-	if doubled > 0 {
-		return fmt.Errorf("%d tasks started twice", doubled)
+		started, startedTwice, reads, writes)
+	if startedTwice > 0 {
+		return fmt.Errorf("%d tasks started twice", startedTwice)
 	}
 	return nil
 }
--- a/commander/exit.go
+++ b/commander/exit.go
@@ -10,14 +10,14 @@
 // The exit statuses of commands.
 const (
 	exitFailed = 1
-	// exitUnusable means that the command could not do its work at all.
-	exitUnusable = 2
+	// exitNotChecked means that the command could not perform its check at all.
+	exitNotChecked = 2
 )
 
-// exitError ends a command with a status of its own.
+// exitError is an error with an exit status.
 type exitError struct {
 	status int
-	// err is printed; nil prints nothing.
+	// err is printed unless it is nil.
 	err error
 }
 
@@ -32,8 +32,8 @@
 // Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.err }
 
-// exit prints the error of a command and returns its exit status.
-func exit(stderr io.Writer, err error) int {
+// reportExit prints the error of a command and returns its exit status.
+func reportExit(stderr io.Writer, err error) int {
 	status := exitFailed
 	if e, ok := errors.Into[*exitError](err); ok {
 		status = e.status
--- a/commander/load.go
+++ b/commander/load.go
@@ -18,7 +18,7 @@
 	"github.com/pomeloferry/pomeloferry/worker"
 )
 
-// slowFactor is how much slower a Slow event makes an upstream.
+// slowFactor is the factor by which a Slow event increases an upstream's run times.
 const slowFactor = 5
 
 type loadCommand struct {
@@ -68,10 +68,10 @@
 		return err
 	}
 	report.Print(env.out)
-	return c.write(report)
+	return c.writeReport(report)
 }
 
-func (c *loadCommand) write(report loader.Report) error {
+func (c *loadCommand) writeReport(report loader.Report) error {
 	if c.Out != "" {
 		f, err := os.Create(c.Out)
 		if err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// loadOperator carries out the events of a workload.
+// loadOperator applies the events of a workload to a deployment.
 type loadOperator struct {
 	env      *environment
 	command  *loadCommand
@@ -99,22 +99,22 @@
 func (o *loadOperator) Do(ctx context.Context, e loader.Event) error {
 	switch e.Kind {
 	case loader.TakeOut:
-		return o.change(ctx, e.Name, approver.Out)
+		return o.changeDataCentre(ctx, e.Name, approver.Out)
 	case loader.BringBack:
-		return o.change(ctx, e.Name, approver.In)
+		return o.changeDataCentre(ctx, e.Name, approver.In)
 	case loader.FailAll:
-		return o.behave(ctx, e.Name, worker.Behaviour{FailAll: true})
+		return o.setBehaviour(ctx, e.Name, worker.Behaviour{FailAll: true})
 	case loader.RefuseAll:
-		return o.behave(ctx, e.Name, worker.Behaviour{RefuseAll: true})
+		return o.setBehaviour(ctx, e.Name, worker.Behaviour{RefuseAll: true})
 	case loader.Slow:
-		return o.behave(ctx, e.Name, worker.Behaviour{Slowdown: slowFactor})
+		return o.setBehaviour(ctx, e.Name, worker.Behaviour{Slowdown: slowFactor})
 	case loader.Recover:
-		return o.behave(ctx, e.Name, worker.Behaviour{})
+		return o.setBehaviour(ctx, e.Name, worker.Behaviour{})
 	}
 	return errors.Errorf("Kind: found %q, allowed TakeOut, BringBack, FailAll, RefuseAll, Slow or Recover", e.Kind)
 }
 
-func (o *loadOperator) change(ctx context.Context, name string, state approver.DataCentreState) error {
+func (o *loadOperator) changeDataCentre(ctx context.Context, name string, state approver.DataCentreState) error {
 	flags := storeFlags{Settings: o.command.Settings}
 	p, err := flags.publisher(o.env)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return p.Publish(ctx, s)
 }
 
-func (o *loadOperator) behave(ctx context.Context, id string, b worker.Behaviour) error {
+func (o *loadOperator) setBehaviour(ctx context.Context, id string, b worker.Behaviour) error {
 	u, err := o.settings.Upstream(id)
 	if err != nil {
 		return err
--- a/commander/process.go
+++ b/commander/process.go
@@ -21,13 +21,14 @@
 )
 
 const (
-	// agentMemoryLimit is the soft limit of an agent's heap, in bytes.
+	// agentMemoryLimit is the soft memory limit of an agent's Go runtime, in bytes.
 	agentMemoryLimit = 48 << 20
-	// stopGrace bounds the end of a stand-in's last requests.
-	stopGrace = 65 * time.Second
+	// shutdownTimeout is the maximum time for which an emulated upstream finishes its
+	// last tasks.
+	shutdownTimeout = 65 * time.Second
 )
 
-// processFlags name one process of a deployment.
+// processFlags identify a process of a deployment.
 type processFlags struct {
 	Settings string `required:"" type:"existingfile" help:"Settings file of the deployment."`
 	ID       string `required:"" name:"id" help:"Which process of the settings to run."`
@@ -57,8 +58,8 @@
 		Peers:      s.LinkAddresses(),
 		Trust:      s.Trust,
 		Seed:       uint64(time.Now().UnixNano()),
-		Order:      order(c.Order),
-		Placement:  placement(c.Placement),
+		Order:      parseOrder(c.Order),
+		Placement:  parsePlacement(c.Placement),
 	}, keeper.NewClient(s.Store))
 	if err != nil {
 		return errors.Wrapf(err, "settings %s: entry %s", c.Settings, c.ID)
@@ -67,7 +68,7 @@
 	return r.Run(env.ctx)
 }
 
-func order(name string) dispatcher.Order {
+func parseOrder(name string) dispatcher.Order {
 	switch name {
 	case "deadline":
 		return dispatcher.EarliestDeadline{}
@@ -79,7 +80,7 @@
 	return dispatcher.VirtualFinish{PerTask: dispatcher.FinishTimePerTask}
 }
 
-func placement(name string) dispatcher.Placement {
+func parsePlacement(name string) dispatcher.Placement {
 	switch name {
 	case "mixed":
 		return dispatcher.AnyFreeSlot{}
@@ -156,33 +157,33 @@
 	return serve(env.ctx, u.Listen, w.Handler(), w)
 }
 
-// serve serves h at addr until ctx ends. A worker w, if any, announces itself
-// meanwhile, and leaves before the server stops.
+// serve serves h at addr until ctx ends. Meanwhile w, unless it is nil, announces
+// itself to its agent; before the server stops, it shuts down.
 func serve(ctx context.Context, addr string, h http.Handler, w *worker.Worker) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return errors.Wrapf(err, "listen at %s", addr)
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	serverCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var g run.Group
 	g.Add(func() error { return server.Serve(listener) }, func(error) { _ = server.Close() })
 	g.Add(func() error {
 		select {
 		case <-ctx.Done():
-		case <-inner.Done():
+		case <-serverCtx.Done():
 			return nil
 		}
-		limit, stop := context.WithTimeout(inner, stopGrace)
+		shutdownCtx, stop := context.WithTimeout(serverCtx, shutdownTimeout)
 		defer stop()
 		if w != nil {
-			w.Leave(limit)
+			w.Leave(shutdownCtx)
 		}
 		return nil
 	}, func(error) { cancel() })
 	if w != nil {
-		g.Add(func() error { return w.Announce(inner) }, func(error) { cancel() })
+		g.Add(func() error { return w.Announce(serverCtx) }, func(error) { cancel() })
 	}
 	err = g.Run()
 	if errors.Is(err, http.ErrServerClosed) {
--- a/commander/process_test.go
+++ b/commander/process_test.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	// frozen is how long a process is stopped by a signal.
-	frozen = 8 * time.Second
-	// readyLimit bounds the start of a deployment.
-	readyLimit = 30 * time.Second
-	// jobDeadline leaves room for a slow machine.
+	// freezeDuration is the time for which a process is stopped by SIGSTOP.
+	freezeDuration = 8 * time.Second
+	// readyTimeout is the timeout of the start of a deployment.
+	readyTimeout = 30 * time.Second
+	// jobDeadline is long enough for a slow machine.
 	jobDeadline = 50 * time.Second
 )
 
-// processes is a deployment of real processes.
+// processes is a deployment of separate operating system processes.
 type processes struct {
 	t        *testing.T
 	binary   string
@@ -42,7 +42,8 @@
 	client   *submitter.Client
 }
 
-// freeAddresses returns addresses that were free a moment ago.
+// freeAddresses returns loopback addresses with ports that were free at the time of the
+// call.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	var out []string
@@ -72,7 +73,7 @@
 		return a
 	}
 	key := filepath.Join(p.dir, "key")
-	public := p.output("bundle", "key", key)
+	public := p.runCommand("bundle", "key", key)
 	store := next()
 	p.settings.Store = "http://" + store
 	p.settings.Trust = approver.Trust{"berta": public[:len(public)-1]}
@@ -91,7 +92,7 @@
 	}
 	p.writeJSON("settings.json", p.settings)
 	p.start("store", "store", "--listen", store)
-	p.await("store", func() bool { return p.answers("http://" + store + "/calls") })
+	p.await("store", func() bool { return p.respondsOK("http://" + store + "/calls") })
 	p.rollOut(key)
 	p.startAll()
 	return p
@@ -105,9 +106,10 @@
 		Teams:       []approver.Team{{Name: "team", TaskLimit: 100_000}},
 		Limits:      approver.Limits{WaitingTaskLimit: 100_000, EjectPercent: 30, RetryPercent: 10},
 	})
-	signed := p.output("bundle", "sign", "--approver", "berta", "--key", key, p.path("bundle.json"))
+	signed := p.runCommand("bundle", "sign", "--approver", "berta", "--key", key, p.path("bundle.json"))
 	require.NoError(p.t, os.WriteFile(p.path("signed.json"), []byte(signed), 0o600))
-	// Without entries the roll-out is written but not yet in force.
+	// Without entries the bundle is written but does not come into force, so that the
+	// command fails.
 	_ = exec.Command(p.binary, "bundle", "roll-out", "--settings", p.path("settings.json"), "--wait", "0s", p.path("signed.json")).Run()
 }
 
@@ -142,7 +144,7 @@
 	require.NoError(p.t, os.WriteFile(p.path(name), raw, 0o600))
 }
 
-func (p *processes) output(args ...string) string {
+func (p *processes) runCommand(args ...string) string {
 	out, err := exec.Command(p.binary, args...).Output()
 	require.NoError(p.t, err, "%v", args)
 	return string(out)
@@ -162,8 +164,8 @@
 	require.NoError(p.t, p.running[name].Process.Signal(s))
 }
 
-// end sends a signal and waits for the end of a process.
-func (p *processes) end(name string, s syscall.Signal) error {
+// signalAndWait sends a signal to a process and waits until it has ended.
+func (p *processes) signalAndWait(name string, s syscall.Signal) error {
 	p.signal(name, s)
 	err := p.running[name].Wait()
 	delete(p.running, name)
@@ -179,12 +181,12 @@
 
 func (p *processes) await(what string, ready func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(readyLimit); !ready(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); !ready(); time.Sleep(50 * time.Millisecond) {
 		require.True(p.t, time.Now().Before(end), "%s is not ready", what)
 	}
 }
 
-func (p *processes) answers(url string) bool {
+func (p *processes) respondsOK(url string) bool {
 	resp, err := http.Get(url)
 	if err != nil {
 		return false
@@ -204,8 +206,9 @@
 	return s
 }
 
-// submitAll submits jobs through all entries, again when they break, and
-// returns the answers.
+// submitAll submits jobs through all entries in turn, again if a request gets no
+// answer. The returned function waits for the answers, checks the results and returns
+// the answers.
 func (p *processes) submitAll(prefix string, jobs, tasks, millis int) (wait func() []courier.Answer) {
 	answers := make([]courier.Answer, jobs)
 	errs := make([]error, jobs)
@@ -230,13 +233,14 @@
 	}
 }
 
-// requireStartedOnce asks the upstreams how often each task has started.
+// requireStartedOnce queries the upstreams for the starts of each task and fails if a
+// task has started more than once.
 func (p *processes) requireStartedOnce() {
 	total := make(map[string]int)
 	for _, u := range p.settings.Upstreams {
 		resp, err := http.Get("http://" + u.Listen + "/starts")
 		if err != nil {
-			continue // The upstream was stopped by the test.
+			continue // The test has stopped this upstream.
 		}
 		var starts map[string]int
 		err = json.NewDecoder(resp.Body).Decode(&starts)
@@ -259,12 +263,12 @@
 	}
 }
 
-func TestPlannedStopsCutNothingOff(t *testing.T) {
+func TestPlannedShutdownInterruptsNoJob(t *testing.T) {
 	p := startProcesses(t)
 	for _, name := range []string{"entry-2", "worker-3", "agent-3", "agent-2"} {
 		wait := p.submitAll("stop-"+name, 24, 3, 200)
 		time.Sleep(150 * time.Millisecond)
-		require.NoError(t, p.end(name, syscall.SIGTERM), name)
+		require.NoError(t, p.signalAndWait(name, syscall.SIGTERM), name)
 		requireComplete(t, wait(), 3)
 	}
 	p.requireStartedOnce()
@@ -274,7 +278,7 @@
 	p := startProcesses(t)
 	wait := p.submitAll("kill", 12, 10, 300)
 	time.Sleep(400 * time.Millisecond)
-	require.Error(t, p.end("entry-1", syscall.SIGKILL))
+	require.Error(t, p.signalAndWait("entry-1", syscall.SIGKILL))
 	requireComplete(t, wait(), 10)
 	p.requireStartedOnce()
 }
@@ -283,7 +287,7 @@
 	p := startProcesses(t)
 	wait := p.submitAll("kill", 12, 10, 300)
 	time.Sleep(400 * time.Millisecond)
-	require.Error(t, p.end("agent-1", syscall.SIGKILL))
+	require.Error(t, p.signalAndWait("agent-1", syscall.SIGKILL))
 	for _, a := range wait() {
 		require.Contains(t, []courier.State{courier.Complete, courier.Failed}, a.State, "%+v", a)
 	}
@@ -297,7 +301,7 @@
 		time.Sleep(400 * time.Millisecond)
 		p.signal(name, syscall.SIGSTOP)
 		again := p.submitAll("during-"+name, 4, 3, 100)
-		time.Sleep(frozen)
+		time.Sleep(freezeDuration)
 		p.signal(name, syscall.SIGCONT)
 		requireComplete(t, wait(), 10)
 		requireComplete(t, again(), 3)
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -14,27 +14,27 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// serveCommand runs the programs on the users' machines. Their settings come
-// from the platform.
+// serveCommand runs the programs on the users' machines, with settings from the
+// platform.
 type serveCommand struct {
 	Entry serveEntryCommand `cmd:"" help:"Run an entry on the platform."`
 	Agent serveAgentCommand `cmd:"" help:"Run an agent on the platform."`
 }
 
-// onPlatform returns the dependencies of a process on the platform: logs go to
-// standard output without ever blocking, and time counts while the machine is
-// suspended. The returned function writes out what is left of the log.
-func onPlatform(env *environment) (provider.Deps, func()) {
-	ring := provider.NewNonBlockingWriter(env.out)
-	deps := provider.NewDeps(ring).WithClock(provider.NewBootClock())
+// newPlatformDeps returns the dependencies of a process on the platform: a log to
+// standard output whose writes never block, and a clock that continues while the
+// machine is suspended. The returned function flushes the log.
+func newPlatformDeps(env *environment) (provider.Deps, func()) {
+	logWriter := provider.NewNonBlockingWriter(env.out)
+	deps := provider.NewDeps(logWriter).WithClock(provider.NewBootClock())
 	deps.Log.Logger.SetLevel(env.deps.Log.Logger.GetLevel())
-	return deps, ring.Close
+	return deps, logWriter.Close
 }
 
-// reloadOnHangup checks the settings file again whenever SIGHUP says that it
-// has changed. Addresses are bound at the start, so a change of them needs a
-// restart, which the log says.
-func reloadOnHangup(env *environment, deps provider.Deps, used platform.Settings) {
+// reloadOnHangup reads and checks the settings file on each SIGHUP, which the platform
+// sends after a change, and logs whether the settings differ from those in use. These
+// stay in use: addresses are bound at the start, so that a change needs a restart.
+func reloadOnHangup(env *environment, deps provider.Deps, current platform.Settings) {
 	go func() {
 		for {
 			select {
@@ -47,18 +47,18 @@
 				deps.Log.WithError(err).Error("settings not reloaded")
 				continue
 			}
-			deps.Log.WithField("changed", s != used).Info("settings reloaded")
+			deps.Log.WithField("changed", s != current).Info("settings reloaded")
 		}
 	}()
 }
 
-func portAt(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 type serveEntryCommand struct{}
 
 // Run implements the command.
 func (c *serveEntryCommand) Run(env *environment) error {
-	deps, flush := onPlatform(env)
+	deps, flush := newPlatformDeps(env)
 	defer flush()
 	s, err := platform.LoadSettings()
 	if err != nil {
@@ -70,7 +70,7 @@
 		DataCentre:     s.DataCentre,
 		FrontAddr:      s.FrontAddr,
 		ReadyAddr:      s.ReadyAddr,
-		MetricsAddr:    portAt(s.IP, s.LastInternalPort),
+		MetricsAddr:    hostPort(s.IP, s.LastInternalPort),
 		GracePeriod:    s.GracePeriod,
 		MinResendDelay: s.MinResendDelay,
 		FarFactor:      s.FarFactor,
@@ -86,7 +86,7 @@
 
 // Run implements the command.
 func (c *serveAgentCommand) Run(env *environment) error {
-	deps, flush := onPlatform(env)
+	deps, flush := newPlatformDeps(env)
 	defer flush()
 	s, err := platform.LoadSettings()
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 	debug.SetMemoryLimit(agentMemoryLimit)
 	reloadOnHangup(env, deps, s)
-	link := portAt(s.IP, s.FirstInternalPort)
+	link := hostPort(s.IP, s.FirstInternalPort)
 	directory := platform.NewRegistrar(platform.NewStore(s.StoreAddr), platform.Registration{
 		Agent:      s.NodeName,
 		DataCentre: s.DataCentre,
@@ -105,7 +105,7 @@
 		DataCentre:   s.DataCentre,
 		LinkAddr:     link,
 		ControlAddr:  s.ControlAddr,
-		MetricsAddr:  portAt(s.IP, s.LastInternalPort),
+		MetricsAddr:  hostPort(s.IP, s.LastInternalPort),
 		GracePeriod:  s.GracePeriod,
 		DrainTimeout: s.DrainTimeout,
 	}, platform.NewWorkerClient(deps.Clock, s.UpstreamAddr), directory)
--- a/hangup.go
+++ b/hangup.go
@@ -3,9 +3,10 @@
 /*
 #include <signal.h>
 
-// The platform sends a hang-up when the settings change, also in the moment of a
-// start. This runs before the Go runtime, which would end the process on one that
-// nobody has asked for yet; signal.Notify takes hang-ups up again.
+// The platform sends SIGHUP when the settings change, possibly while the process is
+// starting. This constructor runs before the Go runtime, whose default action would end
+// the process on a SIGHUP that arrives before signal.Notify is called. signal.Notify
+// enables the delivery of SIGHUP again.
 __attribute__((constructor)) static void ignoreHangups(void) { signal(SIGHUP, SIG_IGN); }
 */
 import "C"
--- a/hangup_test.go
+++ b/hangup_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// minds reports whether a process ignores or handles a signal by now.
-func minds(pid int, s syscall.Signal) bool {
+// handlesOrIgnores reports whether a process currently ignores or handles a signal.
+func handlesOrIgnores(pid int, s syscall.Signal) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return false
@@ -33,16 +33,19 @@
 	return false
 }
 
+// Guards against a process that ends on a SIGHUP while it starts, before it handles the
+// signal.
 func TestHangupInTheMomentOfAStartEndsNoProcess(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "pomeloferry")
 	out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	const tries = 20
 	for range tries {
-		// Without settings the process ends by itself, with an exit status.
+		// Without settings the process exits by itself, instead of being ended by a
+		// signal.
 		cmd := exec.Command(program, "serve", "agent")
 		require.NoError(t, cmd.Start())
-		for began := time.Now(); !minds(cmd.Process.Pid, syscall.SIGHUP) && time.Since(began) < time.Second; {
+		for began := time.Now(); !handlesOrIgnores(cmd.Process.Pid, syscall.SIGHUP) && time.Since(began) < time.Second; {
 			time.Sleep(50 * time.Microsecond)
 		}
 		_ = cmd.Process.Signal(syscall.SIGHUP)
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -1,6 +1,6 @@
-// Package launcher runs a whole deployment in one process on loopback, with
-// the repository's stand-ins for the store and the upstreams. The demo and the
-// tests use it.
+// Package launcher runs a whole deployment in one process on loopback, with the
+// emulated store and upstreams of packages storer and worker. The demo and the tests
+// use it.
 package launcher
 
 import (
@@ -30,7 +30,7 @@
 	storeName = "store"
 )
 
-// Approver is the name under which a launched deployment's bundles are signed.
+// Approver is the name of the approver of a launched deployment's bundles.
 const Approver = "approver"
 
 // Config describes a deployment to launch.
@@ -44,13 +44,14 @@
 	Bundle      approver.Bundle
 }
 
-// process is one running part of the deployment.
-type process struct {
+// processHandle is a running part of the deployment: an entry, an agent or a server.
+type processHandle struct {
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-// Deployment is a running deployment.
+// Deployment is a running deployment. Entries and Workers are indexed by the numbers
+// in their names, from 0.
 type Deployment struct {
 	deps  provider.Deps
 	cfg   Config
@@ -63,10 +64,10 @@
 	Workers   []*worker.Worker
 
 	mu        sync.Mutex
-	processes map[string]process
+	processes map[string]processHandle
 }
 
-// NewDeployment starts a deployment. Stop ends it.
+// NewDeployment starts a deployment, which runs until Stop is called.
 func NewDeployment(deps provider.Deps, cfg Config) (*Deployment, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -78,7 +79,7 @@
 		key:       private,
 		trust:     approver.Trust{Approver: base64.StdEncoding.EncodeToString(public)},
 		Store:     storer.NewStore(deps.Clock),
-		processes: make(map[string]process),
+		processes: make(map[string]processHandle),
 	}
 	if err := d.start(); err != nil {
 		d.Stop()
@@ -127,7 +128,8 @@
 // AgentName returns the ID of the i-th agent.
 func AgentName(i int) string { return fmt.Sprintf("agent-%d", i+1) }
 
-// StartEntry starts the i-th entry, which may be a new one.
+// StartEntry starts the i-th entry: a stopped one, or a new one if i is the number of
+// entries so far.
 func (d *Deployment) StartEntry(i int) error {
 	var peers []string
 	for _, e := range d.Entries {
@@ -151,7 +153,7 @@
 		d.Entries = append(d.Entries, nil)
 	}
 	d.Entries[i] = e
-	d.launch(EntryName(i), e.Run)
+	d.startProcess(EntryName(i), e.Run)
 	return nil
 }
 
@@ -173,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	d.launch(AgentName(i), a.Run)
+	d.startProcess(AgentName(i), a.Run)
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return errors.Wrap(err, "listen")
@@ -190,7 +192,7 @@
 	d.Workers = append(d.Workers, w)
 	name := fmt.Sprintf("worker-%d", i+1)
 	d.serveOn(name, listener, w.Handler())
-	d.launch(name+"-announce", w.Announce)
+	d.startProcess(name+"-announce", w.Announce)
 	return nil
 }
 
@@ -205,29 +207,29 @@
 
 func (d *Deployment) serveOn(name string, listener net.Listener, h http.Handler) {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	d.launch(name, func(ctx context.Context) error {
+	d.startProcess(name, func(ctx context.Context) error {
 		stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 		defer stop()
 		return server.Serve(listener)
 	})
 }
 
-// launch runs f until it returns or its context is cancelled by stop.
-func (d *Deployment) launch(name string, f func(context.Context) error) {
+// startProcess runs f in a goroutine, with a context that process.stop cancels.
+func (d *Deployment) startProcess(name string, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := process{stop: cancel, done: make(chan struct{})}
+	p := processHandle{stop: cancel, done: make(chan struct{})}
 	d.mu.Lock()
 	d.processes[name] = p
 	d.mu.Unlock()
 	go func() {
 		defer close(p.done)
 		if err := f(ctx); err != nil && ctx.Err() == nil {
-			d.deps.Log.WithError(err).WithField("process", name).Error("process ended")
+			d.deps.Log.WithError(err).WithField("process", name).Error("process ended with an error")
 		}
 	}()
 }
 
-// StopProcess asks one process to stop as planned and waits until it has.
+// StopProcess shuts down the process with the given name and waits until it has ended.
 func (d *Deployment) StopProcess(name string) {
 	d.mu.Lock()
 	p, ok := d.processes[name]
@@ -240,18 +242,18 @@
 	<-p.done
 }
 
-// Stop ends every process, the store last.
+// Stop shuts down all processes, the store last, and waits until they have ended.
 func (d *Deployment) Stop() {
 	d.mu.Lock()
-	list := d.processes
-	d.processes = make(map[string]process)
+	processes := d.processes
+	d.processes = make(map[string]processHandle)
 	d.mu.Unlock()
-	store := list[storeName]
-	delete(list, storeName)
-	for _, p := range list {
+	store := processes[storeName]
+	delete(processes, storeName)
+	for _, p := range processes {
 		p.stop()
 	}
-	for _, p := range list {
+	for _, p := range processes {
 		<-p.done
 	}
 	if store.stop != nil {
