--- a/approver/approver_test.go
+++ b/approver/approver_test.go
@@ -40,13 +40,13 @@
 		change func(*approver.Signed)
 		want   string
 	}{
-		{"untouched", func(*approver.Signed) {}, ""},
+		{"unchanged", func(*approver.Signed) {}, ""},
 		{"indented", func(s *approver.Signed) { s.Bundle, _ = json.MarshalIndent(s.Bundle, "", "  ") }, ""},
 		{"unsigned", func(s *approver.Signed) { s.Signature = "" }, "not signed"},
 		{"altered", func(s *approver.Signed) {
 			s.Bundle = json.RawMessage(strings.Replace(string(s.Bundle), `"TaskLimit":10`, `"TaskLimit":11`, 1))
 		}, "does not match"},
-		{"stranger", func(s *approver.Signed) { s.Approver = "carl" }, `approver "carl" is not in the settings`},
+		{"unknown approver", func(s *approver.Signed) { s.Approver = "carl" }, `approver "carl" is not in the settings`},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/checker/checker_test.go
+++ b/checker/checker_test.go
@@ -174,7 +174,7 @@
 // Guards against a signed bundle that is deployed although entries would reject it, and
 // against keys and lines that are relative to the bundle instead of the file.
 func TestSignedBundle(t *testing.T) {
-	good, settings := signedExample(t)
+	validExample, settings := signedExample(t)
 	tests := []struct {
 		name   string
 		change func(string) string
@@ -189,7 +189,7 @@
 		}, []string{`signed.json:9: Fault: Bundle.Services[0].TaskLimit: found 0, allowed 1 to 1100`}},
 		{"no bundle", func(string) string { return `{"Approver": "example-approver", "Signature": ""}` }, []string{`signed.json:1: Fault: Bundle: found none, allowed a bundle`}},
 	}
-	raw, err := json.MarshalIndent(good, "", "  ")
+	raw, err := json.MarshalIndent(validExample, "", "  ")
 	require.NoError(t, err)
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -268,9 +268,9 @@
 // the file, and the same report on a second run.
 func requireInvariants(t require.TestingT, f checker.File, o checker.Options) {
 	r, err := checker.Check(f, o)
-	again, errAgain := checker.Check(f, o)
+	second, errAgain := checker.Check(f, o)
 	require.Equal(t, err, errAgain)
-	require.Equal(t, r, again)
+	require.Equal(t, r, second)
 	lines := 1 + bytes.Count(f.Raw, []byte("\n"))
 	for _, found := range r.Findings {
 		require.GreaterOrEqual(t, found.Line, 1)
@@ -284,7 +284,7 @@
 }
 
 // Guards against inputs that make the checker panic or report a line that the file does
-// not have: samples in which random pieces are removed or replaced.
+// not have: samples in which random pieces are removed, inserted or replaced.
 func TestNoInputPanics(t *testing.T) {
 	files := samples(t)
 	pieces := []string{"", "null", "{}", "[]", "-1", "1e400", `"x"`, "0", `{"Name":null}`, "\n", "\x00", "}", "]", ","}
--- a/checker/fleet.go
+++ b/checker/fleet.go
@@ -7,7 +7,7 @@
 	"github.com/pomeloferry/pomeloferry/configurer"
 )
 
-// fleet summarizes the processes in the settings of a deployment.
+// fleet summarises the processes in the settings of a deployment.
 type fleet struct {
 	agents int
 	// dataCentres holds those of all processes, agentDataCentres those of agents,
--- a/commander/process_test.go
+++ b/commander/process_test.go
@@ -300,11 +300,11 @@
 		wait := p.submitAll("freeze-"+name, 12, 10, 300)
 		time.Sleep(400 * time.Millisecond)
 		p.signal(name, syscall.SIGSTOP)
-		again := p.submitAll("during-"+name, 4, 3, 100)
+		waitDuring := p.submitAll("during-"+name, 4, 3, 100)
 		time.Sleep(freezeDuration)
 		p.signal(name, syscall.SIGCONT)
 		requireComplete(t, wait(), 10)
-		requireComplete(t, again(), 3)
+		requireComplete(t, waitDuring(), 3)
 	}
 	p.requireStartedOnce()
 }
--- a/hangup_test.go
+++ b/hangup_test.go
@@ -35,7 +35,7 @@
 
 // Guards against a process that ends on a SIGHUP while it starts, before it handles the
 // signal.
-func TestHangupInTheMomentOfAStartEndsNoProcess(t *testing.T) {
+func TestHangupDuringStartEndsNoProcess(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "pomeloferry")
 	out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
 	require.NoError(t, err, "%s", out)
@@ -45,7 +45,7 @@
 		// signal.
 		cmd := exec.Command(program, "serve", "agent")
 		require.NoError(t, cmd.Start())
-		for began := time.Now(); !handlesOrIgnores(cmd.Process.Pid, syscall.SIGHUP) && time.Since(began) < time.Second; {
+		for startedAt := time.Now(); !handlesOrIgnores(cmd.Process.Pid, syscall.SIGHUP) && time.Since(startedAt) < time.Second; {
 			time.Sleep(50 * time.Microsecond)
 		}
 		_ = cmd.Process.Signal(syscall.SIGHUP)
