--- a/approver/approver.go
+++ b/approver/approver.go
@@ -131,8 +131,8 @@
 	return b
 }
 
-// Signed is a bundle that a second person has approved.
-type Signed struct {
+// SignedBundle is a bundle that a second person has approved.
+type SignedBundle struct {
 	// Bundle is the encoded bundle. The signature covers its compact form, so
 	// that a change of the indentation does not invalidate it.
 	Bundle json.RawMessage
@@ -143,23 +143,23 @@
 }
 
 // Digest returns the SHA-256 hash of the signed bytes in hexadecimal.
-func (s Signed) Digest() string {
+func (s SignedBundle) Digest() string {
 	sum := sha256.Sum256(compact(s.Bundle))
 	return hex.EncodeToString(sum[:])
 }
 
 // Sign signs b with the key of approver. It returns an Unapproved error if approver
 // is the author of b.
-func Sign(b Bundle, approver string, key ed25519.PrivateKey) (Signed, error) {
+func Sign(b Bundle, approver string, key ed25519.PrivateKey) (SignedBundle, error) {
 	if approver == b.Author {
-		return Signed{}, &Error{Op: "sign", Kind: Unapproved, Err: errors.Errorf("author %q may not approve the bundle", approver)}
+		return SignedBundle{}, &Error{Op: "sign", Kind: Unapproved, Err: errors.Errorf("author %q may not approve the bundle", approver)}
 	}
 	raw, err := json.Marshal(b)
 	if err != nil {
-		return Signed{}, &Error{Op: "sign", Kind: Invalid, Err: err}
+		return SignedBundle{}, &Error{Op: "sign", Kind: Invalid, Err: err}
 	}
 	signature := ed25519.Sign(key, raw)
-	return Signed{Bundle: raw, Approver: approver, Signature: base64.StdEncoding.EncodeToString(signature)}, nil
+	return SignedBundle{Bundle: raw, Approver: approver, Signature: base64.StdEncoding.EncodeToString(signature)}, nil
 }
 
 // compact returns raw without insignificant white space, or raw itself if it is
@@ -172,13 +172,13 @@
 	return b.Bytes()
 }
 
-// Trust maps the names of the people who may approve bundles to their
+// ApproverKeys maps the names of the people who may approve bundles to their
 // base64-encoded public keys, as listed in the settings.
-type Trust map[string]string
+type ApproverKeys map[string]string
 
 // Verify checks the signature and the content of s and returns the bundle. It
 // returns an Unapproved or an Invalid error.
-func (t Trust) Verify(s Signed) (Bundle, error) {
+func (t ApproverKeys) Verify(s SignedBundle) (Bundle, error) {
 	if err := t.verifySignature(s); err != nil {
 		return Bundle{}, err
 	}
@@ -192,7 +192,7 @@
 	return b, nil
 }
 
-func (t Trust) verifySignature(s Signed) error {
+func (t ApproverKeys) verifySignature(s SignedBundle) error {
 	unapproved := func(err error) error { return &Error{Op: "verify", Kind: Unapproved, Err: err} }
 	if s.Signature == "" {
 		return unapproved(errors.New("the bundle is not signed"))
--- a/approver/approver_test.go
+++ b/approver/approver_test.go
@@ -24,11 +24,11 @@
 	}
 }
 
-func newKey(t *testing.T) (ed25519.PrivateKey, approver.Trust) {
+func newKey(t *testing.T) (ed25519.PrivateKey, approver.ApproverKeys) {
 	t.Helper()
 	public, private, err := ed25519.GenerateKey(strings.NewReader(strings.Repeat("seed", 16)))
 	require.NoError(t, err)
-	return private, approver.Trust{"berta": base64.StdEncoding.EncodeToString(public)}
+	return private, approver.ApproverKeys{"berta": base64.StdEncoding.EncodeToString(public)}
 }
 
 func TestVerify(t *testing.T) {
@@ -37,16 +37,16 @@
 	require.NoError(t, err)
 	tests := []struct {
 		name   string
-		change func(*approver.Signed)
+		change func(*approver.SignedBundle)
 		want   string
 	}{
-		{"unchanged", func(*approver.Signed) {}, ""},
-		{"indented", func(s *approver.Signed) { s.Bundle, _ = json.MarshalIndent(s.Bundle, "", "  ") }, ""},
-		{"unsigned", func(s *approver.Signed) { s.Signature = "" }, "not signed"},
-		{"altered", func(s *approver.Signed) {
+		{"unchanged", func(*approver.SignedBundle) {}, ""},
+		{"indented", func(s *approver.SignedBundle) { s.Bundle, _ = json.MarshalIndent(s.Bundle, "", "  ") }, ""},
+		{"unsigned", func(s *approver.SignedBundle) { s.Signature = "" }, "not signed"},
+		{"altered", func(s *approver.SignedBundle) {
 			s.Bundle = json.RawMessage(strings.Replace(string(s.Bundle), `"TaskLimit":10`, `"TaskLimit":11`, 1))
 		}, "does not match"},
-		{"unknown approver", func(s *approver.Signed) { s.Approver = "carl" }, `approver "carl" is not in the settings`},
+		{"unknown approver", func(s *approver.SignedBundle) { s.Approver = "carl" }, `approver "carl" is not in the settings`},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/approver/check.go
+++ b/approver/check.go
@@ -20,24 +20,24 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Fault is an invalid value in a bundle.
-type Fault struct {
+// InvalidValue is an invalid value in a bundle.
+type InvalidValue struct {
 	// Key is the path of the value, such as Services[0].TaskLimit.
 	Key string
-	// Text states the value found and the allowed values.
-	Text string
+	// Problem states the value found and the allowed values.
+	Problem string
 }
 
 // String returns the path and the text on one line.
-func (f Fault) String() string { return f.Key + ": " + f.Text }
+func (f InvalidValue) String() string { return f.Key + ": " + f.Problem }
 
 // validator collects the invalid values of a bundle.
 type validator struct {
-	invalid []Fault
+	invalid []InvalidValue
 }
 
 func (v *validator) addInvalid(key string, found any, allowed string) {
-	v.invalid = append(v.invalid, Fault{Key: key, Text: fmt.Sprintf("found %v, allowed %s", found, allowed)})
+	v.invalid = append(v.invalid, InvalidValue{Key: key, Problem: fmt.Sprintf("found %v, allowed %s", found, allowed)})
 }
 
 func (v *validator) checkRange(path string, n, low, high int) {
@@ -59,7 +59,7 @@
 // Check returns an Invalid error that lists every invalid value of b with its path,
 // the value found and the allowed values. It returns nil if there are none.
 func (b Bundle) Check() error {
-	faults := b.Faults()
+	faults := b.InvalidValues()
 	if len(faults) == 0 {
 		return nil
 	}
@@ -70,8 +70,8 @@
 	return &Error{Op: "check", Kind: Invalid, Err: errors.New(strings.Join(lines, "; "))}
 }
 
-// Faults returns every invalid value of b.
-func (b Bundle) Faults() []Fault {
+// InvalidValues returns every invalid value of b.
+func (b Bundle) InvalidValues() []InvalidValue {
 	v := &validator{}
 	if b.Version == 0 {
 		v.addInvalid("Version", 0, "1 or more")
--- a/checker/bundle.go
+++ b/checker/bundle.go
@@ -33,9 +33,9 @@
 	if !result.complete {
 		return findings, nil
 	}
-	for _, f := range result.value.Faults() {
+	for _, f := range result.value.InvalidValues() {
 		if result.wasDecoded(f.Key) {
-			findings = append(findings, d.finding(Fault, f.Key, f.Text))
+			findings = append(findings, d.finding(Fault, f.Key, f.Problem))
 		}
 	}
 	if hasFault(findings) {
--- a/checker/checker_test.go
+++ b/checker/checker_test.go
@@ -158,7 +158,7 @@
 }
 
 // signedExample returns an example bundle, signed, and the settings of its deployment.
-func signedExample(t *testing.T) (approver.Signed, *checker.File) {
+func signedExample(t *testing.T) (approver.SignedBundle, *checker.File) {
 	t.Helper()
 	b, err := approver.Parse(readFile(t, "../examples/marktblick-bundle.json").Raw)
 	require.NoError(t, err)
--- a/checker/document.go
+++ b/checker/document.go
@@ -42,7 +42,7 @@
 }{
 	{Bundle, fieldNames(reflect.TypeFor[approver.Bundle]())},
 	{Settings, fieldNames(reflect.TypeFor[configurer.Settings]())},
-	{Signed, fieldNames(reflect.TypeFor[approver.Signed]())},
+	{Signed, fieldNames(reflect.TypeFor[approver.SignedBundle]())},
 	{Configuration, []string{platform.VersionKey, platform.QueuesKey, platform.LimitsKey}},
 }
 
--- a/checker/settings.go
+++ b/checker/settings.go
@@ -13,9 +13,9 @@
 	if !result.complete {
 		return findings
 	}
-	for _, f := range result.value.Faults() {
+	for _, f := range result.value.InvalidValues() {
 		if result.wasDecoded(f.Key) {
-			findings = append(findings, d.finding(Fault, f.Key, f.Text))
+			findings = append(findings, d.finding(Fault, f.Key, f.Problem))
 		}
 	}
 	if hasFault(findings) {
--- a/checker/signed.go
+++ b/checker/signed.go
@@ -5,7 +5,7 @@
 // checkSigned checks a signed bundle, and its signature if the settings of its
 // deployment are given and there are no other faults.
 func (d document) checkSigned(deployment *File) ([]Finding, error) {
-	result := decode(d, decodeLenient[approver.Signed])
+	result := decode(d, decodeLenient[approver.SignedBundle])
 	bundle, ok := d.embeddedBundle()
 	if !ok {
 		return append(result.findings, d.finding(Fault, bundleKey, "found none, allowed a bundle")), nil
--- a/commander/bundle.go
+++ b/commander/bundle.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		return errors.Wrap(err, "signed bundle")
 	}
-	var s approver.Signed
+	var s approver.SignedBundle
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return errors.Wrap(err, c.File)
 	}
@@ -159,7 +159,7 @@
 
 // rollOut publishes s and prints its progress until it is in force in every process. It
 // returns an error if that takes longer than wait.
-func rollOut(env *environment, p *publisher.Publisher, s approver.Signed, wait time.Duration) error {
+func rollOut(env *environment, p *publisher.Publisher, s approver.SignedBundle, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(env.ctx, publishTimeout)
 	defer cancel()
 	if err := p.Publish(ctx, s); err != nil {
--- a/commander/datacentre.go
+++ b/commander/datacentre.go
@@ -57,18 +57,18 @@
 }
 
 // sign applies the change to the bundle in the store and returns the signed successor.
-func (c change) sign(ctx context.Context, p *publisher.Publisher) (approver.Signed, error) {
+func (c change) sign(ctx context.Context, p *publisher.Publisher) (approver.SignedBundle, error) {
 	key, err := readKey(c.key)
 	if err != nil {
-		return approver.Signed{}, err
+		return approver.SignedBundle{}, err
 	}
 	_, b, err := p.Current(ctx)
 	if err != nil {
-		return approver.Signed{}, err
+		return approver.SignedBundle{}, err
 	}
 	next, err := b.WithDataCentre(c.name, c.state)
 	if err != nil {
-		return approver.Signed{}, err
+		return approver.SignedBundle{}, err
 	}
 	return approver.Sign(next.WithAuthor(c.author, c.note), c.approver, key)
 }
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -89,7 +89,7 @@
 	startedAt := d.env.deps.Clock.Now()
 	for i := 0; ; i++ {
 		s, _ := d.submission(fmt.Sprintf("probe-%d", i), 1)
-		a, err := d.client.Once(ctx, i, s)
+		a, err := d.client.SubmitOnce(ctx, i, s)
 		if err == nil && a.State == courier.Complete {
 			return nil
 		}
@@ -125,7 +125,7 @@
 func (d *demo) submitTwice(ctx context.Context, entry int, key string, n int) error {
 	s, longest := d.submission(key, n)
 	sentAt := d.env.deps.Clock.Now()
-	a, err := d.client.Once(ctx, entry, s)
+	a, err := d.client.SubmitOnce(ctx, entry, s)
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 	fmt.Fprintf(d.env.out, "%-12s %-8s %4d results from %s, bundle %d, in %v (longest task %v)\n",
 		key, a.State, len(a.Results), a.Entry, a.BundleVersion, took.Round(time.Millisecond), longest)
 	s.Attempt = 2
-	secondAnswer, err := d.client.Once(ctx, entry+1, s)
+	secondAnswer, err := d.client.SubmitOnce(ctx, entry+1, s)
 	if err != nil {
 		return err
 	}
--- a/commander/load.go
+++ b/commander/load.go
@@ -95,8 +95,8 @@
 	settings configurer.Settings
 }
 
-// Do implements loader.Operator.
-func (o *loadOperator) Do(ctx context.Context, e loader.Event) error {
+// Apply implements loader.Operator.
+func (o *loadOperator) Apply(ctx context.Context, e loader.Event) error {
 	switch e.Kind {
 	case loader.TakeOut:
 		return o.changeDataCentre(ctx, e.Name, approver.Out)
--- a/commander/process.go
+++ b/commander/process.go
@@ -178,7 +178,7 @@
 		shutdownCtx, stop := context.WithTimeout(serverCtx, shutdownTimeout)
 		defer stop()
 		if w != nil {
-			w.Leave(shutdownCtx)
+			w.Shutdown(shutdownCtx)
 		}
 		return nil
 	}, func(error) { cancel() })
--- a/commander/process_test.go
+++ b/commander/process_test.go
@@ -76,7 +76,7 @@
 	public := p.runCommand("bundle", "key", key)
 	store := next()
 	p.settings.Store = "http://" + store
-	p.settings.Trust = approver.Trust{"berta": public[:len(public)-1]}
+	p.settings.Trust = approver.ApproverKeys{"berta": public[:len(public)-1]}
 	for i := range entries {
 		p.settings.Entries = append(p.settings.Entries, configurer.Entry{
 			ID: fmt.Sprintf("entry-%d", i+1), DataCentre: "wien", Listen: next(), Link: next(),
@@ -130,7 +130,7 @@
 		n := 0
 		p.await(fmt.Sprintf("entry %d", i), func() bool {
 			n++
-			a, err := p.client.Once(context.Background(), i, p.job(fmt.Sprintf("ready-%d-%d", i, n), 1, 10))
+			a, err := p.client.SubmitOnce(context.Background(), i, p.job(fmt.Sprintf("ready-%d-%d", i, n), 1, 10))
 			return err == nil && a.State == courier.Complete
 		})
 	}
--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -56,7 +56,7 @@
 	// Store is the URL of the platform's key-value service.
 	Store string
 	// Trust maps the names of approvers to base64-encoded Ed25519 public keys.
-	Trust     approver.Trust
+	Trust     approver.ApproverKeys
 	Entries   []Entry
 	Agents    []Agent
 	Upstreams []Upstream
@@ -87,7 +87,7 @@
 	if err != nil {
 		return Settings{}, &Error{Op: "parse", Kind: Invalid, File: path, Err: addKeyToTypeError(err)}
 	}
-	faults := s.Faults()
+	faults := s.InvalidValues()
 	if len(faults) == 0 {
 		return s, nil
 	}
@@ -158,31 +158,31 @@
 	return out
 }
 
-// Fault is an invalid value in the settings.
-type Fault struct {
+// InvalidValue is an invalid value in the settings.
+type InvalidValue struct {
 	// Key is the path of the value, such as Entries[0].Listen.
 	Key string
-	// Text states the value found and the allowed values.
-	Text string
+	// Problem states the value found and the allowed values.
+	Problem string
 }
 
 // String returns the path and the text on one line.
-func (f Fault) String() string { return f.Key + ": " + f.Text }
+func (f InvalidValue) String() string { return f.Key + ": " + f.Problem }
 
 // validator collects invalid values, and the IDs and addresses seen so far, each with
 // the path at which it is used.
 type validator struct {
-	invalid   []Fault
+	invalid   []InvalidValue
 	addresses map[string]string
 	ids       map[string]string
 }
 
 func (v *validator) addInvalid(key string, found any, allowed string) {
-	v.invalid = append(v.invalid, Fault{Key: key, Text: fmt.Sprintf("found %#v, allowed %s", found, allowed)})
+	v.invalid = append(v.invalid, InvalidValue{Key: key, Problem: fmt.Sprintf("found %#v, allowed %s", found, allowed)})
 }
 
-// Faults returns every invalid value of s.
-func (s Settings) Faults() []Fault {
+// InvalidValues returns every invalid value of s.
+func (s Settings) InvalidValues() []InvalidValue {
 	v := &validator{addresses: make(map[string]string), ids: make(map[string]string)}
 	u, err := url.Parse(s.Store)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
--- a/confirmer/confirmer.go
+++ b/confirmer/confirmer.go
@@ -84,7 +84,7 @@
 	clock clockwork.Clock
 	self  string
 	// signed and bundle are in force; their version never decreases.
-	signed approver.Signed
+	signed approver.SignedBundle
 	bundle approver.Bundle
 	// voters is the newest known list; its version never decreases.
 	voters Voters
@@ -102,13 +102,13 @@
 func (c *Confirmer) Bundle() approver.Bundle { return c.bundle }
 
 // Signed returns the signed form of the bundle in force.
-func (c *Confirmer) Signed() approver.Signed { return c.signed }
+func (c *Confirmer) Signed() approver.SignedBundle { return c.signed }
 
 // Voters returns the newest known list of registered entries.
 func (c *Confirmer) Voters() Voters { return c.voters }
 
 // HandleStoreRead handles the result of a read of the store that began at the time at.
-func (c *Confirmer) HandleStoreRead(beganAt time.Time, s approver.Signed, b approver.Bundle, v Voters) {
+func (c *Confirmer) HandleStoreRead(beganAt time.Time, s approver.SignedBundle, b approver.Bundle, v Voters) {
 	c.Adopt(s, b)
 	c.AdoptVoters(v)
 	if b.Version == c.bundle.Version && beganAt.After(c.storeReadAt) {
@@ -118,7 +118,7 @@
 
 // Adopt puts a bundle in force if it is newer than the current one, and reports whether
 // it did.
-func (c *Confirmer) Adopt(s approver.Signed, b approver.Bundle) bool {
+func (c *Confirmer) Adopt(s approver.SignedBundle, b approver.Bundle) bool {
 	if b.Version <= c.bundle.Version {
 		return false
 	}
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -30,8 +30,8 @@
 	storeName = "store"
 )
 
-// Approver is the name of the approver of a launched deployment's bundles.
-const Approver = "approver"
+// ApproverName is the name of the approver of a launched deployment's bundles.
+const ApproverName = "approver"
 
 // Config describes a deployment to launch.
 type Config struct {
@@ -56,7 +56,7 @@
 	deps  provider.Deps
 	cfg   Config
 	key   ed25519.PrivateKey
-	trust approver.Trust
+	trust approver.ApproverKeys
 
 	Store     *storer.Store
 	storeAddr string
@@ -77,7 +77,7 @@
 		deps:      deps,
 		cfg:       cfg,
 		key:       private,
-		trust:     approver.Trust{Approver: base64.StdEncoding.EncodeToString(public)},
+		trust:     approver.ApproverKeys{ApproverName: base64.StdEncoding.EncodeToString(public)},
 		Store:     storer.NewStore(deps.Clock),
 		processes: make(map[string]processHandle),
 	}
@@ -112,7 +112,7 @@
 
 // RollOut signs b and publishes it.
 func (d *Deployment) RollOut(ctx context.Context, b approver.Bundle) error {
-	signed, err := approver.Sign(b, Approver, d.key)
+	signed, err := approver.Sign(b, ApproverName, d.key)
 	if err != nil {
 		return err
 	}
@@ -122,11 +122,11 @@
 // StoreClient returns a client of the deployment's store.
 func (d *Deployment) StoreClient() *keeper.Client { return keeper.NewClient("http://" + d.storeAddr) }
 
-// EntryName returns the ID of the i-th entry.
-func EntryName(i int) string { return fmt.Sprintf("entry-%d", i+1) }
+// EntryID returns the ID of the i-th entry.
+func EntryID(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
-// AgentName returns the ID of the i-th agent.
-func AgentName(i int) string { return fmt.Sprintf("agent-%d", i+1) }
+// AgentID returns the ID of the i-th agent.
+func AgentID(i int) string { return fmt.Sprintf("agent-%d", i+1) }
 
 // StartEntry starts the i-th entry: a stopped one, or a new one if i is the number of
 // entries so far.
@@ -138,7 +138,7 @@
 		}
 	}
 	e, err := receiver.NewReceiver(d.deps, receiver.Config{
-		ID:         EntryName(i),
+		ID:         EntryID(i),
 		DataCentre: d.dataCentre(i),
 		Listen:     loopback,
 		Link:       loopback,
@@ -153,7 +153,7 @@
 		d.Entries = append(d.Entries, nil)
 	}
 	d.Entries[i] = e
-	d.startProcess(EntryName(i), e.Run)
+	d.startProcess(EntryID(i), e.Run)
 	return nil
 }
 
@@ -166,7 +166,7 @@
 		links = append(links, e.LinkAddr())
 	}
 	a, err := agent.NewAgent(d.deps, agent.Config{
-		ID:         AgentName(i),
+		ID:         AgentID(i),
 		DataCentre: d.dataCentre(i),
 		Rack:       fmt.Sprintf("rack-%d", i/3+1),
 		Listen:     loopback,
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	d.startProcess(AgentName(i), a.Run)
+	d.startProcess(AgentID(i), a.Run)
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return errors.Wrap(err, "listen")
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -33,8 +33,8 @@
 
 // Operator changes the deployment during an experiment.
 type Operator interface {
-	// Do applies an event.
-	Do(ctx context.Context, e Event) error
+	// Apply applies an event.
+	Apply(ctx context.Context, e Event) error
 }
 
 // Config describes the deployment under load.
@@ -158,7 +158,7 @@
 func (l *Loader) submitJob(ctx context.Context, j job) {
 	for range maxSubmissions {
 		sentAt := l.clock.Now()
-		a, err := l.client.Once(ctx, j.entry, j.submission)
+		a, err := l.client.SubmitOnce(ctx, j.entry, j.submission)
 		now := l.clock.Now()
 		l.results.recordAnswer(j, a, err, now.Sub(sentAt), now.Sub(l.startedAt))
 		retryAt := now.Add(a.RetryAfter)
@@ -175,7 +175,7 @@
 func (l *Loader) submitCopy(ctx context.Context, j job) {
 	l.clock.Sleep(resubmitDelay)
 	j.submission.Attempt = 2
-	a, err := l.client.Once(ctx, j.entry+1, j.submission)
+	a, err := l.client.SubmitOnce(ctx, j.entry+1, j.submission)
 	l.results.recordCopy(a, err)
 }
 
@@ -198,6 +198,6 @@
 
 func (l *Loader) applyEvent(ctx context.Context, e Event) {
 	l.clock.Sleep(time.Duration(e.AtMillis) * time.Millisecond)
-	err := l.cfg.Operator.Do(ctx, e)
+	err := l.cfg.Operator.Apply(ctx, e)
 	l.results.recordEvent(e, l.clock.Since(l.startedAt), err)
 }
--- a/loader/report.go
+++ b/loader/report.go
@@ -32,8 +32,8 @@
 	Max  float64
 }
 
-// Second holds the work completed and the jobs answered in one second.
-type Second struct {
+// SecondStats holds the work completed and the jobs answered in one second.
+type SecondStats struct {
 	// WorkSeconds is the total run time of the tasks of the completed jobs.
 	WorkSeconds float64
 	Complete    int
@@ -41,8 +41,8 @@
 	NotRun      int
 }
 
-// ProcessUse is the resource usage of one process during the experiment.
-type ProcessUse struct {
+// ProcessUsage is the resource usage of one process during the experiment.
+type ProcessUsage struct {
 	Process     string
 	CPUSeconds  float64
 	MemoryBytes float64
@@ -84,9 +84,9 @@
 	// last arrival.
 	Utilisation       float64
 	SteadyUtilisation float64
-	Timeline          []Second
+	Timeline          []SecondStats
 	Events            []string
-	Processes         []ProcessUse
+	Processes         []ProcessUsage
 }
 
 // results collects the measurements. It is safe for concurrent use.
@@ -94,7 +94,7 @@
 	mu       sync.Mutex
 	ratio    *hdrhistogram.Histogram
 	bySize   map[int]*hdrhistogram.Histogram
-	timeline []Second
+	timeline []SecondStats
 	work     time.Duration
 	partial  Report
 }
@@ -156,10 +156,10 @@
 	}
 }
 
-func (r *results) secondAt(at time.Duration) *Second {
+func (r *results) secondAt(at time.Duration) *SecondStats {
 	n := int(at / time.Second)
 	for len(r.timeline) <= n {
-		r.timeline = append(r.timeline, Second{})
+		r.timeline = append(r.timeline, SecondStats{})
 	}
 	return &r.timeline[n]
 }
@@ -235,7 +235,7 @@
 	var messages float64
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		a, b := after[name], before[name]
-		g.Processes = append(g.Processes, ProcessUse{
+		g.Processes = append(g.Processes, ProcessUsage{
 			Process:     name,
 			CPUSeconds:  a.cpuSeconds - b.cpuSeconds,
 			MemoryBytes: a.memoryBytes,
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -34,11 +34,11 @@
 
 // The kinds of errors.
 const (
-	// Raced means that the version is not the successor of the one in the store,
+	// VersionConflict means that the version is not the successor of the one in the store,
 	// usually because another bundle took the version.
-	Raced Kind = "Raced"
-	// Unsettled means that the store did not confirm whether the write was made.
-	Unsettled Kind = "Unsettled"
+	VersionConflict Kind = "Raced"
+	// OutcomeUnknown means that the store did not confirm whether the write was made.
+	OutcomeUnknown Kind = "Unsettled"
 	// Missing means that the store does not hold the bundle.
 	Missing Kind = "Missing"
 )
@@ -60,16 +60,16 @@
 type Publisher struct {
 	clock clockwork.Clock
 	store receiver.Store
-	trust approver.Trust
+	trust approver.ApproverKeys
 }
 
 // NewPublisher returns a publisher that accepts the approvers in trust.
-func NewPublisher(clock clockwork.Clock, store receiver.Store, trust approver.Trust) *Publisher {
+func NewPublisher(clock clockwork.Clock, store receiver.Store, trust approver.ApproverKeys) *Publisher {
 	return &Publisher{clock: clock, store: store, trust: trust}
 }
 
 // Current returns the bundle in the store, or a Missing error.
-func (p *Publisher) Current(ctx context.Context) (approver.Signed, approver.Bundle, error) {
+func (p *Publisher) Current(ctx context.Context) (approver.SignedBundle, approver.Bundle, error) {
 	s, b, _, err := p.read(ctx)
 	if err == nil && b.Version == 0 {
 		err = &Error{Op: "read bundle", Kind: Missing, Err: errors.New("the store holds no bundle")}
@@ -79,7 +79,7 @@
 
 // read returns the bundle in the store and the revision of its key. Without a bundle,
 // version and revision are 0.
-func (p *Publisher) read(ctx context.Context) (s approver.Signed, b approver.Bundle, revision int64, err error) {
+func (p *Publisher) read(ctx context.Context) (s approver.SignedBundle, b approver.Bundle, revision int64, err error) {
 	pair, err := p.store.Get(ctx, receiver.BundleKey)
 	if err != nil || pair.Revision == 0 {
 		return s, b, 0, err
@@ -96,7 +96,7 @@
 // the store to find out whether the write took effect, and repeats it only while the
 // previous version is still in the store. If ctx ends before that is known, it
 // returns an Unsettled error.
-func (p *Publisher) Publish(ctx context.Context, s approver.Signed) error {
+func (p *Publisher) Publish(ctx context.Context, s approver.SignedBundle) error {
 	b, err := p.trust.Verify(s)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 		maybeWritten = maybeWritten || err != nil
 		select {
 		case <-ctx.Done():
-			return &Error{Op: "publish", Kind: Unsettled, Err: errors.Errorf(
+			return &Error{Op: "publish", Kind: OutcomeUnknown, Err: errors.Errorf(
 				"the store did not confirm whether version %d was written; run the command again to find out", b.Version)}
 		case <-p.clock.After(retryDelay):
 		}
@@ -124,7 +124,7 @@
 // publishOnce reads the store and writes the encoded bundle if the predecessor of b is
 // there. It reports whether b is in the store. maybeWritten means that an earlier
 // write may have taken effect.
-func (p *Publisher) publishOnce(ctx context.Context, s approver.Signed, b approver.Bundle, encoded []byte, maybeWritten bool) (bool, error) {
+func (p *Publisher) publishOnce(ctx context.Context, s approver.SignedBundle, b approver.Bundle, encoded []byte, maybeWritten bool) (bool, error) {
 	stored, current, revision, err := p.read(ctx)
 	if err != nil {
 		return false, err
@@ -141,7 +141,7 @@
 
 // resolveConflict distinguishes a bundle that was published and then replaced from one
 // that was not published because another took its version.
-func (p *Publisher) resolveConflict(ctx context.Context, s approver.Signed, b, current approver.Bundle, stored approver.Signed, maybeWritten bool) (bool, error) {
+func (p *Publisher) resolveConflict(ctx context.Context, s approver.SignedBundle, b, current approver.Bundle, stored approver.SignedBundle, maybeWritten bool) (bool, error) {
 	if maybeWritten && current.Version >= b.Version {
 		published, err := p.readVersion(ctx, b.Version)
 		if err != nil {
@@ -151,7 +151,7 @@
 			return true, nil
 		}
 	}
-	return false, &Error{Op: "publish", Kind: Raced, Err: errors.Errorf(
+	return false, &Error{Op: "publish", Kind: VersionConflict, Err: errors.Errorf(
 		"version %d by %s, approved by %s, is in the store; version %d by %s was not written and must be recreated from it",
 		current.Version, current.Author, stored.Approver, b.Version, b.Author)}
 }
@@ -164,8 +164,8 @@
 func historyKey(version uint64) string { return fmt.Sprintf("%s%020d", HistoryPrefix, version) }
 
 // readVersion returns a published version without verifying it.
-func (p *Publisher) readVersion(ctx context.Context, version uint64) (approver.Signed, error) {
-	var s approver.Signed
+func (p *Publisher) readVersion(ctx context.Context, version uint64) (approver.SignedBundle, error) {
+	var s approver.SignedBundle
 	pair, err := p.store.Get(ctx, historyKey(version))
 	if err != nil {
 		return s, err
@@ -178,7 +178,7 @@
 
 // Version returns a published version and its verified bundle. It returns a Missing
 // error if there is no such version.
-func (p *Publisher) Version(ctx context.Context, version uint64) (approver.Signed, approver.Bundle, error) {
+func (p *Publisher) Version(ctx context.Context, version uint64) (approver.SignedBundle, approver.Bundle, error) {
 	s, err := p.readVersion(ctx, version)
 	if err != nil {
 		return s, approver.Bundle{}, err
@@ -189,14 +189,14 @@
 
 // History returns all published bundles in the order of their versions, without
 // verifying them.
-func (p *Publisher) History(ctx context.Context) ([]approver.Signed, error) {
+func (p *Publisher) History(ctx context.Context) ([]approver.SignedBundle, error) {
 	pairs, err := p.store.List(ctx, HistoryPrefix)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]approver.Signed, 0, len(pairs))
+	out := make([]approver.SignedBundle, 0, len(pairs))
 	for _, pair := range pairs {
-		var s approver.Signed
+		var s approver.SignedBundle
 		if err := json.Unmarshal(pair.Value, &s); err != nil {
 			return nil, errors.Wrap(err, pair.Key)
 		}
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -34,7 +34,7 @@
 	t.Cleanup(server.Close)
 	public, private, err := ed25519.GenerateKey(strings.NewReader(strings.Repeat("seed", 16)))
 	require.NoError(t, err)
-	trust := approver.Trust{"berta": base64.StdEncoding.EncodeToString(public)}
+	trust := approver.ApproverKeys{"berta": base64.StdEncoding.EncodeToString(public)}
 	return &fixture{
 		store:     store,
 		publisher: publisher.NewPublisher(clock, keeper.NewClient(server.URL), trust),
@@ -42,7 +42,7 @@
 	}
 }
 
-func (b *fixture) sign(t *testing.T, version uint64, author string) approver.Signed {
+func (b *fixture) sign(t *testing.T, version uint64, author string) approver.SignedBundle {
 	t.Helper()
 	s, err := approver.Sign(approver.Bundle{
 		Version:     version,
@@ -60,7 +60,7 @@
 	t.Helper()
 	var e *publisher.Error
 	require.ErrorAs(t, err, &e)
-	require.Equal(t, publisher.Raced, e.Kind)
+	require.Equal(t, publisher.VersionConflict, e.Kind)
 	require.ErrorContains(t, err, want)
 }
 
--- a/receiver/bundle.go
+++ b/receiver/bundle.go
@@ -40,7 +40,7 @@
 	if len(h.Bundle) == 0 {
 		return
 	}
-	var signed approver.Signed
+	var signed approver.SignedBundle
 	err := json.Unmarshal(h.Bundle, &signed)
 	if err == nil {
 		var b approver.Bundle
--- a/receiver/bundle_test.go
+++ b/receiver/bundle_test.go
@@ -22,12 +22,12 @@
 )
 
 // newSimKey returns a key, the same on every call, and a Trust that contains it.
-func newSimKey() (ed25519.PrivateKey, approver.Trust) {
+func newSimKey() (ed25519.PrivateKey, approver.ApproverKeys) {
 	public, private, err := ed25519.GenerateKey(strings.NewReader(strings.Repeat("seed", 16)))
 	if err != nil {
 		panic(err)
 	}
-	return private, approver.Trust{"approver": base64.StdEncoding.EncodeToString(public)}
+	return private, approver.ApproverKeys{"approver": base64.StdEncoding.EncodeToString(public)}
 }
 
 // writeBundle signs a bundle and writes it into the store.
--- a/receiver/core.go
+++ b/receiver/core.go
@@ -48,7 +48,7 @@
 	}
 	// bundleRead carries the result of a read of the store that began at the time at.
 	bundleRead struct {
-		signed  approver.Signed
+		signed  approver.SignedBundle
 		bundle  approver.Bundle
 		voters  confirmer.Voters
 		beganAt time.Time
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -57,7 +57,7 @@
 	// learned from the store and from these.
 	Peers []string
 	// Trust maps those who may approve bundles to their public keys.
-	Trust approver.Trust
+	Trust approver.ApproverKeys
 	// Seed is the seed of random choices, which makes them repeatable.
 	Seed uint64
 	// Placement and Order are the policies; nil selects the defaults.
--- a/receiver/simentry_test.go
+++ b/receiver/simentry_test.go
@@ -18,7 +18,7 @@
 type simStore struct {
 	sim             *simulation
 	bundle          approver.Bundle
-	signed          approver.Signed
+	signed          approver.SignedBundle
 	voters          confirmer.Voters
 	list            map[string]Registration
 	down            bool
--- a/submitter/submitter.go
+++ b/submitter/submitter.go
@@ -28,8 +28,8 @@
 const (
 	// Rejected means that the request is invalid. No task was started.
 	Rejected Kind = "Rejected"
-	// Broken means that no valid answer was received. The job may be running.
-	Broken Kind = "Broken"
+	// NoAnswer means that no valid answer was received. The job may be running.
+	NoAnswer Kind = "Broken"
 )
 
 // Error is the error type of this package.
@@ -59,8 +59,8 @@
 	return &Client{clock: clock, http: &http.Client{Transport: transport}, entries: entries}
 }
 
-// Once sends s once, to the i-th entry modulo their number, and returns the answer.
-func (c *Client) Once(ctx context.Context, i int, s courier.Submission) (courier.Answer, error) {
+// SubmitOnce sends s once, to the i-th entry modulo their number, and returns the answer.
+func (c *Client) SubmitOnce(ctx context.Context, i int, s courier.Submission) (courier.Answer, error) {
 	encoded, err := json.Marshal(s)
 	if err != nil {
 		return courier.Answer{}, &Error{Op: "submit", Kind: Rejected, Err: err}
@@ -73,9 +73,9 @@
 // attempt number.
 func (c *Client) Submit(ctx context.Context, first int, s courier.Submission) (courier.Answer, error) {
 	for i := first; ; i++ {
-		a, err := c.Once(ctx, i, s)
+		a, err := c.SubmitOnce(ctx, i, s)
 		var e *Error
-		if err == nil || !errors.As(err, &e) || e.Kind != Broken {
+		if err == nil || !errors.As(err, &e) || e.Kind != NoAnswer {
 			return a, err
 		}
 		s.Attempt++
@@ -108,15 +108,15 @@
 	}
 	resp, err := c.http.Do(r)
 	if err != nil {
-		return a, &Error{Op: op, Kind: Broken, Err: err}
+		return a, &Error{Op: op, Kind: NoAnswer, Err: err}
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return a, &Error{Op: op, Kind: Broken, Err: err}
+		return a, &Error{Op: op, Kind: NoAnswer, Err: err}
 	}
 	if err := json.Unmarshal(raw, &a); err != nil {
-		return a, &Error{Op: op, Kind: Broken, Err: errors.Errorf("status %s: %s", resp.Status, raw)}
+		return a, &Error{Op: op, Kind: NoAnswer, Err: errors.Errorf("status %s: %s", resp.Status, raw)}
 	}
 	if resp.StatusCode == http.StatusBadRequest && a.State == "" {
 		return a, &Error{Op: op, Kind: Rejected, Err: errors.Errorf("%s", bytes.TrimSpace(raw))}
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -117,8 +117,8 @@
 	return out
 }
 
-// Busiest returns the largest number of tasks that have run at the same time.
-func (w *Worker) Busiest() int {
+// MaxRunning returns the largest number of tasks that have run at the same time.
+func (w *Worker) MaxRunning() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.maxRunning
@@ -160,8 +160,8 @@
 	_ = resp.Body.Close()
 }
 
-// Leave announces the shutdown and waits until no task is running or ctx ends.
-func (w *Worker) Leave(ctx context.Context) {
+// Shutdown announces the shutdown and waits until no task is running or ctx ends.
+func (w *Worker) Shutdown(ctx context.Context) {
 	w.mu.Lock()
 	w.leaving = true
 	w.mu.Unlock()
