--- a/checker/bundle.go
+++ b/checker/bundle.go
@@ -82,8 +82,8 @@
 	return []Finding{d.finding(Unmatched, "DataCentres", "every data centre listed is Out: no task can start in any of them")}
 }
 
-// checkDeployment finds entries of the bundle that match no process of the deployment
-// and limits that its processes cannot reach.
+// checkDeployment finds items of the bundle that match no process of the deployment, and
+// limits that its processes cannot reach.
 func (d document) checkDeployment(b approver.Bundle, s configurer.Settings) []Finding {
 	f := newFleet(s)
 	out := d.checkServicesKnown(b, f)
--- a/checker/checker.go
+++ b/checker/checker.go
@@ -1,6 +1,6 @@
 // Package checker checks a configuration file before it is deployed. It decodes the
-// file with the code that the programs use, and also reports entries that can never
-// match, limits that contradict each other, and differences from the version in force.
+// file with the code that the programs use, and also reports items that can never match,
+// limits that contradict each other, and differences from the version in force.
 package checker
 
 import (
--- a/checker/finding.go
+++ b/checker/finding.go
@@ -13,7 +13,7 @@
 	// Fault means that the programs reject the file, or decode it differently from
 	// what its text suggests.
 	Fault Kind = "Fault"
-	// Unmatched means that an entry of the file never matches or takes effect, or
+	// Unmatched means that an item of the file never matches or takes effect, or
 	// only in the way that the text of the finding states.
 	Unmatched Kind = "Unmatched"
 	// Contradiction means that two limits contradict each other.
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -14,7 +14,7 @@
 	"github.com/pomeloferry/pomeloferry/provider"
 )
 
-// serveCommand runs the programs on the users' machines, with settings from the
+// serveCommand runs a process on the platform's machines, with settings from the
 // platform.
 type serveCommand struct {
 	Entry serveEntryCommand `cmd:"" help:"Run an entry on the platform."`
--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -87,12 +87,12 @@
 	if err != nil {
 		return Settings{}, &Error{Op: "parse", Kind: Invalid, File: path, Err: addKeyToTypeError(err)}
 	}
-	faults := s.InvalidValues()
-	if len(faults) == 0 {
+	invalid := s.InvalidValues()
+	if len(invalid) == 0 {
 		return s, nil
 	}
-	lines := make([]string, 0, len(faults))
-	for _, f := range faults {
+	lines := make([]string, 0, len(invalid))
+	for _, f := range invalid {
 		lines = append(lines, f.String())
 	}
 	return Settings{}, &Error{Op: "check", Kind: Invalid, File: path, Err: errors.New(strings.Join(lines, "; "))}
@@ -166,7 +166,7 @@
 	Problem string
 }
 
-// String returns the path and the text on one line.
+// String returns the key and the problem on one line.
 func (f InvalidValue) String() string { return f.Key + ": " + f.Problem }
 
 // validator collects invalid values, and the IDs and addresses seen so far, each with
--- a/confirmer/confirmer.go
+++ b/confirmer/confirmer.go
@@ -107,7 +107,7 @@
 // Voters returns the newest known list of registered entries.
 func (c *Confirmer) Voters() Voters { return c.voters }
 
-// HandleStoreRead handles the result of a read of the store that began at the time at.
+// HandleStoreRead handles the result of a read of the store that began at beganAt.
 func (c *Confirmer) HandleStoreRead(beganAt time.Time, s approver.SignedBundle, b approver.Bundle, v Voters) {
 	c.Adopt(s, b)
 	c.AdoptVoters(v)
--- a/courier/message.go
+++ b/courier/message.go
@@ -63,14 +63,24 @@
 
 // The reasons why agents do not start tasks.
 const (
-	RefusedBusy           RefuseReason = "Busy"
-	RefusedDraining       RefuseReason = "Draining"
-	RefusedNotFresh       RefuseReason = "NotFresh"
-	RefusedTakenOut       RefuseReason = "TakenOut"
-	RefusedStaleTerm      RefuseReason = "StaleTerm"
-	RefusedStaleLink      RefuseReason = "StaleLink"
+	// RefusedBusy means that no slot was free.
+	RefusedBusy RefuseReason = "Busy"
+	// RefusedDraining means that the agent or its upstream is draining.
+	RefusedDraining RefuseReason = "Draining"
+	// RefusedNotFresh means that the agent's bundle version was not confirmed recently
+	// enough, or that the entry's version is older.
+	RefusedNotFresh RefuseReason = "NotFresh"
+	// RefusedTakenOut means that the agent's data centre is taken out of use.
+	RefusedTakenOut RefuseReason = "TakenOut"
+	// RefusedStaleTerm means that the task's term is not that of its partition at the
+	// agent.
+	RefusedStaleTerm RefuseReason = "StaleTerm"
+	// RefusedStaleLink means that the message does not belong to the present link.
+	RefusedStaleLink RefuseReason = "StaleLink"
+	// RefusedDeadlinePassed means that the task's deadline has passed.
 	RefusedDeadlinePassed RefuseReason = "DeadlinePassed"
-	RefusedByUpstream     RefuseReason = "NotStartedByUpstream"
+	// RefusedByUpstream means that the upstream is known not to have started the task.
+	RefusedByUpstream RefuseReason = "NotStartedByUpstream"
 )
 
 // EntryInfo identifies an entry and the address at which other processes reach it.
@@ -227,8 +237,8 @@
 // Finished reports tasks that have ended.
 type Finished struct {
 	Records []Record
-	// Offer is the number of an offer of a slot, held for the receiver for a short time,
-	// or 0.
+	// Offer is the number of the offer of a slot that is reserved for the receiver for a
+	// short time, or 0.
 	Offer uint64 `json:",omitempty"`
 	Load  Load
 }
@@ -248,7 +258,7 @@
 	Age time.Duration
 }
 
-// Offer holds a free slot for an owner with waiting tasks.
+// Offer tells an owner with waiting tasks that a free slot is reserved for it.
 type Offer struct {
 	Offer uint64
 	Load  Load
--- a/courier/sender.go
+++ b/courier/sender.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sender is the sending side of a link: its queued messages and its closing. Both kinds
-// of links are built on it.
+// Sender is the sending side of a link: it queues messages and closes the link. The
+// links of this package and of package messenger are built on it.
 type Sender struct {
 	outbox *Outbox
 	closed chan struct{}
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// PauseThreshold is the longest time between two calls after which an owner still
-	// trusts its terms. It is shorter than the time after which other entries count its
+	// PauseThreshold is the longest time between two calls of a Dispatcher after which it
+	// still trusts its terms. It is shorter than the time after which other entries count its
 	// heartbeats as missing.
 	PauseThreshold = 1500 * time.Millisecond
 	// FreshnessTimeout is how long after the start or a pause of the process requests
@@ -110,9 +110,9 @@
 	clock clockwork.Clock
 	cfg   Config
 	rng   *rand.Rand
-	// lastTick is the time of the last call. If it is more than PauseThreshold ago,
+	// lastCallAt is the time of the last call. If it is more than PauseThreshold ago,
 	// other entries may have claimed the partitions.
-	lastTick time.Time
+	lastCallAt time.Time
 	// nextAgentCheck is when the agents are checked next.
 	nextAgentCheck time.Time
 	// resumedAt is when the process started, or when it was last found to have resumed
@@ -194,7 +194,7 @@
 		clock:             clock,
 		cfg:               cfg,
 		rng:               rand.New(rand.NewPCG(cfg.Seed, uint64(len(cfg.Entry)))),
-		lastTick:          now,
+		lastCallAt:        now,
 		resumedAt:         now,
 		rosterCompleteAt:  now.Add(RecordRetention),
 		jobs:              make(map[string]*job),
@@ -272,8 +272,8 @@
 // them, before the call does anything else.
 func (d *Dispatcher) detectPause() {
 	now := d.clock.Now()
-	paused := now.Sub(d.lastTick) > PauseThreshold
-	d.lastTick = now
+	paused := now.Sub(d.lastCallAt) > PauseThreshold
+	d.lastCallAt = now
 	if !paused {
 		return
 	}
--- a/dispatcher/dump.go
+++ b/dispatcher/dump.go
@@ -25,7 +25,7 @@
 	Gone []courier.AgentRef
 }
 
-// AgentDump is the state of one agent as its owner knows it.
+// AgentDump is the state of one agent as this entry knows it.
 type AgentDump struct {
 	Agent      string
 	DataCentre string
--- a/dispatcher/fleet.go
+++ b/dispatcher/fleet.go
@@ -10,7 +10,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 )
 
-// agent is the state of one agent incarnation as its owner knows it.
+// agent is the state of one agent incarnation as this entry knows it.
 type agent struct {
 	ref        courier.AgentRef
 	dataCentre string
--- a/dispatcher/partition.go
+++ b/dispatcher/partition.go
@@ -259,8 +259,8 @@
 	d.claim(toClaim)
 }
 
-// relinquish gives p up to the entry that has claimed it or is to own it. Its callers
-// are told to submit there.
+// relinquish gives p up to the entry that has claimed it or is to own it. The waiting
+// requests are directed there.
 func (d *Dispatcher) relinquish(p router.Partition) {
 	part := &d.partitions[p]
 	part.state = partitionNotOwned
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -136,7 +136,7 @@
 	d.send(a.ref.Agent, courier.Decline{Offer: offer})
 }
 
-// nextJobAt returns the job from which a starts a task next, or nil.
+// nextJobAt returns the job whose task the agent a is to start next, or nil.
 func (d *Dispatcher) nextJobAt(a *agent) *job {
 	for _, service := range a.services {
 		if j := d.nextJobOf(service); j != nil {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// nextJobOf returns the job of the service from which a task starts next, or nil. It
+// nextJobOf returns the job of the service whose task is to start next, or nil. It
 // aborts the jobs before it that are likely to miss their deadlines.
 func (d *Dispatcher) nextJobOf(service string) *job {
 	for j := d.queue.first(service); j != nil; j = d.queue.first(service) {
@@ -228,7 +228,7 @@
 }
 
 // AnyFreeSlot draws among all agents with free slots, whether or not other owners
-// prefer the same slots. It is the baseline for the preference of LateBinding.
+// prefer the same slots. It is the baseline for LateBinding's choice of preferred slots.
 type AnyFreeSlot struct{}
 
 func (AnyFreeSlot) choose(d *Dispatcher, service string) *agent {
--- a/dispatcher/queue.go
+++ b/dispatcher/queue.go
@@ -44,8 +44,9 @@
 }
 
 // VirtualFinish starts the job first that would finish first if all jobs had equal
-// shares of the slots: a small job overtakes a large one, but only for as long as the
-// number of the large one's tasks accounts for.
+// shares of the slots. A job with fewer waiting tasks overtakes an earlier one if it
+// arrives less than PerTask times the difference in waiting tasks after it, so that a
+// large job is overtaken for a limited time only.
 type VirtualFinish struct {
 	// PerTask is the time that each waiting task adds to the key.
 	PerTask time.Duration
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -35,8 +35,9 @@
 
 // Config describes a deployment to launch.
 type Config struct {
-	Entries     int
-	Workers     int
+	Entries int
+	Workers int
+	// Slots and Connections are those of each worker.
 	Slots       int
 	Connections int
 	DataCentres []string
@@ -214,7 +215,8 @@
 	})
 }
 
-// startProcess runs f in a goroutine, with a context that process.stop cancels.
+// startProcess runs f in a goroutine, with a context that the process's stop function
+// cancels.
 func (d *Deployment) startProcess(name string, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := processHandle{stop: cancel, done: make(chan struct{})}
--- a/loader/report.go
+++ b/loader/report.go
@@ -71,9 +71,11 @@
 	CopiesFailed  int
 	Cancels       int
 	CancelsFailed int
-	Started       float64
-	Refused       float64
-	Declined      float64
+	// Started counts the tasks sent to agents, Refused the starts that agents refused,
+	// and Declined the offers that were not used.
+	Started  float64
+	Refused  float64
+	Declined float64
 	// MessagesPerTask is the number of messages between entries and agents for each
 	// started task, without heartbeats. WastedPercent is the share of messages that
 	// were refusals, declined offers, and the messages that these answer.
--- a/loader/workload.go
+++ b/loader/workload.go
@@ -105,9 +105,9 @@
 
 // The limits of a workload.
 const (
-	maxDuration = 10 * time.Minute
-	maxLoad     = 400
-	maxWave     = 10_000
+	maxDuration    = 10 * time.Minute
+	maxLoadPercent = 400
+	maxWaveJobs    = 10_000
 )
 
 // LoadWorkload reads and checks the workload in the file at path.
@@ -137,7 +137,7 @@
 	}
 	checkRange("DurationMillis", w.DurationMillis, 1, int(maxDuration.Milliseconds()))
 	checkRange("DeadlineMillis", w.DeadlineMillis, 1, 60_000)
-	checkRange("LoadPercent", w.LoadPercent, 0, maxLoad)
+	checkRange("LoadPercent", w.LoadPercent, 0, maxLoadPercent)
 	checkRange("Slots", w.Slots, 1, 100_000)
 	checkRange("ResubmitPercent", w.ResubmitPercent, 0, 100)
 	checkRange("JobSizes", len(w.JobSizes), 1, 100)
@@ -152,7 +152,7 @@
 		checkRange(fmt.Sprintf("RunTimes[%d].Weight", i), r.Weight, 1, 1_000_000)
 	}
 	for i, v := range w.Waves {
-		checkRange(fmt.Sprintf("Waves[%d].Jobs", i), v.Jobs, 1, maxWave)
+		checkRange(fmt.Sprintf("Waves[%d].Jobs", i), v.Jobs, 1, maxWaveJobs)
 	}
 	return invalid
 }
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -92,10 +92,10 @@
 }
 
 // Publish writes s if its version is the successor of the one in the store, and
-// returns a Raced error if it is not. If the answer to a write is lost, Publish reads
-// the store to find out whether the write took effect, and repeats it only while the
-// previous version is still in the store. If ctx ends before that is known, it
-// returns an Unsettled error.
+// returns a VersionConflict error if it is not. If the answer to a write is lost,
+// Publish reads the store to find out whether the write took effect, and repeats it
+// only while the previous version is still in the store. If ctx ends before that is
+// known, it returns an OutcomeUnknown error.
 func (p *Publisher) Publish(ctx context.Context, s approver.SignedBundle) error {
 	b, err := p.trust.Verify(s)
 	if err != nil {
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func (b *fixture) sign(t *testing.T, version uint64, author string) approver.SignedBundle {
+func (f *fixture) sign(t *testing.T, version uint64, author string) approver.SignedBundle {
 	t.Helper()
 	s, err := approver.Sign(approver.Bundle{
 		Version:     version,
@@ -51,12 +51,12 @@
 		DataCentres: []approver.DataCentre{{Name: "wien", State: approver.In}},
 		Teams:       []approver.Team{{Name: "team", TaskLimit: 10}},
 		Limits:      approver.Limits{WaitingTaskLimit: 10},
-	}, "berta", b.key)
+	}, "berta", f.key)
 	require.NoError(t, err)
 	return s
 }
 
-func requireRaced(t *testing.T, err error, want string) {
+func requireVersionConflict(t *testing.T, err error, want string) {
 	t.Helper()
 	var e *publisher.Error
 	require.ErrorAs(t, err, &e)
@@ -65,68 +65,68 @@
 }
 
 func TestPublishIsSettledWhenAnswersAreLost(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	ctx := context.Background()
-	b.store.SetFault(storer.Fault{LoseAnswers: true})
-	require.NoError(t, b.publisher.Publish(ctx, b.sign(t, 1, "anna")))
-	_, writes := b.store.Calls()
+	f.store.SetFault(storer.Fault{LoseAnswers: true})
+	require.NoError(t, f.publisher.Publish(ctx, f.sign(t, 1, "anna")))
+	_, writes := f.store.Calls()
 	require.Equal(t, 1, writes, "the write was repeated")
-	b.store.SetFault(storer.Fault{})
-	_, got, err := b.publisher.Current(ctx)
+	f.store.SetFault(storer.Fault{})
+	_, got, err := f.publisher.Current(ctx)
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), got.Version)
 }
 
 func TestPublishTwiceIsOnce(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	ctx := context.Background()
-	s := b.sign(t, 1, "anna")
-	require.NoError(t, b.publisher.Publish(ctx, s))
-	require.NoError(t, b.publisher.Publish(ctx, s))
-	list, err := b.publisher.History(ctx)
+	s := f.sign(t, 1, "anna")
+	require.NoError(t, f.publisher.Publish(ctx, s))
+	require.NoError(t, f.publisher.Publish(ctx, s))
+	list, err := f.publisher.History(ctx)
 	require.NoError(t, err)
 	require.Len(t, list, 1)
 }
 
 func TestPublishOfARacerNamesTheWinner(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	ctx := context.Background()
-	require.NoError(t, b.publisher.Publish(ctx, b.sign(t, 1, "anna")))
-	requireRaced(t, b.publisher.Publish(ctx, b.sign(t, 1, "carl")), "version 1 by anna, approved by berta")
+	require.NoError(t, f.publisher.Publish(ctx, f.sign(t, 1, "anna")))
+	requireVersionConflict(t, f.publisher.Publish(ctx, f.sign(t, 1, "carl")), "version 1 by anna, approved by berta")
 }
 
 func TestPublishSkipsNoVersion(t *testing.T) {
-	b := newFixture(t)
-	requireRaced(t, b.publisher.Publish(context.Background(), b.sign(t, 3, "anna")), "version 0")
+	f := newFixture(t)
+	requireVersionConflict(t, f.publisher.Publish(context.Background(), f.sign(t, 3, "anna")), "version 0")
 }
 
 func TestExactlyOneOfManyRacersWins(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	ctx := context.Background()
 	const publishers = 8
 	errs := make([]error, publishers)
 	var wg sync.WaitGroup
 	for i := range publishers {
-		s := b.sign(t, 1, fmt.Sprintf("racer-%d", i))
-		wg.Go(func() { errs[i] = b.publisher.Publish(ctx, s) })
+		s := f.sign(t, 1, fmt.Sprintf("racer-%d", i))
+		wg.Go(func() { errs[i] = f.publisher.Publish(ctx, s) })
 	}
 	wg.Wait()
-	_, won, err := b.publisher.Current(ctx)
+	_, won, err := f.publisher.Current(ctx)
 	require.NoError(t, err)
 	for i, err := range errs {
 		if author := fmt.Sprintf("racer-%d", i); author == won.Author {
 			require.NoError(t, err, author)
 			continue
 		}
-		requireRaced(t, err, "version 1 by "+won.Author)
+		requireVersionConflict(t, err, "version 1 by "+won.Author)
 	}
 }
 
 func TestPublishRefusesAlteredBundles(t *testing.T) {
-	b := newFixture(t)
-	s := b.sign(t, 1, "anna")
+	f := newFixture(t)
+	s := f.sign(t, 1, "anna")
 	s.Bundle = []byte(strings.Replace(string(s.Bundle), "wien", "graz", 1))
-	require.ErrorContains(t, b.publisher.Publish(context.Background(), s), "does not match")
-	_, writes := b.store.Calls()
+	require.ErrorContains(t, f.publisher.Publish(context.Background(), s), "does not match")
+	_, writes := f.store.Calls()
 	require.Zero(t, writes)
 }
--- a/receiver/bundle_test.go
+++ b/receiver/bundle_test.go
@@ -104,7 +104,7 @@
 				sim.delayMessages(e.proc, sim.agents[0].proc, 5*time.Second)
 			}
 		}},
-		{"the agent restarts after it", func(sim *simulation) {
+		{"the agent restarts 5 s later", func(sim *simulation) {
 			sim.after(5*time.Second, func() { sim.agents[0].restart(1) })
 		}},
 	}
--- a/receiver/core.go
+++ b/receiver/core.go
@@ -46,7 +46,7 @@
 		// one started.
 		noEarlierEntries bool
 	}
-	// bundleRead carries the result of a read of the store that began at the time at.
+	// bundleRead carries the result of a read of the store that began at beganAt.
 	bundleRead struct {
 		signed  approver.SignedBundle
 		bundle  approver.Bundle
--- a/receiver/dump.go
+++ b/receiver/dump.go
@@ -25,8 +25,10 @@
 	Voters       confirmer.Voters
 	View         []string
 	Peers        []string
-	Requests     int64
-	Owner        dispatcher.Dump
+	// Requests is the number of submissions in flight.
+	Requests int64
+	// Owner is the state of the entry's dispatcher.
+	Owner dispatcher.Dump
 }
 
 func (c *core) dump() Dump {
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -21,7 +21,7 @@
 	// FreshnessLimit is how long after the last confirmation of the bundle version, by
 	// the agent's own clock, tasks may still start.
 	FreshnessLimit = 3 * time.Second
-	// OfferTTL is how long an offer is valid that its owner does not use.
+	// OfferTTL is how long an offer stays valid if the entry does not use it.
 	OfferTTL = 100 * time.Millisecond
 	// RecordRetentionGrace is how long records are kept beyond the task's deadline,
 	// since clocks differ between processes.
@@ -29,7 +29,7 @@
 	// AckedResultBytesLimit is the size of all kept results, in bytes, above which
 	// results that are acknowledged are dropped.
 	AckedResultBytesLimit = 16 << 20
-	// DemandTTL is how long a demand is valid that is not repeated.
+	// DemandTTL is how long a demand stays valid unless it is repeated.
 	DemandTTL = 2 * time.Second
 )
 
@@ -112,7 +112,8 @@
 // demand is the number of tasks that wait at an entry.
 type demand struct {
 	waiting int
-	// dueAt is the key of the entry's first waiting job, by this clock.
+	// dueAt is when the entry's first waiting task is due by the entry's order, as a
+	// time of this clock.
 	dueAt     time.Time
 	expiresAt time.Time
 }
--- a/worker/dump.go
+++ b/worker/dump.go
@@ -6,7 +6,8 @@
 	Behaviour    Behaviour
 	Leaving      bool
 	Running      int
-	Busiest      int
+	// Busiest is the largest number of tasks that have run at the same time.
+	Busiest int
 	// Started is the number of different tasks that have started.
 	Started int
 }
