--- a/approver/check.go
+++ b/approver/check.go
@@ -28,7 +28,7 @@
 	Problem string
 }
 
-// String returns the path and the text on one line.
+// String returns the key and the problem on one line.
 func (f InvalidValue) String() string { return f.Key + ": " + f.Problem }
 
 // validator collects the invalid values of a bundle.
@@ -59,12 +59,12 @@
 // Check returns an Invalid error that lists every invalid value of b with its path,
 // the value found and the allowed values. It returns nil if there are none.
 func (b Bundle) Check() error {
-	faults := b.InvalidValues()
-	if len(faults) == 0 {
+	invalid := b.InvalidValues()
+	if len(invalid) == 0 {
 		return nil
 	}
-	lines := make([]string, 0, len(faults))
-	for _, f := range faults {
+	lines := make([]string, 0, len(invalid))
+	for _, f := range invalid {
 		lines = append(lines, f.String())
 	}
 	return &Error{Op: "check", Kind: Invalid, Err: errors.New(strings.Join(lines, "; "))}
--- a/checker/finding.go
+++ b/checker/finding.go
@@ -16,7 +16,7 @@
 	// Unmatched means that an item of the file never matches or takes effect, or
 	// only in the way that the text of the finding states.
 	Unmatched Kind = "Unmatched"
-	// Contradiction means that two limits contradict each other.
+	// Contradiction means that two limits cannot both hold.
 	Contradiction Kind = "Contradiction"
 	// Changed means that a value differs from the version in force.
 	Changed Kind = "Changed"
--- a/receiver/model_test.go
+++ b/receiver/model_test.go
@@ -34,10 +34,10 @@
 }
 
 // submit returns the state that a submission has to end with.
-func (n *referenceModel) submit(key string, tasks int) courier.State {
-	first, ok := n.tasks[key]
+func (m *referenceModel) submit(key string, tasks int) courier.State {
+	first, ok := m.tasks[key]
 	if !ok {
-		n.tasks[key] = tasks
+		m.tasks[key] = tasks
 		return courier.Complete
 	}
 	if first != tasks {
@@ -120,35 +120,35 @@
 	}
 }
 
-// registerInput is the input of an operation on the model: the submission of a body under
+// keyInput is the input of an operation on the model: the submission of a body under
 // the key.
-type registerInput struct{ body int }
+type keyInput struct{ body int }
 
-// registerOutput is the output of an operation: the state in the answer.
-type registerOutput struct{ state courier.State }
+// keyOutput is the output of an operation: the state in the answer.
+type keyOutput struct{ state courier.State }
 
 // keyModel is the model of a key: the first body that takes the key keeps it. After an
 // answer Failed, the body may or may not have taken the key; after NotRun it has not.
 var keyModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
-		owner, body := state.(int), input.(registerInput).body
-		switch output.(registerOutput).state {
+		holder, body := state.(int), input.(keyInput).body
+		switch output.(keyOutput).state {
 		case courier.Complete:
-			if owner == 0 || owner == body {
+			if holder == 0 || holder == body {
 				return []any{body}
 			}
 		case courier.Conflict:
-			if owner != 0 && owner != body {
-				return []any{owner}
+			if holder != 0 && holder != body {
+				return []any{holder}
 			}
 		case courier.Failed:
-			if owner == 0 {
+			if holder == 0 {
 				return []any{0, body}
 			}
-			return []any{owner}
+			return []any{holder}
 		case courier.NotRun:
-			return []any{owner}
+			return []any{holder}
 		}
 		return nil
 	},
@@ -174,9 +174,9 @@
 				}
 				history = append(history, porcupine.Operation{
 					ClientId: i,
-					Input:    registerInput{body: len(c.submission.Tasks)},
+					Input:    keyInput{body: len(c.submission.Tasks)},
 					Call:     submittedAt[i].UnixNano(),
-					Output:   registerOutput{state: c.last().State},
+					Output:   keyOutput{state: c.last().State},
 					Return:   c.answers[len(c.answers)-1].at.UnixNano(),
 				})
 			}
--- a/soaker/soak_test.go
+++ b/soaker/soak_test.go
@@ -33,7 +33,7 @@
 	seed  uint64
 	cause string
 }{
-	{1, "a paused entry assumed that a run which its agent had evicted had never started"},
+	{1, "a paused entry assumed that a run which its agent no longer knew had never started"},
 	{2, "a start in transit reached the new incarnation of a worker"},
 	{6, "the check attributed a second entry's refusal to the first entry's attempt"},
 }
