--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -78,7 +78,7 @@
 	// firstReadDone is closed when the first read of the operators' directives has
 	// succeeded or failed.
 	firstReadDone chan struct{}
-	// hasLinks reports whether a link to an agent is open.
+	// hasLinks is whether a link to an agent is open.
 	hasLinks atomic.Bool
 	// shutdownDeadline is when the drain of a shutdown ends, in Unix nanoseconds; zero
 	// before a shutdown.
--- a/acceptor/jobs.go
+++ b/acceptor/jobs.go
@@ -10,7 +10,7 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// Configuration implements platform.Jobs.
+// Configuration implements platform.JobService.
 func (a *Acceptor) Configuration() (scheduler.Configuration, bool) {
 	c := a.configuration.Load()
 	if c == nil {
@@ -19,7 +19,7 @@
 	return *c, true
 }
 
-// AwaitConfiguration implements platform.Jobs. The first read of the store takes
+// AwaitConfiguration implements platform.JobService. The first read of the store takes
 // milliseconds, so it is better for callers who arrive meanwhile to wait for its outcome
 // than to try again later.
 func (a *Acceptor) AwaitConfiguration(ctx context.Context) {
@@ -29,14 +29,14 @@
 	}
 }
 
-// Submit implements platform.Jobs.
+// Submit implements platform.JobService.
 func (a *Acceptor) Submit(ctx context.Context, j scheduler.Job) scheduler.Answer {
 	a.inFlight.Add(1)
 	defer a.inFlight.Add(-1)
 	receivedAt := a.deps.Clock.Now()
 	if currentLag := a.lag.current(); currentLag > maxLag {
 		a.RecordRejection(j.ID, "entry lags by "+currentLag.String())
-		return scheduler.Answer{Outcome: scheduler.Overloaded, RetryAfter: time.Second, Why: "entry is behind"}
+		return scheduler.Answer{Outcome: scheduler.Overloaded, RetryAfter: time.Second, Why: "entry is lagging"}
 	}
 	if announcer.PeerClosed(ctx) {
 		a.RecordRejection(j.ID, "caller disconnected before the job was submitted")
@@ -44,7 +44,7 @@
 	}
 	if a.endsAfterShutdown(j) {
 		a.RecordRejection(j.ID, "entry shuts down before the job can end")
-		return scheduler.Answer{Outcome: scheduler.Unavailable, RetryAfter: time.Second, Why: "entry stops"}
+		return scheduler.Answer{Outcome: scheduler.Unavailable, RetryAfter: time.Second, Why: "entry is shutting down"}
 	}
 	j.EarliestSent = receivedAt.Add(-a.lag.maxUnreadAge())
 	ticket := a.lastTicket.Add(1)
@@ -95,21 +95,21 @@
 	return deadline != 0 && a.deps.Clock.Now().Add(j.MaxDuration()).UnixNano() > deadline
 }
 
-// State implements platform.Jobs.
+// State implements platform.JobService.
 func (a *Acceptor) State(id string) scheduler.Answer {
 	return ask[scheduler.Answer](a, stateQuery{job: id})
 }
 
-// Cancel implements platform.Jobs.
+// Cancel implements platform.JobService.
 func (a *Acceptor) Cancel(id string) bool { return ask[bool](a, cancelJob{job: id}) }
 
-// Waiting implements platform.Jobs.
+// Waiting implements platform.JobService.
 func (a *Acceptor) Waiting(queue string) int { return ask[int](a, waitingQuery{queue: queue}) }
 
-// Stopping implements platform.Jobs.
+// Stopping implements platform.JobService.
 func (a *Acceptor) Stopping() bool { return a.shutdownDeadline.Load() != 0 }
 
-// RecordRejection implements platform.Jobs.
+// RecordRejection implements platform.JobService.
 func (a *Acceptor) RecordRejection(id, why string) {
 	a.metrics.requestsRejected.Inc()
 	a.deps.Log.WithField("job", id).WithField("why", why).Warn("request rejected")
--- a/acceptor/link.go
+++ b/acceptor/link.go
@@ -26,7 +26,7 @@
 }
 
 // recordTimestamp records the agent's timestamp. The first one is echoed at once, since
-// the agent regards the entry as connected only by the echo.
+// only an echo shows the agent that the entry is running.
 func (l *agentLink) recordTimestamp(timestamp time.Duration) {
 	if l.lastTimestamp == 0 {
 		l.heartbeatAt = time.Time{}
--- a/acceptor/linkset.go
+++ b/acceptor/linkset.go
@@ -45,7 +45,7 @@
 // evicted.
 type knownAgent struct {
 	registration platform.Registration
-	// registered reports whether the agent is in the directory.
+	// registered is whether the agent is in the directory.
 	registered bool
 	// unregisteredAt is when the directory lost the agent, if registered is false.
 	unregisteredAt time.Time
--- a/acceptor/selection.go
+++ b/acceptor/selection.go
@@ -17,9 +17,9 @@
 	dataCentre string
 	// rank is the agent's position in the entry's ranking; see rankOf.
 	rank uint64
-	// reachable reports whether the last maxDialFailures dials have not all failed.
+	// reachable is whether the last maxDialFailures dials have not all failed.
 	reachable bool
-	// usable reports whether tasks may be placed there: the agent is reachable and
+	// usable is whether tasks may be placed there: the agent is reachable and
 	// its data centre is not evacuated.
 	usable bool
 }
--- a/attendant/actor.go
+++ b/attendant/actor.go
@@ -232,10 +232,10 @@
 	}
 }
 
-func (a *Attendant) poll(l executor.Poll) {
-	result, callResult, err := a.worker.Poll(a.ctx, l)
+func (a *Attendant) poll(p executor.Poll) {
+	result, callResult, err := a.worker.Poll(a.ctx, p)
 	if err != nil && a.ctx.Err() == nil {
-		a.deps.Log.WithError(err).WithField("worker", l.Upstream.ID).WithField("token", l.Token).Warn("poll failed")
+		a.deps.Log.WithError(err).WithField("worker", p.Upstream.ID).WithField("token", p.Token).Warn("poll failed")
 	}
 	a.post(pollResult{result: result, callResult: callResult})
 }
--- a/attendant/actor_test.go
+++ b/attendant/actor_test.go
@@ -51,8 +51,8 @@
 	handleHeartbeat("w", 1, 5, false)
 	handleHeartbeat("other", 2, 1000, false)
 	for _, e := range c.executor.TakeEffects() {
-		if l, ok := e.(executor.Poll); ok {
-			c.executor.HandlePollFailure(l.Number, executor.Misdirected)
+		if p, ok := e.(executor.Poll); ok {
+			c.executor.HandlePollFailure(p.Number, executor.Misdirected)
 		}
 	}
 	require.Equal(t, "w", c.executor.Upstream().ID)
--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -42,7 +42,7 @@
 type WorkerClient interface {
 	Start(ctx context.Context, s executor.Start) (executor.CallResult, error)
 	Stop(ctx context.Context, s executor.Stop) (executor.CallResult, error)
-	Poll(ctx context.Context, l executor.Poll) (executor.PollResult, executor.CallResult, error)
+	Poll(ctx context.Context, p executor.Poll) (executor.PollResult, executor.CallResult, error)
 	// ObserveClock records the clock reading of an incarnation of a worker, from its
 	// heartbeat.
 	ObserveClock(id string, born int64, clockMillis float64)
--- a/executor/effect.go
+++ b/executor/effect.go
@@ -7,7 +7,8 @@
 	"github.com/pomeloferry/pomeloferry/messenger"
 )
 
-// Effect is an action that the agent process has to carry out.
+// Effect is an action for the agent process: a Start, Stop, Poll, SendReport, TickAfter
+// or Note.
 type Effect interface{ effect() }
 
 // Start sends a start to the worker.
@@ -59,7 +60,7 @@
 	Delay time.Duration
 }
 
-// Note is a log line about a decision, mostly on one run.
+// Note is a log entry about a decision, mostly on one run.
 type Note struct {
 	Run   messenger.Run
 	Owner string
--- a/executor/forecast.go
+++ b/executor/forecast.go
@@ -18,8 +18,8 @@
 			continue
 		}
 		after := x.expectedEnd(r, now).Sub(now)
-		for i, span := range messenger.ForecastHorizons {
-			if after <= span {
+		for i, horizon := range messenger.ForecastHorizons {
+			if after <= horizon {
 				out[i] = out[i].Plus(r.Demand)
 			}
 		}
--- a/executor/heldjobs.go
+++ b/executor/heldjobs.go
@@ -36,7 +36,7 @@
 // expire removes the jobs that have expired, and reports whether there were any.
 func (h *heldJobs) expire(now time.Time) bool {
 	n := len(h.earlier)
-	h.earlier = slices.DeleteFunc(h.earlier, func(p earlierJobs) bool { return now.After(p.expiresAt) })
+	h.earlier = slices.DeleteFunc(h.earlier, func(earlier earlierJobs) bool { return now.After(earlier.expiresAt) })
 	expired := len(h.earlier) < n
 	if now.Sub(h.receivedAt) > messenger.HeldJobsTTL && !equalHeld(h.jobs, messenger.HeldJobs{}) {
 		h.jobs = messenger.HeldJobs{}
@@ -88,10 +88,10 @@
 		out.Running = append(out.Running, o.held.jobs.Running...)
 		out.Yielding = append(out.Yielding, o.held.jobs.Yielding...)
 		out.Finished = append(out.Finished, o.held.jobs.Finished...)
-		for _, p := range o.held.earlier {
+		for _, earlier := range o.held.earlier {
 			// The callers of an earlier incarnation are disconnected, and its runs are
 			// being stopped.
-			out.Finished = append(out.Finished, p.jobs...)
+			out.Finished = append(out.Finished, earlier.jobs...)
 		}
 	}
 	return out
--- a/executor/reservation_test.go
+++ b/executor/reservation_test.go
@@ -108,8 +108,8 @@
 	h.collectNotes()
 }
 
-func (h *reservationHarness) reserve(owner string, number uint64, span time.Duration) {
-	h.x.HandleReserve(owner, messenger.Reserve{Number: number, Demand: messenger.Resources{CPU: large}, TTL: span})
+func (h *reservationHarness) reserve(owner string, number uint64, ttl time.Duration) {
+	h.x.HandleReserve(owner, messenger.Reserve{Number: number, Demand: messenger.Resources{CPU: large}, TTL: ttl})
 	h.collectNotes()
 }
 
--- a/executor/run.go
+++ b/executor/run.go
@@ -103,7 +103,7 @@
 		x.queueOutcome(j.entry, outcome{end: messenger.RunEnd{Run: j.run, Reason: reason}})
 	}
 	if reason != messenger.RunDone {
-		// Runs that end well are covered by the entry's log line on the job.
+		// Runs that were done are covered by the entry's log line on the job.
 		x.emit(Note{Run: r.Run, Owner: r.owner, Worker: r.worker, What: "run ended", Why: string(reason), Age: x.clock.Since(r.sentAt)})
 	}
 }
@@ -174,9 +174,9 @@
 }
 
 // markAllUnconfirmed treats every run as one that may or may not be at the worker,
-// until a poll under a higher token shows it. A start that was in transit when the
-// worker restarted under the same ID may have reached its new incarnation, or have
-// begun in the last one.
+// until a poll with a higher token shows which. A start that was in transit when the
+// worker restarted under the same ID may have reached its new incarnation, or may have
+// taken effect in the previous one.
 func (x *Executor) markAllUnconfirmed(why string) {
 	x.token++
 	for _, r := range x.sortedRunsWhere((*run).holdsCapacity) {
--- a/executor/start.go
+++ b/executor/start.go
@@ -253,10 +253,10 @@
 }
 
 // markUnconfirmed records that a start got no answer. A higher token keeps it from
-// taking effect later, and a poll under that token shows whether it did. One poll is
+// taking effect later, and a poll with that token shows whether it did. One poll is
 // enough for all starts that were sent before it. The start counts as an unanswered
-// call only if one that is unconfirmed was sent at least the longest timeout ago;
-// otherwise the poll shows whether the worker answers.
+// call only if an unconfirmed start was sent at least maxCallTimeout ago; otherwise the
+// poll shows whether the worker answers.
 func (x *Executor) markUnconfirmed(r *run) {
 	r.phase = unconfirmed
 	r.startTimeUnknown = true
--- a/executor/turn.go
+++ b/executor/turn.go
@@ -94,18 +94,18 @@
 	}
 	if t.holder != nil {
 		t.lastWeightedUse = t.holder.weightedUse
-		span := t.holder.turnDuration()
-		t.until = now.Add(span)
+		duration := t.holder.turnDuration()
+		t.until = now.Add(duration)
 		t.placed = false
 		t.holder.turnTimestamp = x.timestamp()
-		x.emit(TickAfter{Delay: span})
+		x.emit(TickAfter{Delay: duration})
 	}
 }
 
 // turnDuration returns how long a turn of the entry lasts.
 func (e *entry) turnDuration() time.Duration {
-	span := time.Duration(turnReactionFactor * float64(e.meanReaction))
-	return min(max(span, minTurn), maxTurn)
+	duration := time.Duration(turnReactionFactor * float64(e.meanReaction))
+	return min(max(duration, minTurn), maxTurn)
 }
 
 // recordReaction records how long an entry took to use the capacity that was reported
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -160,7 +160,8 @@
 	Estimate time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// Withdraw asks an agent to drop or stop runs.
+// Withdraw asks an agent to cancel runs: those that wait are refused, and those that may
+// have started are stopped.
 type Withdraw struct {
 	Runs []Run `cbor:"1,keyasint,omitempty"`
 }
@@ -168,7 +169,8 @@
 // Reserve asks an agent to reserve capacity for a large task of the entry. An agent has
 // one reservation at a time; the reservation itself starts nothing.
 type Reserve struct {
-	// Number counts the Reserve messages on a link.
+	// Number counts the requests for a reservation on a link. A cancellation has the
+	// number of the request that it cancels.
 	Number uint64    `cbor:"1,keyasint,omitempty"`
 	Demand Resources `cbor:"2,keyasint,omitempty"`
 	// TTL is the maximum lifetime of the reservation. Zero cancels it.
@@ -205,7 +207,7 @@
 const (
 	RunDone   EndReason = "Done"
 	RunFailed EndReason = "Failed"
-	// RunStopped runs were ended by an order to stop.
+	// RunStopped runs were ended by a stop.
 	RunStopped EndReason = "Stopped"
 	// RunLapsed runs ended because their lease ran out or their worker died.
 	RunLapsed EndReason = "Lapsed"
@@ -230,7 +232,8 @@
 	RefusedSuperseded RefusalReason = "Superseded"
 	// RefusedEvacuated means that nothing may start in the data centre.
 	RefusedEvacuated RefusalReason = "Evacuated"
-	// RefusedWithdrawn means that the run was withdrawn before it started.
+	// RefusedWithdrawn means that the run was withdrawn before it started, or that its
+	// Place was too old when the agent processed it.
 	RefusedWithdrawn RefusalReason = "Overtaken"
 )
 
@@ -264,7 +267,9 @@
 	AckedPlace uint64 `cbor:"6,keyasint,omitempty"`
 	// Upstream is the worker; nil means unchanged since the last report on the link.
 	Upstream *Upstream `cbor:"7,keyasint,omitempty"`
-	// Free is the capacity that no run uses or waits for.
+	// Free is the capacity that no run uses or waits for. An agent may report less of it
+	// to an entry while part of it is reserved for a large task, or while it is another
+	// entry's turn to use scarce capacity.
 	Free Resources `cbor:"8,keyasint,omitempty"`
 	// UnansweredCalls counts the calls to the worker without an answer since the last
 	// call that was answered.
--- a/scheduler/effect.go
+++ b/scheduler/effect.go
@@ -76,7 +76,7 @@
 	Message any
 }
 
-// Reply answers the request with a ticket.
+// Reply answers the request that was submitted with a ticket.
 type Reply struct {
 	Ticket uint64
 	Answer Answer
--- a/scheduler/simworker_test.go
+++ b/scheduler/simworker_test.go
@@ -55,7 +55,7 @@
 	return d
 }
 
-// start handles the call to start a run and returns its outcome.
+// start handles the call to start a run and returns the call result.
 func (w *simWorker) start(s executor.Start, deadline time.Time) executor.CallResult {
 	now := w.sim.clock.Now()
 	if s.Upstream.Born != w.upstream.Born || s.Upstream.ID != w.upstream.ID {
@@ -158,7 +158,7 @@
 	return out
 }
 
-// poll returns the runs in progress and those that have ended since the last poll, or
+// poll returns the runs in progress and the ends that the agent has not acknowledged, or
 // false if the token is too low.
 func (w *simWorker) poll(p executor.Poll, deadline time.Time) (executor.PollResult, bool) {
 	if p.Token < w.token {
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -33,7 +33,7 @@
 	seed                     uint64
 	withoutReservations      bool
 	// fault is applied to the simulation before the load begins.
-	fault func(w *simulation)
+	fault func(sim *simulation)
 }
 
 func (m mixedSizesScenario) run(t testing.TB) *simulation {
