--- a/acceptor/jobs.go
+++ b/acceptor/jobs.go
@@ -36,7 +36,7 @@
 	receivedAt := a.deps.Clock.Now()
 	if currentLag := a.lag.current(); currentLag > maxLag {
 		a.RecordRejection(j.ID, "entry lags by "+currentLag.String())
-		return scheduler.Answer{Outcome: scheduler.Overloaded, RetryAfter: time.Second, Why: "entry is lagging"}
+		return scheduler.Answer{Outcome: scheduler.Overloaded, RetryAfter: time.Second, Why: "entry is behind"}
 	}
 	if announcer.PeerClosed(ctx) {
 		a.RecordRejection(j.ID, "caller disconnected before the job was submitted")
@@ -44,7 +44,7 @@
 	}
 	if a.endsAfterShutdown(j) {
 		a.RecordRejection(j.ID, "entry shuts down before the job can end")
-		return scheduler.Answer{Outcome: scheduler.Unavailable, RetryAfter: time.Second, Why: "entry is shutting down"}
+		return scheduler.Answer{Outcome: scheduler.Unavailable, RetryAfter: time.Second, Why: "entry stops"}
 	}
 	j.EarliestSent = receivedAt.Add(-a.lag.maxUnreadAge())
 	ticket := a.lastTicket.Add(1)
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -32,10 +32,10 @@
 		return Answer{Outcome: Impossible, Why: why}, false
 	}
 	if !s.ownsExclusively(j, now) {
-		return Answer{Outcome: Overloaded, RetryAfter: minRetryAfter, Why: "may have been sent to another entry since"}, false
+		return Answer{Outcome: Overloaded, RetryAfter: minRetryAfter, Why: "may have been sent again since"}, false
 	}
 	if now.Add(j.minDuration()).After(j.Deadline) {
-		return Answer{Outcome: Overloaded, RetryAfter: minRetryAfter, Why: "caller's deadline is too short for the work"}, false
+		return Answer{Outcome: Overloaded, RetryAfter: minRetryAfter, Why: "caller waits for less than the work takes"}, false
 	}
 	if s.yieldIfHeld(j) {
 		return Answer{}, true
--- a/scheduler/heldjobs.go
+++ b/scheduler/heldjobs.go
@@ -157,7 +157,7 @@
 	case state == heldYielding:
 		s.giveUp(j, "sent again to another entry")
 	case state == heldRunning && j.hold.placedHere && age >= AgentLossTimeout:
-		s.giveUp(j, "another entry has started it")
+		s.giveUp(j, "another entry has begun it")
 	default:
 		return false
 	}
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -245,7 +245,7 @@
 // that the job has not run although a task may have started.
 func (j *job) unsettledIfStarted(a Answer) Answer {
 	if j.mayHaveStarted && a.Outcome != Complete {
-		return Answer{Outcome: Unsettled, RetryAfter: AgentLossTimeout, Why: a.Why + "; an earlier attempt may have run"}
+		return Answer{Outcome: Unsettled, RetryAfter: AgentLossTimeout, Why: a.Why + "; an earlier try may have run"}
 	}
 	return a
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -37,7 +37,7 @@
 	s.capacityScarce = s.passBacklog.noCapacity > 0
 	for _, j := range slices.Clone(s.queue) {
 		if s.tooLate(j, now) && !s.deferToFastWorker(j, now) {
-			s.giveUp(j, "no free capacity in time")
+			s.giveUp(j, "no room in time")
 		}
 	}
 	s.pruneQueue()
