--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -14,10 +14,10 @@
 	"github.com/asynkron/protoactor-go/actor"
 	"github.com/oklog/run"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/platform"
 	"github.com/pomeloferry/pomeloferry/provider"
 	"github.com/pomeloferry/pomeloferry/scheduler"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 const (
@@ -101,16 +101,16 @@
 		metrics:       newEntryMetrics(deps.Metrics),
 		lag:           lag{clock: deps.Clock},
 	}
-	list, err := announcer.Listen(
-		announcer.Address{Setting: "Front", Addr: cfg.FrontAddr},
-		announcer.Address{Setting: "Ready", Addr: cfg.ReadyAddr},
-		announcer.Address{Setting: "Metrics", Addr: cfg.MetricsAddr},
+	list, err := server.Listen(
+		server.Address{Setting: "Front", Addr: cfg.FrontAddr},
+		server.Address{Setting: "Ready", Addr: cfg.ReadyAddr},
+		server.Address{Setting: "Metrics", Addr: cfg.MetricsAddr},
 	)
 	if err != nil {
 		return nil, err
 	}
 	a.listeners.front, a.listeners.ready, a.listeners.metrics = list[0], list[1], list[2]
-	a.system = announcer.NewActorSystem(a.deps)
+	a.system = server.NewActorSystem(a.deps)
 	return a, nil
 }
 
@@ -123,23 +123,23 @@
 	a.pid = a.system.Root.Spawn(actor.PropsFromProducer(
 		func() actor.Actor { return newEntryActor(a) },
 		actor.WithMailbox(actor.Bounded(mailboxSize)),
-		actor.WithDispatcher(announcer.NewDispatcher(runCtx)),
+		actor.WithDispatcher(server.NewDispatcher(runCtx)),
 	))
 	defer a.system.Shutdown()
-	front := announcer.NewGracefulServer(a.deps.Clock, &http.Server{
+	front := server.NewGracefulServer(a.deps.Clock, &http.Server{
 		Handler:           platform.NewJobHandler(a.deps.Clock, a),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleConnTimeout,
-		ConnContext:       announcer.ContextWithConn,
+		ConnContext:       server.ContextWithConn,
 	}, a.listeners.front)
 	ready := &http.Server{Handler: platform.NewReadyHandler(a.isReady), ReadHeaderTimeout: headerTimeout}
-	metrics := &http.Server{Handler: announcer.NewMetricsHandler(a.deps, a), ReadHeaderTimeout: headerTimeout}
+	metrics := &http.Server{Handler: server.NewMetricsHandler(a.deps, a), ReadHeaderTimeout: headerTimeout}
 
 	var g run.Group
 	g.Add(func() error { return a.drainOnShutdown(ctx, runCtx, front) }, func(error) { cancel() })
 	g.Add(func() error { return front.Serve(runCtx) }, func(error) { front.Close() })
-	g.Add(func() error { return announcer.Serve(ready, a.listeners.ready) }, func(error) { _ = ready.Close() })
-	g.Add(func() error { return announcer.Serve(metrics, a.listeners.metrics) }, func(error) { _ = metrics.Close() })
+	g.Add(func() error { return server.Serve(ready, a.listeners.ready) }, func(error) { _ = ready.Close() })
+	g.Add(func() error { return server.Serve(metrics, a.listeners.metrics) }, func(error) { _ = metrics.Close() })
 	g.Add(func() error { return a.tick(runCtx) }, func(error) { cancel() })
 	g.Add(func() error { return newDirectives(a).follow(runCtx) }, func(error) { cancel() })
 	g.Add(func() error { return links.follow(runCtx) }, func(error) { cancel() })
@@ -162,7 +162,7 @@
 // drainOnShutdown waits for ctx to end. It then makes the readiness check fail, waits
 // for the balancer to notice, and waits until every request has been answered or only
 // gracePeriodMargin of the grace period remains.
-func (a *Acceptor) drainOnShutdown(ctx, runCtx context.Context, front *announcer.GracefulServer) error {
+func (a *Acceptor) drainOnShutdown(ctx, runCtx context.Context, front *server.GracefulServer) error {
 	select {
 	case <-ctx.Done():
 	case <-runCtx.Done():
@@ -180,7 +180,7 @@
 }
 
 func (a *Acceptor) tick(ctx context.Context) error {
-	return announcer.Tick(ctx, a.deps.Clock, tickInterval, func() { a.post(tick{sentAt: a.deps.Clock.Now()}) })
+	return server.Tick(ctx, a.deps.Clock, tickInterval, func() { a.post(tick{sentAt: a.deps.Clock.Now()}) })
 }
 
 // post sends msg to the actor. It blocks while the mailbox is full.
@@ -190,5 +190,5 @@
 	return a.system.Root.RequestFuture(a.pid, query, askTimeout).Result()
 }
 
-// Dump implements announcer.Dumper.
+// Dump implements server.Dumper.
 func (a *Acceptor) Dump() (any, error) { return a.ask(dumpQuery{}) }
--- a/acceptor/directives.go
+++ b/acceptor/directives.go
@@ -8,9 +8,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/platform"
 	"github.com/pomeloferry/pomeloferry/scheduler"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 // directiveWatchTimeout is how long one watch of the directives waits. It bounds how
@@ -46,7 +46,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		d.lastError = announcer.LogDependency(a.deps, "store", d.lastError, err)
+		d.lastError = server.LogDependency(a.deps, "store", d.lastError, err)
 		if err != nil {
 			d.revision = 0
 		}
--- a/acceptor/directives_test.go
+++ b/acceptor/directives_test.go
@@ -7,16 +7,16 @@
 	"github.com/asynkron/protoactor-go/actor"
 	"github.com/stretchr/testify/require"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/provider"
 	"github.com/pomeloferry/pomeloferry/scheduler"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 // TestConfigurationHasTheFarFactorOfTheSettings guards against a far factor that is
 // lost when the operators change the configuration.
 func TestConfigurationHasTheFarFactorOfTheSettings(t *testing.T) {
 	a := &Acceptor{deps: provider.NewDeps(io.Discard), cfg: Config{FarFactor: 2}}
-	a.system = announcer.NewActorSystem(a.deps)
+	a.system = server.NewActorSystem(a.deps)
 	t.Cleanup(a.system.Shutdown)
 	a.pid = a.system.Root.Spawn(actor.PropsFromFunc(func(actor.Context) {}))
 	d := newDirectives(a)
--- a/acceptor/jobs.go
+++ b/acceptor/jobs.go
@@ -6,8 +6,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/scheduler"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 // Configuration implements platform.JobService.
@@ -38,7 +38,7 @@
 		a.RecordRejection(j.ID, "entry lags by "+currentLag.String())
 		return scheduler.Answer{Outcome: scheduler.Overloaded, RetryAfter: time.Second, Why: "entry is behind"}
 	}
-	if announcer.PeerClosed(ctx) {
+	if server.PeerClosed(ctx) {
 		a.RecordRejection(j.ID, "caller disconnected before the job was submitted")
 		return scheduler.Answer{Outcome: scheduler.Cancelled, Why: "caller left"}
 	}
--- a/acceptor/linkset.go
+++ b/acceptor/linkset.go
@@ -9,10 +9,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/messenger"
 	"github.com/pomeloferry/pomeloferry/platform"
 	"github.com/pomeloferry/pomeloferry/scheduler"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 const (
@@ -97,7 +97,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		lastError = announcer.LogDependency(a.deps, "directory", lastError, err)
+		lastError = server.LogDependency(a.deps, "directory", lastError, err)
 		retry.wait(err)
 	}
 	return nil
@@ -207,7 +207,7 @@
 // fail or the entry is short of capacity, and fewer if it is not.
 func (s *linkSet) reselect(ctx context.Context) {
 	// Tick ends with ctx and has no other error.
-	_ = announcer.Tick(ctx, s.acceptor.deps.Clock, reselectInterval, func() {
+	_ = server.Tick(ctx, s.acceptor.deps.Clock, reselectInterval, func() {
 		need := ask[scheduler.CapacityNeed](s.acceptor, needQuery{})
 		if s.acceptor.lag.current() > maxLag/2 {
 			// The entry is short of processor time, and more links would cost more.
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -14,9 +14,9 @@
 	"github.com/google/uuid"
 	"github.com/oklog/run"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/courier"
 	"github.com/pomeloferry/pomeloferry/provider"
+	"github.com/pomeloferry/pomeloferry/server"
 	"github.com/pomeloferry/pomeloferry/starter"
 )
 
@@ -80,7 +80,7 @@
 			DataCentre:  cfg.DataCentre,
 			Rack:        cfg.Rack,
 		},
-		system: announcer.NewActorSystem(deps),
+		system: server.NewActorSystem(deps),
 		stop:   make(chan struct{}),
 	}
 	a.runner = newRunner(deps, a.post)
@@ -99,11 +99,11 @@
 	defer a.system.Shutdown()
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	server := &http.Server{Handler: a.handler(), ReadHeaderTimeout: 5 * time.Second}
+	httpServer := &http.Server{Handler: a.handler(), ReadHeaderTimeout: 5 * time.Second}
 
 	var g run.Group
 	g.Add(func() error { return a.drainOnShutdown(ctx, inner) }, func(error) { cancel() })
-	g.Add(func() error { return server.Serve(a.listener) }, func(error) { _ = server.Close() })
+	g.Add(func() error { return httpServer.Serve(a.listener) }, func(error) { _ = httpServer.Close() })
 	g.Add(func() error { return a.tick(inner) }, func(error) { cancel() })
 	g.Add(func() error { return a.links.run(inner) }, func(error) { cancel() })
 	a.deps.Log.WithField("listen", a.listener.Addr().String()).Info("agent started")
@@ -137,7 +137,7 @@
 }
 
 func (a *Agent) tick(ctx context.Context) error {
-	return announcer.Tick(ctx, a.deps.Clock, TickInterval, func() { a.post(tick{}) })
+	return server.Tick(ctx, a.deps.Clock, TickInterval, func() { a.post(tick{}) })
 }
 
 // post sends msg to the ledger's actor. It waits while the mailbox is full.
--- a/agent/http.go
+++ b/agent/http.go
@@ -6,7 +6,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
+	"github.com/pomeloferry/pomeloferry/server"
 	"github.com/pomeloferry/pomeloferry/worker"
 )
 
@@ -14,7 +14,7 @@
 func (a *Agent) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /announce", a.serveAnnounce)
-	mux.Handle("GET /dump", announcer.NewDumpHandler(a))
+	mux.Handle("GET /dump", server.NewDumpHandler(a))
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		a.deps.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
--- a/commander/process.go
+++ b/commander/process.go
@@ -11,11 +11,11 @@
 	"github.com/oklog/run"
 
 	"github.com/pomeloferry/pomeloferry/agent"
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/configurer"
 	"github.com/pomeloferry/pomeloferry/dispatcher"
 	"github.com/pomeloferry/pomeloferry/keeper"
 	"github.com/pomeloferry/pomeloferry/receiver"
+	"github.com/pomeloferry/pomeloferry/server"
 	"github.com/pomeloferry/pomeloferry/storer"
 	"github.com/pomeloferry/pomeloferry/worker"
 )
@@ -64,7 +64,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "settings %s: entry %s", c.Settings, c.ID)
 	}
-	go announcer.DumpOnSignal(env.ctx, env.deps, r)
+	go server.DumpOnSignal(env.ctx, env.deps, r)
 	return r.Run(env.ctx)
 }
 
@@ -113,7 +113,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "settings %s: agent %s", c.Settings, c.ID)
 	}
-	go announcer.DumpOnSignal(env.ctx, env.deps, p)
+	go server.DumpOnSignal(env.ctx, env.deps, p)
 	return p.Run(env.ctx)
 }
 
@@ -124,7 +124,7 @@
 // Run implements the command.
 func (c *storeCommand) Run(env *environment) error {
 	s := storer.NewStore(env.deps.Clock)
-	go announcer.DumpOnSignal(env.ctx, env.deps, s)
+	go server.DumpOnSignal(env.ctx, env.deps, s)
 	return serve(env.ctx, c.Listen, s.Handler(), nil)
 }
 
@@ -153,7 +153,7 @@
 		},
 		Agent: a.Listen,
 	})
-	go announcer.DumpOnSignal(env.ctx, env.deps, w)
+	go server.DumpOnSignal(env.ctx, env.deps, w)
 	return serve(env.ctx, u.Listen, w.Handler(), w)
 }
 
@@ -164,11 +164,11 @@
 	if err != nil {
 		return errors.Wrapf(err, "listen at %s", addr)
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
+	httpServer := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	serverCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var g run.Group
-	g.Add(func() error { return server.Serve(listener) }, func(error) { _ = server.Close() })
+	g.Add(func() error { return httpServer.Serve(listener) }, func(error) { _ = httpServer.Close() })
 	g.Add(func() error {
 		select {
 		case <-ctx.Done():
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -8,10 +8,10 @@
 	"github.com/go-faster/errors"
 
 	"github.com/pomeloferry/pomeloferry/acceptor"
-	"github.com/pomeloferry/pomeloferry/announcer"
-	"github.com/pomeloferry/pomeloferry/attendant"
 	"github.com/pomeloferry/pomeloferry/platform"
 	"github.com/pomeloferry/pomeloferry/provider"
+	"github.com/pomeloferry/pomeloferry/server"
+	"github.com/pomeloferry/pomeloferry/supervisor"
 )
 
 // serveCommand runs a process on the platform's machines, with settings from the
@@ -78,7 +78,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "entry %s", s.NodeName)
 	}
-	go announcer.DumpOnSignal(env.ctx, deps, a)
+	go server.DumpOnSignal(env.ctx, deps, a)
 	return a.Run(env.ctx)
 }
 
@@ -100,7 +100,7 @@
 		DataCentre: s.DataCentre,
 		Link:       link,
 	})
-	a, err := attendant.NewAttendant(deps, attendant.Config{
+	a, err := supervisor.NewSupervisor(deps, supervisor.Config{
 		ID:           s.NodeName,
 		DataCentre:   s.DataCentre,
 		LinkAddr:     link,
@@ -112,6 +112,6 @@
 	if err != nil {
 		return errors.Wrapf(err, "agent %s", s.NodeName)
 	}
-	go announcer.DumpOnSignal(env.ctx, deps, a)
+	go server.DumpOnSignal(env.ctx, deps, a)
 	return a.Run(env.ctx)
 }
--- a/receiver/agents.go
+++ b/receiver/agents.go
@@ -58,7 +58,7 @@
 	bundle := c.confirmer.Bundle()
 	reply := courier.AnnounceReply{
 		Entry:         c.self,
-		Entries:       c.registrar.AliveEntries(),
+		Entries:       c.tracker.AliveEntries(),
 		Stamp:         an.Stamp,
 		Fresh:         !confirmed.IsZero(),
 		Age:           max(0, c.deps.Clock.Since(confirmed)),
--- a/receiver/core.go
+++ b/receiver/core.go
@@ -12,7 +12,7 @@
 	"github.com/pomeloferry/pomeloferry/courier"
 	"github.com/pomeloferry/pomeloferry/dispatcher"
 	"github.com/pomeloferry/pomeloferry/provider"
-	"github.com/pomeloferry/pomeloferry/registrar"
+	"github.com/pomeloferry/pomeloferry/tracker"
 )
 
 // The messages of the core actor.
@@ -88,7 +88,7 @@
 	onKnownEntries func([]courier.EntryInfo)
 
 	dispatcher  *dispatcher.Dispatcher
-	registrar   *registrar.Registrar
+	tracker     *tracker.Tracker
 	agentLinks  map[link]agentLink
 	linkByAgent map[string]link
 	// answerFuncs holds the function to call with the answer, by waiter.
@@ -114,7 +114,7 @@
 		incarnation:    uuid.NewString(),
 		onKnownEntries: onKnownEntries,
 		dispatcher:     d,
-		registrar:      registrar.NewRegistrar(deps.Clock, self),
+		tracker:        tracker.NewTracker(deps.Clock, self),
 		confirmer:      confirmer.NewConfirmer(deps.Clock, self.ID),
 		agentLinks:     make(map[link]agentLink),
 		linkByAgent:    make(map[string]link),
@@ -137,7 +137,7 @@
 	case tick:
 		c.tick()
 	case drain:
-		c.registrar.SetLeaving()
+		c.tracker.SetLeaving()
 		c.dispatcher.SetStopping()
 		c.refreshView()
 	case idleQuery:
@@ -155,7 +155,7 @@
 	case peerHeartbeat:
 		c.handlePeerHello(m.hello)
 	case entriesRead:
-		c.registrar.AddEntries(m.entries)
+		c.tracker.AddEntries(m.entries)
 		if m.noEarlierEntries {
 			c.dispatcher.SetRosterComplete()
 		}
@@ -173,15 +173,15 @@
 }
 
 func (c *core) tick() {
-	c.registrar.Tick()
+	c.tracker.Tick()
 	c.refreshView()
 	c.refreshBundle()
 	c.dispatcher.Tick()
 }
 
 func (c *core) refreshView() {
-	c.dispatcher.SetView(c.registrar.View(), c.registrar.Peers())
-	c.onKnownEntries(c.registrar.KnownEntries())
+	c.dispatcher.SetView(c.tracker.View(), c.tracker.Peers())
+	c.onKnownEntries(c.tracker.KnownEntries())
 }
 
 func (c *core) submit(m submitRequest) {
@@ -227,10 +227,10 @@
 
 // handlePeerHello handles the heartbeat of another entry.
 func (c *core) handlePeerHello(h courier.PeerHello) {
-	c.registrar.HandleHeartbeat(h)
-	c.registrar.AddEntries(h.Entries)
+	c.tracker.HandleHeartbeat(h)
+	c.tracker.AddEntries(h.Entries)
 	c.refreshView()
-	asOf := c.registrar.StampTime(h.EchoFor(c.incarnation))
+	asOf := c.tracker.StampTime(h.EchoFor(c.incarnation))
 	c.dispatcher.MergeRoster(h.Roster, h.RosterCertain, asOf)
 	old := c.confirmer.Bundle().Version
 	c.adoptFromPeer(h)
@@ -248,19 +248,19 @@
 // used only if the receiver knows it.
 func (c *core) peerHello(to string) courier.PeerHello {
 	roster, complete := c.dispatcher.Roster()
-	echo := c.registrar.Echo(to)
+	echo := c.tracker.Echo(to)
 	h := courier.PeerHello{
 		Entry:         c.self,
 		Incarnation:   c.incarnation,
-		Ready:         c.registrar.Ready(),
-		Leaving:       c.registrar.Leaving(),
+		Ready:         c.tracker.Ready(),
+		Leaving:       c.tracker.Leaving(),
 		RosterCertain: complete,
 		Roster:        roster,
-		Entries:       c.registrar.AliveEntries(),
+		Entries:       c.tracker.AliveEntries(),
 		BundleVersion: c.confirmer.Bundle().Version,
 		VotersVersion: c.confirmer.Voters().Version,
 		Witness:       c.confirmer.IsWitness(),
-		Stamp:         c.registrar.Stamp(),
+		Stamp:         c.tracker.Stamp(),
 		Echo:          echo.Stamp,
 		EchoOf:        echo.Incarnation,
 	}
--- a/receiver/dump.go
+++ b/receiver/dump.go
@@ -36,12 +36,12 @@
 		Entry:         c.self,
 		DataCentre:    c.cfg.DataCentre,
 		Incarnation:   c.incarnation,
-		Leaving:       c.registrar.Leaving(),
+		Leaving:       c.tracker.Leaving(),
 		BundleVersion: c.confirmer.Bundle().Version,
 		ConfirmedAge:  c.deps.Clock.Since(c.confirmer.ConfirmedAt()),
 		Voters:        c.confirmer.Voters(),
-		View:          c.registrar.View(),
-		Peers:         c.registrar.Peers(),
+		View:          c.tracker.View(),
+		Peers:         c.tracker.Peers(),
 		Owner:         c.dispatcher.Dump(),
 	}
 }
--- a/receiver/http.go
+++ b/receiver/http.go
@@ -14,9 +14,9 @@
 	"github.com/go-faster/errors"
 	"github.com/sirupsen/logrus"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/approver"
 	"github.com/pomeloferry/pomeloferry/courier"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 const (
@@ -46,7 +46,7 @@
 	mux.HandleFunc("DELETE /v1/jobs/{team}/{key}", func(w http.ResponseWriter, req *http.Request) {
 		r.serveQuery(w, req, true)
 	})
-	mux.Handle("GET /dump", announcer.NewDumpHandler(r))
+	mux.Handle("GET /dump", server.NewDumpHandler(r))
 	mux.HandleFunc("GET /metrics", r.serveMetrics)
 	return mux
 }
--- a/receiver/peer.go
+++ b/receiver/peer.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 
 	"github.com/pomeloferry/pomeloferry/courier"
-	"github.com/pomeloferry/pomeloferry/registrar"
+	"github.com/pomeloferry/pomeloferry/tracker"
 )
 
 // redialDelay is the delay before a link to another entry is dialled again.
@@ -132,7 +132,7 @@
 			return
 		case <-link.Done():
 			return
-		case <-clock.After(registrar.HeartbeatInterval):
+		case <-clock.After(tracker.HeartbeatInterval):
 		}
 	}
 }
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -15,12 +15,12 @@
 	"github.com/asynkron/protoactor-go/actor"
 	"github.com/oklog/run"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/approver"
 	"github.com/pomeloferry/pomeloferry/courier"
 	"github.com/pomeloferry/pomeloferry/dispatcher"
 	"github.com/pomeloferry/pomeloferry/keeper"
 	"github.com/pomeloferry/pomeloferry/provider"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 const (
@@ -100,7 +100,7 @@
 		linkListener: linkListener,
 		self:         courier.EntryInfo{ID: cfg.ID, Link: linkListener.Addr().String()},
 	}
-	r.system = announcer.NewActorSystem(r.deps)
+	r.system = server.NewActorSystem(r.deps)
 	r.peers = newPeerSet(r)
 	return r, nil
 }
@@ -116,13 +116,13 @@
 	defer r.system.Shutdown()
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	server := announcer.NewGracefulServer(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
+	httpServer := server.NewGracefulServer(r.deps.Clock, &http.Server{Handler: r.handler(), ReadHeaderTimeout: 5 * time.Second}, r.listener)
 
 	poller := &storePoller{receiver: r}
 
 	var g run.Group
-	g.Add(func() error { return r.drainOnShutdown(ctx, inner, server, poller) }, func(error) { cancel() })
-	g.Add(func() error { return server.Serve(inner) }, func(error) { server.Close() })
+	g.Add(func() error { return r.drainOnShutdown(ctx, inner, httpServer, poller) }, func(error) { cancel() })
+	g.Add(func() error { return httpServer.Serve(inner) }, func(error) { httpServer.Close() })
 	g.Add(func() error { return r.acceptLinks(inner) }, func(error) { _ = r.linkListener.Close() })
 	g.Add(func() error { return r.tick(inner) }, func(error) { cancel() })
 	g.Add(func() error { return r.peers.run(inner) }, func(error) { cancel() })
@@ -143,7 +143,7 @@
 // drainOnShutdown begins a planned stop when ctx ends: it hands the partitions over to the
 // other entries, waits until every request has been answered, and registers this entry as
 // stopped. It returns early if inner ends first.
-func (r *Receiver) drainOnShutdown(ctx, inner context.Context, server *announcer.GracefulServer, poller *storePoller) error {
+func (r *Receiver) drainOnShutdown(ctx, inner context.Context, httpServer *server.GracefulServer, poller *storePoller) error {
 	select {
 	case <-ctx.Done():
 	case <-inner.Done():
@@ -154,7 +154,7 @@
 	r.deps.Clock.Sleep(StopAcceptDelay)
 	drainCtx, cancel := context.WithTimeout(inner, DrainTimeout)
 	defer cancel()
-	if remaining := server.Drain(drainCtx); remaining > 0 {
+	if remaining := httpServer.Drain(drainCtx); remaining > 0 {
 		r.deps.Log.WithField("in_flight", remaining).Warn("requests aborted at the drain timeout")
 	}
 	r.awaitIdle(drainCtx)
@@ -186,7 +186,7 @@
 }
 
 func (r *Receiver) tick(ctx context.Context) error {
-	return announcer.Tick(ctx, r.deps.Clock, TickInterval, func() { r.post(tick{}) })
+	return server.Tick(ctx, r.deps.Clock, TickInterval, func() { r.post(tick{}) })
 }
 
 // post sends msg to the actor. It waits while the mailbox is full.
--- a/receiver/roster_test.go
+++ b/receiver/roster_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/pomeloferry/pomeloferry/courier"
 	"github.com/pomeloferry/pomeloferry/dispatcher"
-	"github.com/pomeloferry/pomeloferry/registrar"
 	"github.com/pomeloferry/pomeloferry/router"
+	"github.com/pomeloferry/pomeloferry/tracker"
 )
 
 // TestAllEntriesReplaced kills all entries at once while tasks run on an agent that the
@@ -153,7 +153,7 @@
 	sim := newSimulation(t, 24, 2, 1, 2)
 	sim.kill(sim.entries[1].proc)
 	late := sim.addAgent("agent-2", 0, "graz", 8)
-	sim.run(registrationTTL + registrar.MayRunTimeout + 2*registerInterval)
+	sim.run(registrationTTL + tracker.MayRunTimeout + 2*registerInterval)
 	sim.submit("job", 0, 8, 300, 50*time.Second)
 	sim.run(5 * time.Second)
 	sim.check()
@@ -192,7 +192,7 @@
 		t.Run(fmt.Sprintf("connected for %v", connected), func(t *testing.T) {
 			sim := newSimulation(t, 13, 2, 1, 1)
 			paused, owner := sim.entries[0], sim.entries[1]
-			mayRun := registrationTTL + registrar.MayRunTimeout + 2*registerInterval
+			mayRun := registrationTTL + tracker.MayRunTimeout + 2*registerInterval
 			sim.pause(paused.proc, mayRun+10*time.Second)
 			sim.run(connected)
 			sim.disconnect(paused.proc, owner.proc, time.Hour)
--- a/announcer/conn_test.go
+++ b/server/conn_test.go
@@ -1,4 +1,4 @@
-package announcer_test
+package server_test
 
 import (
 	"net"
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 func TestPeerClosedReportsACallerThatHasDisconnected(t *testing.T) {
@@ -31,11 +31,11 @@
 			require.NoError(t, err)
 			s := &http.Server{
 				ReadHeaderTimeout: time.Second,
-				ConnContext:       announcer.ContextWithConn,
+				ConnContext:       server.ContextWithConn,
 				Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 					arrived <- true
 					<-proceed
-					closed <- announcer.PeerClosed(r.Context())
+					closed <- server.PeerClosed(r.Context())
 				}),
 			}
 			go func() { _ = s.Serve(l) }()
--- a/announcer/announcer.go
+++ b/server/diagnostics.go
@@ -1,8 +1,8 @@
-// Package announcer holds what the processes share to serve requests and to make
+// Package server holds what the processes share to serve requests and to make
 // their state visible: listeners, an HTTP server with graceful shutdown, the set-up of
 // actors and their log, handlers for metrics, and state dumps over HTTP and on a
 // signal.
-package announcer
+package server
 
 import (
 	"context"
--- a/announcer/graceful_test.go
+++ b/server/graceful_test.go
@@ -1,4 +1,4 @@
-package announcer_test
+package server_test
 
 import (
 	"bufio"
@@ -11,16 +11,16 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/stretchr/testify/require"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 // startServer serves a handler on loopback until the test ends. It returns the server,
 // its address and a channel with the result of Serve.
-func startServer(t *testing.T, h http.HandlerFunc) (*announcer.GracefulServer, string, chan error) {
+func startServer(t *testing.T, h http.HandlerFunc) (*server.GracefulServer, string, chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	g := announcer.NewGracefulServer(clockwork.NewRealClock(), &http.Server{Handler: h, ReadHeaderTimeout: time.Second}, l)
+	g := server.NewGracefulServer(clockwork.NewRealClock(), &http.Server{Handler: h, ReadHeaderTimeout: time.Second}, l)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- g.Serve(ctx) }()
--- a/announcer/listen.go
+++ b/server/listen.go
@@ -1,4 +1,4 @@
-package announcer
+package server
 
 import (
 	"context"
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -14,8 +14,8 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/keeper"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 // Fault describes the faults that the emulated service injects.
@@ -163,7 +163,7 @@
 		}
 		s.SetFault(f)
 	})
-	mux.Handle("GET /dump", announcer.NewDumpHandler(s))
+	mux.Handle("GET /dump", server.NewDumpHandler(s))
 	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) {
 		reads, writes := s.Calls()
 		_ = json.NewEncoder(w).Encode(map[string]int{"Reads": reads, "Writes": writes})
--- a/attendant/actor.go
+++ b/supervisor/actor.go
@@ -1,4 +1,4 @@
-package attendant
+package supervisor
 
 import (
 	"github.com/asynkron/protoactor-go/actor"
@@ -47,8 +47,8 @@
 
 // agentActor owns the executor and applies its effects.
 type agentActor struct {
-	attendant *Attendant
-	executor  *executor.Executor
+	supervisor *Supervisor
+	executor   *executor.Executor
 	// links maps the name of an entry to its newest link.
 	links       map[string]*messenger.Link
 	entryByLink map[*messenger.Link]string
@@ -58,16 +58,16 @@
 	metrics       agentMetrics
 }
 
-func newAgentActor(a *Attendant) *agentActor {
+func newAgentActor(s *Supervisor) *agentActor {
 	return &agentActor{
-		attendant: a,
-		executor: executor.NewExecutor(a.deps.Clock, a.identity, executor.Config{
-			DrainTimeout: a.cfg.DrainTimeout,
+		supervisor: s,
+		executor: executor.NewExecutor(s.deps.Clock, s.identity, executor.Config{
+			DrainTimeout: s.cfg.DrainTimeout,
 		}),
 		links:       make(map[string]*messenger.Link),
 		entryByLink: make(map[*messenger.Link]string),
-		callPool:    newCallPool(a.ctx),
-		metrics:     newAgentMetrics(a.deps.Metrics),
+		callPool:    newCallPool(s.ctx),
+		metrics:     newAgentMetrics(s.deps.Metrics),
 	}
 }
 
@@ -92,7 +92,7 @@
 	case upstreamRestored:
 		c.restoreUpstream(m.upstream)
 	case workerDeparted:
-		c.attendant.deps.Log.WithField("worker", m.id).Info("worker left")
+		c.supervisor.deps.Log.WithField("worker", m.id).Info("worker left")
 		c.executor.HandleWorkerDeparture(m.id)
 	case startResult:
 		c.executor.HandleStartResult(m.start.Run, m.start.Token, m.result)
@@ -117,20 +117,20 @@
 	sameIncarnation := h.ID == up.ID && h.Born == up.Born
 	outdated := h.ID == c.lastHeartbeat.ID && h.Born == c.lastHeartbeat.Born && h.Sequence < c.lastHeartbeat.Sequence
 	if h.Born < up.Born || outdated {
-		c.attendant.deps.Log.WithField("worker", h.ID).WithField("sequence", h.Sequence).Info("outdated heartbeat ignored")
+		c.supervisor.deps.Log.WithField("worker", h.ID).WithField("sequence", h.Sequence).Info("outdated heartbeat ignored")
 		return
 	}
 	if !sameIncarnation || h.Draining != up.Draining {
-		c.attendant.deps.Log.WithFields(logrus.Fields{
+		c.supervisor.deps.Log.WithFields(logrus.Fields{
 			"worker":   h.ID,
 			"born":     h.Born,
 			"draining": h.Draining,
 			"cpu":      h.Capacity.CPU,
 		}).Info("worker changed")
-		c.attendant.publishUpstream(h.Upstream)
+		c.supervisor.publishUpstream(h.Upstream)
 	}
 	c.lastHeartbeat = h
-	c.attendant.worker.ObserveClock(h.ID, h.Born, h.ClockMillis)
+	c.supervisor.worker.ObserveClock(h.ID, h.Born, h.ClockMillis)
 	c.executor.SetUpstream(h.Upstream)
 }
 
@@ -142,7 +142,7 @@
 	if up := c.executor.Upstream(); up.ID != "" {
 		return
 	}
-	c.attendant.deps.Log.WithField("worker", u.ID).WithField("born", u.Born).Info("worker restored from the registration")
+	c.supervisor.deps.Log.WithField("worker", u.ID).WithField("born", u.Born).Info("worker restored from the registration")
 	c.executor.SetUpstream(u)
 }
 
@@ -174,7 +174,7 @@
 	}
 	c.links[h.Entry] = l
 	c.entryByLink[l] = h.Entry
-	c.attendant.deps.Log.WithField("entry", h.Entry).Info("entry connected")
+	c.supervisor.deps.Log.WithField("entry", h.Entry).Info("entry connected")
 	c.executor.HandleHello(h)
 }
 
@@ -185,63 +185,63 @@
 	}
 	delete(c.entryByLink, l)
 	delete(c.links, name)
-	c.attendant.deps.Log.WithField("entry", name).Info("entry disconnected")
+	c.supervisor.deps.Log.WithField("entry", name).Info("entry disconnected")
 	c.executor.HandleLinkClosed(name)
 }
 
 // applyEffects applies the executor's pending effects.
 func (c *agentActor) applyEffects() {
-	a := c.attendant
+	s := c.supervisor
 	for _, e := range c.executor.TakeEffects() {
 		switch e := e.(type) {
 		case executor.Start:
 			c.metrics.starts.Inc()
-			c.callPool.run(func() { a.start(e) })
+			c.callPool.run(func() { s.start(e) })
 		case executor.Stop:
 			c.metrics.stops.Inc()
-			c.callPool.run(func() { a.stop(e) })
+			c.callPool.run(func() { s.stop(e) })
 		case executor.Poll:
 			c.metrics.polls.Inc()
-			c.callPool.run(func() { a.poll(e) })
+			c.callPool.run(func() { s.poll(e) })
 		case executor.SendReport:
 			c.metrics.reports.Inc()
 			if l := c.links[e.Entry]; l != nil {
 				l.Send(e.Report)
 			}
 		case executor.TickAfter:
-			a.deps.Clock.AfterFunc(e.Delay, func() { a.post(tick{}) })
+			s.deps.Clock.AfterFunc(e.Delay, func() { s.post(tick{}) })
 		case executor.Note:
 			c.metrics.countDecision(e.What)
-			a.logNote(e)
+			s.logNote(e)
 		}
 	}
 	c.metrics.reservedMillicores.Set(float64(c.executor.ReservedCapacity().CPU))
 }
 
-func (a *Attendant) start(s executor.Start) {
-	result, err := a.worker.Start(a.ctx, s)
+func (s *Supervisor) start(e executor.Start) {
+	result, err := s.worker.Start(s.ctx, e)
 	if err != nil {
-		a.deps.Log.WithError(err).WithField("task", s.Run.Task).WithField("run", s.Run.Number).WithField("token", s.Token).Warn("start failed")
+		s.deps.Log.WithError(err).WithField("task", e.Run.Task).WithField("run", e.Run.Number).WithField("token", e.Token).Warn("start failed")
 	}
-	a.post(startResult{start: s, result: result})
+	s.post(startResult{start: e, result: result})
 }
 
-func (a *Attendant) stop(s executor.Stop) {
-	if _, err := a.worker.Stop(a.ctx, s); err != nil {
-		a.deps.Log.WithError(err).WithField("task", s.Run.Task).WithField("run", s.Run.Number).Warn("stop failed")
+func (s *Supervisor) stop(e executor.Stop) {
+	if _, err := s.worker.Stop(s.ctx, e); err != nil {
+		s.deps.Log.WithError(err).WithField("task", e.Run.Task).WithField("run", e.Run.Number).Warn("stop failed")
 	}
 }
 
-func (a *Attendant) poll(p executor.Poll) {
-	result, callResult, err := a.worker.Poll(a.ctx, p)
-	if err != nil && a.ctx.Err() == nil {
-		a.deps.Log.WithError(err).WithField("worker", p.Upstream.ID).WithField("token", p.Token).Warn("poll failed")
+func (s *Supervisor) poll(p executor.Poll) {
+	result, callResult, err := s.worker.Poll(s.ctx, p)
+	if err != nil && s.ctx.Err() == nil {
+		s.deps.Log.WithError(err).WithField("worker", p.Upstream.ID).WithField("token", p.Token).Warn("poll failed")
 	}
-	a.post(pollResult{result: result, callResult: callResult})
+	s.post(pollResult{result: result, callResult: callResult})
 }
 
-func (a *Attendant) logNote(n executor.Note) {
-	a.deps.Log.WithFields(logrus.Fields{
+func (s *Supervisor) logNote(n executor.Note) {
+	s.deps.Log.WithFields(logrus.Fields{
 		"task":   n.Run.Task,
 		"run":    n.Run.Number,
 		"entry":  n.Owner,
--- a/attendant/actor_test.go
+++ b/supervisor/actor_test.go
@@ -1,4 +1,4 @@
-package attendant
+package supervisor
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 // The agent takes a later started worker for its own because of a heartbeat, until a poll
 // turns out to be misdirected; then its own worker announces that it drains.
 func TestDrainingWorkerIsHandledAfterAHeartbeatOfAnotherWorker(t *testing.T) {
-	c := newAgentActor(&Attendant{
+	c := newAgentActor(&Supervisor{
 		deps:            provider.NewDeps(io.Discard),
 		cfg:             Config{DrainTimeout: 2 * time.Second},
 		worker:          noWorker{},
@@ -62,7 +62,7 @@
 
 // TestReserveReachesTheExecutor guards against an actor that drops Reserve messages.
 func TestReserveReachesTheExecutor(t *testing.T) {
-	c := newAgentActor(&Attendant{
+	c := newAgentActor(&Supervisor{
 		deps:            provider.NewDeps(io.Discard),
 		worker:          noWorker{},
 		upstreamUpdates: make(chan messenger.Upstream, 1),
--- a/attendant/metrics.go
+++ b/supervisor/metrics.go
@@ -1,4 +1,4 @@
-package attendant
+package supervisor
 
 import (
 	"fmt"
--- a/attendant/attendant.go
+++ b/supervisor/supervisor.go
@@ -1,8 +1,8 @@
-// Package attendant implements the agent process: it runs beside one worker, receives
+// Package supervisor implements the agent process: it runs beside one worker, receives
 // placements from entries over links, and applies the effects that an executor decides
 // on. One actor owns the executor; everything else sends it typed messages through its
 // bounded mailbox.
-package attendant
+package supervisor
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"github.com/asynkron/protoactor-go/actor"
 	"github.com/oklog/run"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/executor"
 	"github.com/pomeloferry/pomeloferry/messenger"
 	"github.com/pomeloferry/pomeloferry/platform"
 	"github.com/pomeloferry/pomeloferry/provider"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 const (
@@ -79,8 +79,8 @@
 	DrainTimeout time.Duration
 }
 
-// Attendant is one agent process.
-type Attendant struct {
+// Supervisor is one agent process.
+type Supervisor struct {
 	deps      provider.Deps
 	cfg       Config
 	worker    WorkerClient
@@ -95,11 +95,11 @@
 	upstreamUpdates chan messenger.Upstream
 }
 
-// NewAttendant returns an agent whose listeners are open. It fails if an address cannot
+// NewSupervisor returns an agent whose listeners are open. It fails if an address cannot
 // be listened on.
-func NewAttendant(deps provider.Deps, cfg Config, w WorkerClient, d Directory) (*Attendant, error) {
+func NewSupervisor(deps provider.Deps, cfg Config, w WorkerClient, d Directory) (*Supervisor, error) {
 	now := deps.Clock.Now()
-	a := &Attendant{
+	s := &Supervisor{
 		deps:            deps.WithField("agent", cfg.ID).WithField("data_centre", cfg.DataCentre),
 		cfg:             cfg,
 		worker:          w,
@@ -112,152 +112,152 @@
 			Token:       uint64(now.UnixMilli()) * tokensPerMillisecond,
 		},
 	}
-	list, err := announcer.Listen(
-		announcer.Address{Setting: "Link", Addr: cfg.LinkAddr},
-		announcer.Address{Setting: "Control", Addr: cfg.ControlAddr},
-		announcer.Address{Setting: "Metrics", Addr: cfg.MetricsAddr},
+	list, err := server.Listen(
+		server.Address{Setting: "Link", Addr: cfg.LinkAddr},
+		server.Address{Setting: "Control", Addr: cfg.ControlAddr},
+		server.Address{Setting: "Metrics", Addr: cfg.MetricsAddr},
 	)
 	if err != nil {
 		return nil, err
 	}
-	a.listeners.link, a.listeners.control, a.listeners.metrics = list[0], list[1], list[2]
-	a.system = announcer.NewActorSystem(a.deps)
-	return a, nil
+	s.listeners.link, s.listeners.control, s.listeners.metrics = list[0], list[1], list[2]
+	s.system = server.NewActorSystem(s.deps)
+	return s, nil
 }
 
 // Run serves until ctx ends. It then waits within the grace period until the present
 // runs have ended, and returns.
-func (a *Attendant) Run(ctx context.Context) error {
+func (s *Supervisor) Run(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	a.ctx = runCtx
-	a.pid = a.system.Root.Spawn(actor.PropsFromProducer(
-		func() actor.Actor { return newAgentActor(a) },
+	s.ctx = runCtx
+	s.pid = s.system.Root.Spawn(actor.PropsFromProducer(
+		func() actor.Actor { return newAgentActor(s) },
 		actor.WithMailbox(actor.Bounded(mailboxSize)),
-		actor.WithDispatcher(announcer.NewDispatcher(runCtx)),
+		actor.WithDispatcher(server.NewDispatcher(runCtx)),
 	))
-	defer a.system.Shutdown()
-	control := &http.Server{Handler: platform.NewHeartbeatHandler(a), ReadHeaderTimeout: time.Second}
-	metrics := &http.Server{Handler: announcer.NewMetricsHandler(a.deps, a), ReadHeaderTimeout: time.Second}
+	defer s.system.Shutdown()
+	control := &http.Server{Handler: platform.NewHeartbeatHandler(s), ReadHeaderTimeout: time.Second}
+	metrics := &http.Server{Handler: server.NewMetricsHandler(s.deps, s), ReadHeaderTimeout: time.Second}
 
 	var g run.Group
-	g.Add(func() error { return a.drainOnShutdown(ctx, runCtx) }, func(error) { cancel() })
-	g.Add(func() error { return announcer.Serve(control, a.listeners.control) }, func(error) { _ = control.Close() })
-	g.Add(func() error { return announcer.Serve(metrics, a.listeners.metrics) }, func(error) { _ = metrics.Close() })
-	g.Add(func() error { return a.acceptLinks(runCtx) }, func(error) { _ = a.listeners.link.Close() })
-	g.Add(func() error { return a.tick(runCtx) }, func(error) { cancel() })
-	g.Add(func() error { return a.keepRegistered(runCtx) }, func(error) { cancel() })
-	a.deps.Log.WithField("link", a.cfg.LinkAddr).WithField("token", a.identity.Token).Info("agent started")
+	g.Add(func() error { return s.drainOnShutdown(ctx, runCtx) }, func(error) { cancel() })
+	g.Add(func() error { return server.Serve(control, s.listeners.control) }, func(error) { _ = control.Close() })
+	g.Add(func() error { return server.Serve(metrics, s.listeners.metrics) }, func(error) { _ = metrics.Close() })
+	g.Add(func() error { return s.acceptLinks(runCtx) }, func(error) { _ = s.listeners.link.Close() })
+	g.Add(func() error { return s.tick(runCtx) }, func(error) { cancel() })
+	g.Add(func() error { return s.keepRegistered(runCtx) }, func(error) { cancel() })
+	s.deps.Log.WithField("link", s.cfg.LinkAddr).WithField("token", s.identity.Token).Info("agent started")
 	err := g.Run()
-	a.deps.Log.Info("agent stopped")
+	s.deps.Log.Info("agent stopped")
 	return err
 }
 
 // drainOnShutdown waits for ctx to end. It then makes the executor refuse new runs, waits
 // until the present ones have ended or only gracePeriodMargin of the grace period
 // remains, and deregisters the agent.
-func (a *Attendant) drainOnShutdown(ctx, runCtx context.Context) error {
+func (s *Supervisor) drainOnShutdown(ctx, runCtx context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-runCtx.Done():
 		return nil
 	}
-	a.deps.Log.Info("agent draining")
-	a.post(shutdown{})
-	drainCtx, cancel := context.WithTimeout(runCtx, a.cfg.GracePeriod-gracePeriodMargin)
+	s.deps.Log.Info("agent draining")
+	s.post(shutdown{})
+	drainCtx, cancel := context.WithTimeout(runCtx, s.cfg.GracePeriod-gracePeriodMargin)
 	defer cancel()
 	for drainCtx.Err() == nil {
-		if idle, err := a.ask(idleQuery{}); err == nil && idle == true {
+		if idle, err := s.ask(idleQuery{}); err == nil && idle == true {
 			break
 		}
-		a.deps.Clock.Sleep(tickInterval)
+		s.deps.Clock.Sleep(tickInterval)
 	}
-	a.deps.Clock.Sleep(reportFlushDelay)
-	if err := a.directory.Deregister(runCtx); err != nil {
-		a.deps.Log.WithError(err).Warn("agent not deregistered")
+	s.deps.Clock.Sleep(reportFlushDelay)
+	if err := s.directory.Deregister(runCtx); err != nil {
+		s.deps.Log.WithError(err).Warn("agent not deregistered")
 	}
 	return nil
 }
 
-func (a *Attendant) acceptLinks(ctx context.Context) error {
+func (s *Supervisor) acceptLinks(ctx context.Context) error {
 	for {
-		conn, err := a.listeners.link.Accept()
+		conn, err := s.listeners.link.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
-			a.deps.Log.WithError(err).Warn("link not accepted")
-			a.deps.Clock.Sleep(tickInterval)
+			s.deps.Log.WithError(err).Warn("link not accepted")
+			s.deps.Clock.Sleep(tickInterval)
 			continue
 		}
-		messenger.NewLink(conn, a)
+		messenger.NewLink(conn, s)
 	}
 }
 
-func (a *Attendant) tick(ctx context.Context) error {
-	return announcer.Tick(ctx, a.deps.Clock, tickInterval, func() { a.post(tick{}) })
+func (s *Supervisor) tick(ctx context.Context) error {
+	return server.Tick(ctx, s.deps.Clock, tickInterval, func() { s.post(tick{}) })
 }
 
 // keepRegistered keeps the agent and its worker registered in the directory until ctx
 // ends. It first restores the worker that an earlier incarnation registered, if any.
-func (a *Attendant) keepRegistered(ctx context.Context) error {
-	up, err := a.directory.LastUpstream(ctx)
-	lastError := announcer.LogDependency(a.deps, "store", "", err)
+func (s *Supervisor) keepRegistered(ctx context.Context) error {
+	up, err := s.directory.LastUpstream(ctx)
+	lastError := server.LogDependency(s.deps, "store", "", err)
 	if up.Born != 0 {
-		a.post(upstreamRestored{upstream: up})
-		a.directory.SetUpstream(up)
+		s.post(upstreamRestored{upstream: up})
+		s.directory.SetUpstream(up)
 	}
 	for {
-		delay, err := a.directory.Renew(ctx)
-		lastError = announcer.LogDependency(a.deps, "store", lastError, err)
+		delay, err := s.directory.Renew(ctx)
+		lastError = server.LogDependency(s.deps, "store", lastError, err)
 		select {
 		case <-ctx.Done():
 			return nil
-		case up := <-a.upstreamUpdates:
-			a.directory.SetUpstream(up)
-		case <-a.deps.Clock.After(delay):
+		case up := <-s.upstreamUpdates:
+			s.directory.SetUpstream(up)
+		case <-s.deps.Clock.After(delay):
 		}
 	}
 }
 
 // publishUpstream makes keepRegistered register u. It replaces an update that is still
 // pending, and does not block.
-func (a *Attendant) publishUpstream(u messenger.Upstream) {
+func (s *Supervisor) publishUpstream(u messenger.Upstream) {
 	select {
-	case <-a.upstreamUpdates:
+	case <-s.upstreamUpdates:
 	default:
 	}
-	a.upstreamUpdates <- u
+	s.upstreamUpdates <- u
 }
 
 // post sends msg to the actor. It blocks while the mailbox is full.
-func (a *Attendant) post(msg any) { a.system.Root.Send(a.pid, msg) }
+func (s *Supervisor) post(msg any) { s.system.Root.Send(s.pid, msg) }
 
-func (a *Attendant) ask(query any) (any, error) {
-	return a.system.Root.RequestFuture(a.pid, query, askTimeout).Result()
+func (s *Supervisor) ask(query any) (any, error) {
+	return s.system.Root.RequestFuture(s.pid, query, askTimeout).Result()
 }
 
-// Dump implements announcer.Dumper.
-func (a *Attendant) Dump() (any, error) { return a.ask(dumpQuery{}) }
+// Dump implements server.Dumper.
+func (s *Supervisor) Dump() (any, error) { return s.ask(dumpQuery{}) }
 
 // Receive implements messenger.Handler.
-func (a *Attendant) Receive(l *messenger.Link, msg any) { a.post(linkMessage{link: l, msg: msg}) }
+func (s *Supervisor) Receive(l *messenger.Link, msg any) { s.post(linkMessage{link: l, msg: msg}) }
 
 // Closed implements messenger.Handler.
-func (a *Attendant) Closed(l *messenger.Link) { a.post(linkClosed{link: l}) }
+func (s *Supervisor) Closed(l *messenger.Link) { s.post(linkClosed{link: l}) }
 
 // HandleHeartbeat implements platform.HeartbeatReceiver.
-func (a *Attendant) HandleHeartbeat(h platform.Heartbeat) {
+func (s *Supervisor) HandleHeartbeat(h platform.Heartbeat) {
 	// The heartbeat must not be acknowledged before the actor has processed it.
-	if _, err := a.ask(heartbeat{h}); err != nil {
-		a.deps.Log.WithError(err).Warn("heartbeat not processed in time")
+	if _, err := s.ask(heartbeat{h}); err != nil {
+		s.deps.Log.WithError(err).Warn("heartbeat not processed in time")
 	}
 }
 
 // HandleDeparture implements platform.HeartbeatReceiver.
-func (a *Attendant) HandleDeparture(id string) { a.post(workerDeparted{id: id}) }
+func (s *Supervisor) HandleDeparture(id string) { s.post(workerDeparted{id: id}) }
 
 // HandleInvalid implements platform.HeartbeatReceiver.
-func (a *Attendant) HandleInvalid(err error) {
-	a.deps.Log.WithError(err).Warn("invalid heartbeat ignored")
+func (s *Supervisor) HandleInvalid(err error) {
+	s.deps.Log.WithError(err).Warn("invalid heartbeat ignored")
 }
--- a/registrar/registrar.go
+++ b/tracker/tracker.go
@@ -1,10 +1,10 @@
-// Package registrar tracks, at one entry, which other entries exist, which are alive,
+// Package tracker tracks, at one entry, which other entries exist, which are alive,
 // and which of them own partitions. Entries learn of each other from the platform's
 // store and from other entries; whether an entry is alive is decided by its heartbeats
 // alone.
 //
-// A Registrar is not safe for concurrent use.
-package registrar
+// A Tracker is not safe for concurrent use.
+package tracker
 
 import (
 	"cmp"
@@ -51,22 +51,22 @@
 	lastAdvertisedAt time.Time
 }
 
-// Registrar holds one entry's view of the other entries.
-type Registrar struct {
+// Tracker holds one entry's view of the other entries.
+type Tracker struct {
 	clock     clockwork.Clock
 	self      courier.EntryInfo
 	startedAt time.Time
-	// lastCallAt is when the registrar was last called; a gap longer than
+	// lastCallAt is when the tracker was last called; a gap longer than
 	// PauseThreshold means that no heartbeat could be received in the meantime.
 	lastCallAt time.Time
 	leaving    bool
 	members    map[string]*member
 }
 
-// NewRegistrar returns a registrar that knows only its own entry.
-func NewRegistrar(clock clockwork.Clock, self courier.EntryInfo) *Registrar {
+// NewTracker returns a tracker that knows only its own entry.
+func NewTracker(clock clockwork.Clock, self courier.EntryInfo) *Tracker {
 	now := clock.Now()
-	return &Registrar{
+	return &Tracker{
 		clock:      clock,
 		self:       self,
 		startedAt:  now,
@@ -77,14 +77,14 @@
 
 // discountPause does not count the time in which this process was paused as time
 // without heartbeats from the others.
-func (r *Registrar) discountPause() {
-	now := r.clock.Now()
-	gap := now.Sub(r.lastCallAt)
-	r.lastCallAt = now
+func (t *Tracker) discountPause() {
+	now := t.clock.Now()
+	gap := now.Sub(t.lastCallAt)
+	t.lastCallAt = now
 	if gap <= PauseThreshold {
 		return
 	}
-	for _, m := range r.members {
+	for _, m := range t.members {
 		m.lastAdvertisedAt = m.lastAdvertisedAt.Add(gap)
 		if !m.lastHeartbeatAt.IsZero() {
 			m.lastHeartbeatAt = m.lastHeartbeatAt.Add(gap)
@@ -93,54 +93,54 @@
 }
 
 // SetLeaving removes this entry from the view for good.
-func (r *Registrar) SetLeaving() { r.leaving = true }
+func (t *Tracker) SetLeaving() { t.leaving = true }
 
 // Leaving reports whether the planned stop of this entry has begun.
-func (r *Registrar) Leaving() bool { return r.leaving }
+func (t *Tracker) Leaving() bool { return t.leaving }
 
 // Ready reports whether this entry owns partitions.
-func (r *Registrar) Ready() bool {
-	return !r.leaving && r.clock.Since(r.startedAt) >= JoinDelay
+func (t *Tracker) Ready() bool {
+	return !t.leaving && t.clock.Since(t.startedAt) >= JoinDelay
 }
 
 // AddEntries records that entries exist and have just been advertised.
-func (r *Registrar) AddEntries(entries []courier.EntryInfo) {
-	r.discountPause()
+func (t *Tracker) AddEntries(entries []courier.EntryInfo) {
+	t.discountPause()
 	for _, e := range entries {
-		if e.ID == r.self.ID || e.ID == "" {
+		if e.ID == t.self.ID || e.ID == "" {
 			continue
 		}
-		m := r.members[e.ID]
+		m := t.members[e.ID]
 		if m == nil {
 			m = &member{}
-			r.members[e.ID] = m
+			t.members[e.ID] = m
 		}
 		m.info = e
-		m.lastAdvertisedAt = r.clock.Now()
+		m.lastAdvertisedAt = t.clock.Now()
 	}
 }
 
 // HandleHeartbeat records a heartbeat of another entry.
-func (r *Registrar) HandleHeartbeat(h courier.PeerHello) {
-	if h.Entry.ID == r.self.ID {
+func (t *Tracker) HandleHeartbeat(h courier.PeerHello) {
+	if h.Entry.ID == t.self.ID {
 		return
 	}
-	r.AddEntries([]courier.EntryInfo{h.Entry})
-	m := r.members[h.Entry.ID]
+	t.AddEntries([]courier.EntryInfo{h.Entry})
+	m := t.members[h.Entry.ID]
 	m.stamp = h.Stamp
 	m.incarnation = h.Incarnation
 	m.bundleVersion = h.BundleVersion
 	m.votersVersion = h.VotersVersion
 	m.ready = h.Ready
 	m.leaving = h.Leaving
-	m.lastHeartbeatAt = r.clock.Now()
+	m.lastHeartbeatAt = t.clock.Now()
 }
 
 // Stamp returns the current timestamp for heartbeats: the time since this entry started.
-func (r *Registrar) Stamp() time.Duration { return r.clock.Since(r.startedAt) }
+func (t *Tracker) Stamp() time.Duration { return t.clock.Since(t.startedAt) }
 
 // StampTime converts a timestamp of this entry to a time of its clock.
-func (r *Registrar) StampTime(stamp time.Duration) time.Time { return r.startedAt.Add(stamp) }
+func (t *Tracker) StampTime(stamp time.Duration) time.Time { return t.startedAt.Add(stamp) }
 
 // Echo holds the contents of the last heartbeat received from another entry: its
 // timestamp, the incarnation that sent it, and the versions in force there.
@@ -152,8 +152,8 @@
 }
 
 // Echo returns the Echo of an entry, which is zero before its first heartbeat.
-func (r *Registrar) Echo(entry string) Echo {
-	m := r.members[entry]
+func (t *Tracker) Echo(entry string) Echo {
+	m := t.members[entry]
 	if m == nil {
 		return Echo{}
 	}
@@ -161,29 +161,29 @@
 }
 
 // Tick evicts entries without a heartbeat or an advertisement within AddressTTL.
-func (r *Registrar) Tick() {
-	r.discountPause()
-	now := r.clock.Now()
-	for id, m := range r.members {
+func (t *Tracker) Tick() {
+	t.discountPause()
+	now := t.clock.Now()
+	for id, m := range t.members {
 		if now.Sub(m.lastHeartbeatAt) > AddressTTL && now.Sub(m.lastAdvertisedAt) > AddressTTL {
-			delete(r.members, id)
+			delete(t.members, id)
 		}
 	}
 }
 
-func (r *Registrar) alive(m *member) bool {
-	return r.clock.Since(m.lastHeartbeatAt) < AliveTimeout
+func (t *Tracker) alive(m *member) bool {
+	return t.clock.Since(m.lastHeartbeatAt) < AliveTimeout
 }
 
 // View returns the IDs of the entries that own partitions, sorted.
-func (r *Registrar) View() []string {
-	r.discountPause()
+func (t *Tracker) View() []string {
+	t.discountPause()
 	var out []string
-	if r.Ready() {
-		out = append(out, r.self.ID)
+	if t.Ready() {
+		out = append(out, t.self.ID)
 	}
-	for id, m := range r.members {
-		if r.alive(m) && m.ready && !m.leaving {
+	for id, m := range t.members {
+		if t.alive(m) && m.ready && !m.leaving {
 			out = append(out, id)
 		}
 	}
@@ -194,17 +194,17 @@
 // mayRun reports whether m may be running although it cannot be reached from here: a
 // heartbeat of it has arrived, it has not announced a planned stop, and it is still being
 // advertised.
-func (r *Registrar) mayRun(m *member) bool {
-	return !m.lastHeartbeatAt.IsZero() && !m.leaving && r.clock.Since(m.lastAdvertisedAt) < MayRunTimeout
+func (t *Tracker) mayRun(m *member) bool {
+	return !m.lastHeartbeatAt.IsZero() && !m.leaving && t.clock.Since(m.lastAdvertisedAt) < MayRunTimeout
 }
 
 // Peers returns the IDs of the other entries that are alive or may be running, sorted. A
 // leaving entry is included only while it is alive.
-func (r *Registrar) Peers() []string {
-	r.discountPause()
+func (t *Tracker) Peers() []string {
+	t.discountPause()
 	var out []string
-	for id, m := range r.members {
-		if r.alive(m) || r.mayRun(m) {
+	for id, m := range t.members {
+		if t.alive(m) || t.mayRun(m) {
 			out = append(out, id)
 		}
 	}
@@ -214,9 +214,9 @@
 
 // KnownEntries returns the other entries that have been advertised and not evicted,
 // sorted by ID.
-func (r *Registrar) KnownEntries() []courier.EntryInfo {
+func (t *Tracker) KnownEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
-	for _, m := range r.members {
+	for _, m := range t.members {
 		out = append(out, m.info)
 	}
 	slices.SortFunc(out, compareInfos)
@@ -225,13 +225,13 @@
 
 // AliveEntries returns this entry and the others that are alive, without leaving ones,
 // sorted by ID.
-func (r *Registrar) AliveEntries() []courier.EntryInfo {
+func (t *Tracker) AliveEntries() []courier.EntryInfo {
 	var out []courier.EntryInfo
-	if !r.leaving {
-		out = append(out, r.self)
+	if !t.leaving {
+		out = append(out, t.self)
 	}
-	for _, m := range r.members {
-		if r.alive(m) && !m.leaving {
+	for _, m := range t.members {
+		if t.alive(m) && !m.leaving {
 			out = append(out, m.info)
 		}
 	}
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"github.com/pomeloferry/pomeloferry/announcer"
 	"github.com/pomeloferry/pomeloferry/provider"
+	"github.com/pomeloferry/pomeloferry/server"
 )
 
 // AnnounceInterval is the time between two announcements to the agent.
@@ -186,7 +186,7 @@
 	mux.HandleFunc("GET /starts", func(rw http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(rw).Encode(w.Starts())
 	})
-	mux.Handle("GET /dump", announcer.NewDumpHandler(w))
+	mux.Handle("GET /dump", server.NewDumpHandler(w))
 	mux.HandleFunc("POST /behaviour", func(rw http.ResponseWriter, r *http.Request) {
 		var b Behaviour
 		if err := json.NewDecoder(r.Body).Decode(&b); err != nil {
