--- a/checker/fleet.go
+++ b/checker/fleet.go
@@ -15,7 +15,8 @@
 	dataCentres      map[string]bool
 	agentDataCentres []string
 	// services holds the services that the upstreams run. It is empty unless the
-	// settings list an upstream for each agent, since others announce themselves.
+	// settings list an upstream for each agent: an upstream that is not listed announces
+	// itself, so its services are not known from the settings.
 	services map[string]bool
 }
 
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -32,8 +32,8 @@
 }
 
 // reloadOnHangup reads and checks the settings file on each SIGHUP, which the platform
-// sends after a change, and logs whether the settings differ from those in use. These
-// stay in use: addresses are bound at the start, so that a change needs a restart.
+// sends after a change, and logs whether the settings differ from those in use. It does
+// not apply them: addresses are bound at the start, so that a change needs a restart.
 func reloadOnHangup(env *environment, deps provider.Deps, current platform.Settings) {
 	go func() {
 		for {
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -3,7 +3,7 @@
 // the answer, and decides how a new owner continues the submissions of a failed one.
 //
 // A Dispatcher is not safe for concurrent use. It performs no input or output: each
-// call adds Effects, which the caller takes with TakeEffects and carries out.
+// call adds Effects, which the caller takes with TakeEffects and applies.
 package dispatcher
 
 import (
@@ -61,7 +61,7 @@
 // Waiter identifies a caller that waits for the answer to a job.
 type Waiter uint64
 
-// Effect is an action that the caller of the Dispatcher carries out.
+// Effect is an action that the caller of the Dispatcher applies.
 type Effect interface{ effect() }
 
 // Send is the effect of sending Msg to the agent named To.
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -72,8 +72,8 @@
 	return courier.Load{Free: free, Mine: free, Seen: h.lastNumber[name]}
 }
 
-// applyEffects carries out the effects of the Dispatcher: claims are answered and
-// starts run.
+// applyEffects applies the effects of the Dispatcher: claims are answered and starts
+// run.
 func (h *harness) applyEffects() {
 	for effects := h.dispatcher.TakeEffects(); len(effects) > 0; effects = h.dispatcher.TakeEffects() {
 		for _, e := range effects {
--- a/dispatcher/fleet.go
+++ b/dispatcher/fleet.go
@@ -16,7 +16,7 @@
 	dataCentre string
 	services   []string
 	slots      int
-	// linked reports whether there is a link now; link is the number of the last one.
+	// linked is whether there is a link now; link is the number of the last one.
 	linked     bool
 	link       uint64
 	unlinkedAt time.Time
@@ -173,10 +173,10 @@
 	}
 }
 
-// pickBetterOfTwo draws two agents at random and returns the one of them with more free
-// slots that serves the service, which keeps several owners from making the same
-// choice. If neither of them serves it, the first agent of the set that does is
-// returned, or nil.
+// pickBetterOfTwo draws two agents at random and returns, of those that serve the
+// service, the one with more free slots. Drawing at random keeps several owners from
+// making the same choice. If neither of the two serves it, the first agent of the set
+// that does is returned, or nil.
 func (s *agentSet) pickBetterOfTwo(service string, rng *rand.Rand) *agent {
 	n := len(s.list)
 	if n == 0 {
--- a/dispatcher/partition.go
+++ b/dispatcher/partition.go
@@ -298,7 +298,7 @@
 	}
 }
 
-// replyMoved directs a caller to the owner of p. admitted tells whether the job was
+// replyMoved directs a caller to the owner of p. admitted is whether the job was
 // admitted here.
 func (d *Dispatcher) replyMoved(w Waiter, p router.Partition, admitted bool) {
 	d.reply(w, courier.Answer{State: courier.Moved, Owner: router.Owner(p, d.view), Admitted: admitted})
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -45,7 +45,7 @@
 	notifyAllDelay = 20 * time.Millisecond
 )
 
-// demandState is what the agents were last told about the waiting tasks.
+// demandState is what was last reported to the agents about the waiting tasks.
 type demandState struct {
 	waiting    int
 	reportedAt time.Time
--- a/executor/entry.go
+++ b/executor/entry.go
@@ -61,7 +61,7 @@
 // incarnation are cancelled, since their callers are disconnected.
 func (x *Executor) HandleHello(h messenger.Hello) {
 	now := x.clock.Now()
-	x.expireSilent(now)
+	x.expireTimedOut(now)
 	e := x.entries[h.Entry]
 	if e == nil {
 		e = &entry{name: h.Entry}
@@ -180,10 +180,10 @@
 	}
 }
 
-// expireSilent cancels the runs of entries that have timed out, so that their callers
+// expireTimedOut cancels the runs of entries that have timed out, so that their callers
 // may have the jobs run elsewhere. It also cancels orphans that no entry has claimed in
 // time.
-func (x *Executor) expireSilent(now time.Time) {
+func (x *Executor) expireTimedOut(now time.Time) {
 	for _, e := range slices.Clone(x.sortedEntries) {
 		if now.Sub(e.lastSeenAt) <= entryTimeout {
 			continue
@@ -250,8 +250,8 @@
 	}
 }
 
-// reportDue reports whether a report to an entry is due. Interval is the least time
-// between two reports of changed capacity.
+// reportDue reports whether a report to an entry is due. The interval is the minimum
+// time between two reports of changed capacity.
 func (x *Executor) reportDue(e *entry, interval time.Duration, now time.Time) bool {
 	since := now.Sub(e.reportedAt)
 	switch {
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -192,7 +192,7 @@
 // Tick handles everything that has come due: timeouts, retries, polls and heartbeats.
 func (x *Executor) Tick() {
 	now := x.clock.Now()
-	x.expireSilent(now)
+	x.expireTimedOut(now)
 	x.refuseExpired(now)
 	x.retryStops(now)
 	x.lapseExpired(now)
--- a/executor/poll.go
+++ b/executor/poll.go
@@ -45,8 +45,8 @@
 	return min(minPollRetryDelay<<min(max(s.unanswered-1, 0), doublings), maxPollRetryDelay)
 }
 
-// latestLeaseExpiry returns the time at which a lease that was asked for at t has
-// expired for certain.
+// latestLeaseExpiry returns the time at which a lease that was asked for at requestedAt
+// has expired for certain.
 func latestLeaseExpiry(requestedAt time.Time) time.Time {
 	maxDuration := time.Duration(float64(LeaseDuration) * (1 + leaseClockDrift))
 	return requestedAt.Add(maxDuration + leaseTransitMargin)
--- a/executor/run.go
+++ b/executor/run.go
@@ -19,8 +19,8 @@
 	running
 	// stopping runs have been sent a stop; they still hold their capacity.
 	stopping
-	// detached runs are at a worker that has been reported gone. They hold no capacity,
-	// and end with their leases unless the worker is found again.
+	// detached runs are at a worker in whose place another one has announced itself.
+	// They hold no capacity, and end with their leases unless the worker is found again.
 	detached
 )
 
@@ -146,7 +146,7 @@
 // holdsCapacity reports whether a run holds capacity at the present worker.
 func (r *run) holdsCapacity() bool { return r.phase != waiting && r.phase != detached }
 
-// lapseRunsOf ends every run of a worker that is certainly gone.
+// lapseRunsOf ends every run of a worker at whose address another one answers.
 func (x *Executor) lapseRunsOf(worker string) {
 	for _, r := range x.sortedRunsWhere(func(r *run) bool { return r.phase != waiting && r.worker == worker }) {
 		x.emit(Note{Run: r.Run, Owner: r.owner, Worker: worker, What: "run lost", Why: "another worker answers at its address"})
--- a/executor/start.go
+++ b/executor/start.go
@@ -153,7 +153,7 @@
 		return
 	}
 	now := x.clock.Now()
-	x.expireSilent(now)
+	x.expireTimedOut(now)
 	x.refuseExpired(now)
 	if x.leaseWithheld(now) {
 		return
@@ -288,7 +288,7 @@
 // of attempts, or leases are withheld.
 func (x *Executor) retryStart(r *run) {
 	now := x.clock.Now()
-	x.expireSilent(now)
+	x.expireTimedOut(now)
 	switch {
 	case r.cancelled:
 		x.refuse(r, messenger.RefusedWithdrawn)
--- a/executor/turn.go
+++ b/executor/turn.go
@@ -23,9 +23,9 @@
 
 // turnState is the state of the turns by which entries share scarce capacity. When
 // several entries have waiting tasks, capacity that becomes free is reported to one of
-// them at a time. If it were reported to all, the first would take it and the others
-// would be refused, whose tasks would have lost that time; and entries with many
-// callers would get no more of it than those with few.
+// them at a time. If it were reported to all, the first would take it and the tasks of
+// the others would be refused and have lost that time; and entries with many callers
+// would get no more of it than those with few.
 type turnState struct {
 	// holder is the entry whose turn it is; nil when there is none.
 	holder *entry
@@ -109,7 +109,7 @@
 }
 
 // recordReaction records how long an entry took to use the capacity that was reported
-// to it when its turn began. Echo is the timestamp of the last report that it had
+// to it when its turn began. The echo is the timestamp of the last report that it had
 // received. A placement that comes later than maxTurn was not prompted by the turn.
 func (x *Executor) recordReaction(e *entry, echo time.Duration) {
 	if e.turnTimestamp == 0 || echo < e.turnTimestamp {
--- a/receiver/core.go
+++ b/receiver/actor.go
@@ -15,7 +15,7 @@
 	"github.com/pomeloferry/pomeloferry/tracker"
 )
 
-// The messages of the core actor.
+// Messages to the entry's actor.
 type (
 	// tick triggers the periodic work.
 	tick struct{}
@@ -71,15 +71,15 @@
 	}
 )
 
-// link is the part of courier.Link that the core uses.
+// link is the part of courier.Link that the entry's actor uses.
 type link interface {
 	Send(msg any)
 	Close()
 }
 
-// core is the actor that owns the dispatcher and the view of the entries. It handles one
-// message at a time; its only input and output are messages and links.
-type core struct {
+// entryActor is the actor that owns the dispatcher and the view of the entries. It
+// handles one message at a time; its only input and output are messages and links.
+type entryActor struct {
 	deps        provider.Deps
 	cfg         Config
 	self        courier.EntryInfo
@@ -100,14 +100,14 @@
 	confirmer *confirmer.Confirmer
 }
 
-func newCore(deps provider.Deps, cfg Config, self courier.EntryInfo, onKnownEntries func([]courier.EntryInfo)) *core {
+func newEntryActor(deps provider.Deps, cfg Config, self courier.EntryInfo, onKnownEntries func([]courier.EntryInfo)) *entryActor {
 	d := dispatcher.NewDispatcher(deps.Clock, dispatcher.Config{
 		Entry:     cfg.ID,
 		Seed:      cfg.Seed,
 		Placement: cfg.Placement,
 		Order:     cfg.Order,
 	})
-	return &core{
+	return &entryActor{
 		deps:           deps,
 		cfg:            cfg,
 		self:           self,
@@ -124,14 +124,14 @@
 }
 
 // Receive implements actor.Actor.
-func (c *core) Receive(ctx actor.Context) {
+func (c *entryActor) Receive(ctx actor.Context) {
 	if answer := c.handle(ctx.Message()); answer != nil {
 		ctx.Respond(answer)
 	}
 }
 
 // handle handles one message and returns the answer if the message is a query.
-func (c *core) handle(msg any) any {
+func (c *entryActor) handle(msg any) any {
 	defer c.applyEffects()
 	switch m := msg.(type) {
 	case tick:
@@ -172,32 +172,32 @@
 	return nil
 }
 
-func (c *core) tick() {
+func (c *entryActor) tick() {
 	c.tracker.Tick()
 	c.refreshView()
 	c.refreshBundle()
 	c.dispatcher.Tick()
 }
 
-func (c *core) refreshView() {
+func (c *entryActor) refreshView() {
 	c.dispatcher.SetView(c.tracker.View(), c.tracker.Peers())
 	c.onKnownEntries(c.tracker.KnownEntries())
 }
 
-func (c *core) submit(m submitRequest) {
+func (c *entryActor) submit(m submitRequest) {
 	w := c.newWaiter(m.answer)
 	m.onWaiter(w)
 	m.request.Waiter = w
 	c.dispatcher.Submit(m.request)
 }
 
-func (c *core) newWaiter(answer func(courier.Answer)) dispatcher.Waiter {
+func (c *entryActor) newWaiter(answer func(courier.Answer)) dispatcher.Waiter {
 	c.lastWaiter++
 	c.answerFuncs[c.lastWaiter] = answer
 	return c.lastWaiter
 }
 
-func (c *core) query(job string, cancel bool) courier.Answer {
+func (c *entryActor) query(job string, cancel bool) courier.Answer {
 	if cancel {
 		return c.dispatcher.Cancel(job)
 	}
@@ -205,7 +205,7 @@
 }
 
 // receive handles a message from an accepted link.
-func (c *core) receive(l link, msg any) {
+func (c *entryActor) receive(l link, msg any) {
 	switch m := msg.(type) {
 	case *courier.Announce:
 		c.handleAnnounce(l, *m)
@@ -226,7 +226,7 @@
 }
 
 // handlePeerHello handles the heartbeat of another entry.
-func (c *core) handlePeerHello(h courier.PeerHello) {
+func (c *entryActor) handlePeerHello(h courier.PeerHello) {
 	c.tracker.HandleHeartbeat(h)
 	c.tracker.AddEntries(h.Entries)
 	c.refreshView()
@@ -246,7 +246,7 @@
 // peerHello returns the heartbeat for another entry. Its roster is complete for the
 // receiver once a heartbeat of the receiver has arrived here: from then on, an agent is
 // used only if the receiver knows it.
-func (c *core) peerHello(to string) courier.PeerHello {
+func (c *entryActor) peerHello(to string) courier.PeerHello {
 	roster, complete := c.dispatcher.Roster()
 	echo := c.tracker.Echo(to)
 	h := courier.PeerHello{
@@ -275,7 +275,7 @@
 
 // handleLinkClosed handles the closing of an accepted link. The jobs relayed over it
 // continue, since the entry that relayed them relays them again over a new link.
-func (c *core) handleLinkClosed(l link) {
+func (c *entryActor) handleLinkClosed(l link) {
 	a, ok := c.agentLinks[l]
 	if ok {
 		delete(c.agentLinks, l)
@@ -294,7 +294,7 @@
 }
 
 // applyEffects sends the messages and the answers that the dispatcher has decided on.
-func (c *core) applyEffects() {
+func (c *entryActor) applyEffects() {
 	for _, e := range c.dispatcher.TakeEffects() {
 		switch e := e.(type) {
 		case dispatcher.Send:
--- a/receiver/agents.go
+++ b/receiver/agents.go
@@ -12,7 +12,7 @@
 	bundleVersion uint64
 }
 
-func (c *core) receiveFromAgent(a agentLink, msg any) {
+func (c *entryActor) receiveFromAgent(a agentLink, msg any) {
 	switch m := msg.(type) {
 	case *courier.ClaimReply:
 		c.dispatcher.HandleClaimReply(a.name, a.number, *m)
@@ -31,7 +31,7 @@
 
 // handleAnnounce handles an agent's heartbeat and answers it. On a new link, the answer is
 // sent before any other message, since it identifies this entry.
-func (c *core) handleAnnounce(l link, an courier.Announce) {
+func (c *entryActor) handleAnnounce(l link, an courier.Announce) {
 	known, ok := c.agentLinks[l]
 	reply := c.announceReply(an)
 	if !ok {
@@ -53,7 +53,7 @@
 	c.dispatcher.AgentLinkUp(an)
 }
 
-func (c *core) announceReply(an courier.Announce) courier.AnnounceReply {
+func (c *entryActor) announceReply(an courier.Announce) courier.AnnounceReply {
 	confirmed := c.confirmer.ConfirmedAt()
 	bundle := c.confirmer.Bundle()
 	reply := courier.AnnounceReply{
--- a/receiver/bundle.go
+++ b/receiver/bundle.go
@@ -10,7 +10,7 @@
 )
 
 // handleBundleRead handles a read of the bundle and the voters from the store.
-func (c *core) handleBundleRead(m bundleRead) {
+func (c *entryActor) handleBundleRead(m bundleRead) {
 	old := c.confirmer.Bundle().Version
 	c.confirmer.HandleStoreRead(m.beganAt, m.signed, m.bundle, m.voters)
 	c.applyBundle(old, "store")
@@ -18,7 +18,7 @@
 
 // applyBundle logs the bundle in force if it is newer than version old, and passes it to
 // the dispatcher.
-func (c *core) applyBundle(old uint64, source string) {
+func (c *entryActor) applyBundle(old uint64, source string) {
 	if b := c.confirmer.Bundle(); b.Version != old {
 		c.deps.BundleVersion.Store(b.Version)
 		c.deps.Log.WithField("bundle_version", b.Version).WithField("source", source).Info("bundle in force")
@@ -26,13 +26,13 @@
 	c.refreshBundle()
 }
 
-func (c *core) refreshBundle() {
+func (c *entryActor) refreshBundle() {
 	c.dispatcher.SetBundle(c.confirmer.Bundle(), c.confirmer.ConfirmedAt().Add(starter.FreshnessLimit))
 }
 
 // adoptFromPeer adopts a newer bundle and a newer list of voters from a heartbeat. It
 // verifies the bundle's signature, since peers are not trusted to have done so.
-func (c *core) adoptFromPeer(h courier.PeerHello) {
+func (c *entryActor) adoptFromPeer(h courier.PeerHello) {
 	var voters confirmer.Voters
 	if len(h.Voters) > 0 && json.Unmarshal(h.Voters, &voters) == nil {
 		c.confirmer.AdoptVoters(voters)
@@ -54,7 +54,7 @@
 }
 
 // registration returns the registration of this entry.
-func (c *core) registration() Registration {
+func (c *entryActor) registration() Registration {
 	reg := Registration{
 		Entry:         c.self,
 		Incarnation:   c.incarnation,
--- a/receiver/bundle_test.go
+++ b/receiver/bundle_test.go
@@ -135,7 +135,7 @@
 	sim.store.takeOut(t, "graz")
 	sim.run(8*time.Second + inForceLimit)
 	for _, e := range sim.entries {
-		require.Equal(t, uint64(2), e.core.confirmer.Bundle().Version, e.proc.name)
+		require.Equal(t, uint64(2), e.actor.confirmer.Bundle().Version, e.proc.name)
 	}
 	for _, a := range sim.agents {
 		require.Equal(t, uint64(2), a.ledger.Dump().BundleVersion, a.id.Agent)
@@ -181,10 +181,10 @@
 	sim.run(time.Minute)
 	e := sim.addEntry("entry-4")
 	for _, other := range sim.entries[:3] {
-		e.addPeers([]courier.EntryInfo{other.core.self})
+		e.addPeers([]courier.EntryInfo{other.actor.self})
 	}
 	sim.run(inForceLimit)
-	require.Equal(t, uint64(2), e.core.confirmer.Bundle().Version)
+	require.Equal(t, uint64(2), e.actor.confirmer.Bundle().Version)
 	c := sim.submit("job", 3, 5, 200, 20*time.Second)
 	sim.run(20 * time.Second)
 	sim.check()
--- a/receiver/dump.go
+++ b/receiver/dump.go
@@ -31,7 +31,7 @@
 	Owner dispatcher.Dump
 }
 
-func (c *core) dump() Dump {
+func (c *entryActor) dump() Dump {
 	return Dump{
 		Entry:         c.self,
 		DataCentre:    c.cfg.DataCentre,
--- a/receiver/echo_test.go
+++ b/receiver/echo_test.go
@@ -20,16 +20,16 @@
 func TestRestartedEntryIsNotConfirmedByEchoesOfItsEarlierProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	deps := provider.NewDeps(io.Discard).WithClock(clock)
-	start := func(id string) *core {
-		return newCore(deps, Config{ID: id}, courier.EntryInfo{ID: id, Link: id}, func([]courier.EntryInfo) {})
+	start := func(id string) *entryActor {
+		return newEntryActor(deps, Config{ID: id}, courier.EntryInfo{ID: id, Link: id}, func([]courier.EntryInfo) {})
 	}
-	read := func(c *core) {
+	read := func(c *entryActor) {
 		c.handle(bundleRead{
 			bundle: simBundle(), beganAt: clock.Now(),
 			voters: confirmer.Voters{Version: 1, Entries: []string{"entry-1", "entry-2", "entry-3"}},
 		})
 	}
-	earlier, peers := start("entry-1"), []*core{start("entry-2"), start("entry-3")}
+	earlier, peers := start("entry-1"), []*entryActor{start("entry-2"), start("entry-3")}
 	clock.Advance(time.Hour)
 	for _, p := range peers {
 		read(p)
--- a/receiver/fault_test.go
+++ b/receiver/fault_test.go
@@ -133,7 +133,7 @@
 	for _, e := range sim.entries {
 		for _, p := range list {
 			if e.proc == p {
-				sim.after(0, func() { p.exec(func() { e.core.handle(drain{}) }) })
+				sim.after(0, func() { p.exec(func() { e.actor.handle(drain{}) }) })
 				return
 			}
 		}
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -109,7 +109,7 @@
 // request in flight has been answered, or after DrainTimeout.
 func (r *Receiver) Run(ctx context.Context) error {
 	props := actor.PropsFromProducer(
-		func() actor.Actor { return newCore(r.deps, r.cfg, r.self, r.peers.setEntries) },
+		func() actor.Actor { return newEntryActor(r.deps, r.cfg, r.self, r.peers.setEntries) },
 		actor.WithMailbox(actor.Bounded(mailboxSize)),
 	)
 	r.pid = r.system.Root.Spawn(props)
--- a/receiver/relay.go
+++ b/receiver/relay.go
@@ -10,7 +10,7 @@
 	id   uint64
 }
 
-func (c *core) handleRelay(l link, m courier.Relay) {
+func (c *entryActor) handleRelay(l link, m courier.Relay) {
 	key := relayKey{link: l, id: m.ID}
 	w := c.newWaiter(func(a courier.Answer) {
 		delete(c.relays, key)
@@ -20,7 +20,7 @@
 	c.dispatcher.Submit(newRequest(m.Submission, m.Resent, w))
 }
 
-func (c *core) handleRelayLeave(key relayKey) {
+func (c *entryActor) handleRelayLeave(key relayKey) {
 	w, ok := c.relays[key]
 	if !ok {
 		return
--- a/receiver/roster_test.go
+++ b/receiver/roster_test.go
@@ -275,7 +275,7 @@
 	sim.kill(sim.agents[0].proc)
 	sim.run(dispatcher.UnreachableAgentRetention + time.Minute)
 	for _, e := range sim.entries {
-		roster, _ := e.core.dispatcher.Roster()
+		roster, _ := e.actor.dispatcher.Roster()
 		require.Len(t, roster, 1, "%s", e.proc.name)
 	}
 }
--- a/receiver/simentry_test.go
+++ b/receiver/simentry_test.go
@@ -57,11 +57,11 @@
 	}
 }
 
-// simEntry is a simulated entry: a real core with simulated connections.
+// simEntry is a simulated entry: a real entryActor with simulated connections.
 type simEntry struct {
 	sim             *simulation
 	proc            *process
-	core            *core
+	actor           *entryActor
 	peers           map[string]*simPeer
 	beforeFirstRead bool
 }
@@ -84,9 +84,9 @@
 	}
 	_, trust := newSimKey()
 	cfg := Config{ID: id, DataCentre: "wien", Seed: uint64(len(sim.entries)), Trust: trust}
-	e.core = newCore(sim.deps, cfg, courier.EntryInfo{ID: id, Link: id + "@" + sim.clock.Now().String()}, e.addPeers)
+	e.actor = newEntryActor(sim.deps, cfg, courier.EntryInfo{ID: id, Link: id + "@" + sim.clock.Now().String()}, e.addPeers)
 	sim.entries = append(sim.entries, e)
-	sim.every(e.proc, TickInterval, func() { e.core.handle(tick{}) })
+	sim.every(e.proc, TickInterval, func() { e.actor.handle(tick{}) })
 	sim.every(e.proc, 100*time.Millisecond, e.dialPeers)
 	sim.every(e.proc, 500*time.Millisecond, e.sendHeartbeats)
 	sim.every(e.proc, bundlePollInterval, e.pollBundle)
@@ -100,7 +100,7 @@
 			continue
 		}
 		for _, other := range e.sim.entries {
-			if other.core.self == info {
+			if other.actor.self == info {
 				e.peers[info.Link] = &simPeer{target: other, pending: make(map[uint64]func(courier.Answer, bool))}
 			}
 		}
@@ -118,7 +118,7 @@
 func (e *simEntry) sortedPeers() []*simPeer {
 	var out []*simPeer
 	for _, other := range e.sim.entries {
-		if p := e.peers[other.core.self.Link]; p != nil {
+		if p := e.peers[other.actor.self.Link]; p != nil {
 			out = append(out, p)
 		}
 	}
@@ -141,20 +141,20 @@
 		}
 	}
 	p.target.accept(far)
-	near.Send(e.core.peerHello(p.id))
+	near.Send(e.actor.peerHello(p.id))
 }
 
 // accept serves the far end of a connection.
 func (e *simEntry) accept(end *simConnEnd) {
-	end.receive = func(msg any) { e.core.handle(linkMessage{link: end, msg: msg}) }
-	end.onClose = func() { e.core.handle(linkClosed{link: end}) }
+	end.receive = func(msg any) { e.actor.handle(linkMessage{link: end, msg: msg}) }
+	end.onClose = func() { e.actor.handle(linkClosed{link: end}) }
 }
 
 func (e *simEntry) receivePeer(p *simPeer, msg any) {
 	switch m := msg.(type) {
 	case *courier.PeerHello:
 		p.id = m.Entry.ID
-		e.core.handle(peerHeartbeat{hello: *m})
+		e.actor.handle(peerHeartbeat{hello: *m})
 	case *courier.RelayReply:
 		if f := p.pending[m.ID]; f != nil {
 			delete(p.pending, m.ID)
@@ -166,7 +166,7 @@
 func (e *simEntry) sendHeartbeats() {
 	for _, p := range e.sortedPeers() {
 		if p.end != nil {
-			p.end.Send(e.core.peerHello(p.id))
+			p.end.Send(e.actor.peerHello(p.id))
 		}
 	}
 }
@@ -176,9 +176,9 @@
 	if !s.reachable(e.proc) {
 		return
 	}
-	e.core.handle(bundleRead{signed: s.signed, bundle: s.bundle, voters: s.voters, beganAt: e.sim.clock.Now()})
+	e.actor.handle(bundleRead{signed: s.signed, bundle: s.bundle, voters: s.voters, beganAt: e.sim.clock.Now()})
 	if !e.beforeFirstRead {
-		s.list[e.proc.name] = e.core.registration()
+		s.list[e.proc.name] = e.actor.registration()
 		s.recordAccepted()
 	}
 }
@@ -196,8 +196,8 @@
 			msg.entries = append(msg.entries, reg.Entry)
 		}
 	}
-	e.core.handle(msg)
-	s.list[e.proc.name] = e.core.registration()
+	e.actor.handle(msg)
+	s.list[e.proc.name] = e.actor.registration()
 	s.voters, _ = nextVoters(s.voters, s.registrations(), e.proc.name, now)
 	s.recordAccepted()
 }
@@ -230,7 +230,7 @@
 }
 
 func (e *simEntry) routeOnce(s courier.Submission, resent bool, finish func(courier.Answer), retry func(courier.Answer, bool)) {
-	e.core.handle(submitRequest{
+	e.actor.handle(submitRequest{
 		request:  newRequest(s, resent, 0),
 		onWaiter: func(dispatcher.Waiter) {},
 		answer: func(a courier.Answer) {
--- a/receiver/store.go
+++ b/receiver/store.go
@@ -17,7 +17,8 @@
 const (
 	// BundleKey is the key of the signed bundle in the store.
 	BundleKey = "pomeloferry/bundle"
-	// VotersKey is the key of the list of registered entries.
+	// VotersKey is the key of the list of voters, the entries by whose majority a
+	// bundle is accepted.
 	VotersKey = "pomeloferry/voters"
 	// EntriesPrefix is the prefix of the keys of the registrations.
 	EntriesPrefix = "pomeloferry/entries/"
--- a/scheduler/rackload_test.go
+++ b/scheduler/rackload_test.go
@@ -18,8 +18,8 @@
 	// rackShare is the share of the short wide jobs whose data is on the rack.
 	rackShare = 0.6
 	rackLabel = "rack-1"
-	// maxLoss is the maximum share of jobs by which the choice may be worse than
-	// placing far at once.
+	// maxLoss is the maximum share of jobs by which choosing between near and far
+	// workers may be worse than placing far at once.
 	maxLoss = 0.01
 )
 
@@ -74,8 +74,9 @@
 		// workers.
 		load      float64
 		farFactor float64
-		// minSaved is the minimum share, of the jobs for the rack that are late with far
-		// at once, that must be in time with the choice.
+		// minSaved applies to the jobs for the rack that are late when tasks are placed
+		// far at once. It is the minimum share of them that must be in time when the
+		// scheduler chooses between near and far workers.
 		minSaved float64
 	}{
 		{0.6, 2, 0.5},
--- a/server/diagnostics.go
+++ b/server/diagnostics.go
@@ -1,6 +1,6 @@
-// Package server holds what the processes share to serve requests and to make
-// their state visible: listeners, an HTTP server with graceful shutdown, the set-up of
-// actors and their log, handlers for metrics, and state dumps over HTTP and on a
+// Package server provides what entry and agent processes share to serve requests and to
+// expose their state: listeners, an HTTP server with graceful shutdown, the set-up of
+// actors and their log, a handler for metrics, and state dumps over HTTP and on a
 // signal.
 package server
 
--- a/server/graceful.go
+++ b/server/graceful.go
@@ -55,8 +55,8 @@
 	return g
 }
 
-// Serve serves until the server is closed, which is no error. If the server is drained
-// before, Serve returns when ctx ends, so that it does not end a run group early.
+// Serve serves until the server is closed, which is no error. Once Drain has closed the
+// listener, it returns only when ctx ends, so that it does not end a run group early.
 func (g *GracefulServer) Serve(ctx context.Context) error {
 	err := Serve(g.server, g.listener)
 	g.mu.Lock()
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -75,8 +75,9 @@
 	}
 }
 
-// discountPause does not count the time in which this process was paused as time
-// without heartbeats from the others.
+// discountPause detects a pause of this process. It moves the recorded times forward by
+// the length of the pause, so that the pause does not count as time without heartbeats
+// from the others.
 func (t *Tracker) discountPause() {
 	now := t.clock.Now()
 	gap := now.Sub(t.lastCallAt)
@@ -92,7 +93,8 @@
 	}
 }
 
-// SetLeaving removes this entry from the view for good.
+// SetLeaving records that the planned stop of this entry has begun. It removes the entry
+// from its own view for good.
 func (t *Tracker) SetLeaving() { t.leaving = true }
 
 // Leaving reports whether the planned stop of this entry has begun.
