--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -1,7 +1,9 @@
 // Package acceptor implements the entry process: it accepts callers' requests, keeps
 // links to the agents, follows the operators' directives, and applies the effects that
 // a scheduler decides on. One actor owns the scheduler; everything else sends it typed
-// messages through its bounded mailbox.
+// messages through its bounded mailbox. The package belongs to the deployment on the
+// platform's machines (pomeloferry serve entry); package scheduler makes its
+// decisions.
 package acceptor
 
 import (
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,7 +1,9 @@
 // Package agent implements the process that runs beside each upstream. It receives the
 // upstream's announcements, keeps links to the entries, and starts the tasks that a
 // starter.Ledger admits. One actor owns the ledger; the links, the runner of tasks and the
-// HTTP API send it typed messages through its bounded mailbox.
+// HTTP API send it typed messages through its bounded mailbox. The package belongs to
+// the deployment described by a settings file (pomeloferry agent); package starter
+// makes its decisions.
 package agent
 
 import (
--- a/courier/courier.go
+++ b/courier/courier.go
@@ -2,7 +2,9 @@
 // Messages are sent as JSON-RPC notifications over one TCP connection, a Link. A Link
 // delivers in order and at most once. When the connection fails, or nothing arrives for
 // longer than IdleTimeout, the Link closes for good, and the process that dialled it opens
-// a new one.
+// a new one. The package belongs to the deployment described by a settings file,
+// whose processes are packages receiver and agent; package messenger uses its Sender
+// and TimeoutConn.
 package courier
 
 import (
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,6 +1,8 @@
 // Package dispatcher handles the submissions whose partitions an entry owns: it decides
 // on admission, queues their tasks, chooses the agent that starts each task, determines
 // the answer, and decides how a new owner continues the submissions of a failed one.
+// The package decides for package receiver, the entry process of the deployment
+// described by a settings file.
 //
 // A Dispatcher is not safe for concurrent use. It performs no input or output: each
 // call adds Effects, which the caller takes with TakeEffects and applies.
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -1,7 +1,8 @@
 // Package executor decides, for one agent, which runs start and stop on its worker and
 // which are known to have ended. Runs have leases, which the agent renews. The package
 // does no input or output and reads time from a clock interface. It returns effects,
-// which the agent process applies.
+// which the agent process applies. The package decides for package supervisor, the
+// agent process of the deployment on the platform's machines.
 package executor
 
 import (
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -1,6 +1,7 @@
 // Package messenger defines the messages between entries and agents and the links that
 // carry them. The number in a field's tag identifies the field on the wire; its meaning
-// never changes.
+// never changes. The package belongs to the deployment on the platform's machines,
+// whose processes are packages acceptor and supervisor.
 package messenger
 
 import "time"
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -2,7 +2,8 @@
 // forwards each to the entry that owns its partition, and applies the decisions of a
 // dispatcher.Dispatcher on the submissions owned here. One actor owns the dispatcher and
 // the view of the other entries; everything else sends it typed messages through its
-// bounded mailbox.
+// bounded mailbox. The package belongs to the deployment described by a settings file
+// (pomeloferry entry); package dispatcher makes its decisions on submissions.
 package receiver
 
 import (
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,7 +1,8 @@
 // Package scheduler makes an entry's decisions on jobs: which jobs are admitted, in
 // which order tasks are placed on which workers, what is refused, and what is run again
 // elsewhere. It does no input or output and reads the time from a clock interface. It
-// returns effects, which the entry process applies.
+// returns effects, which the entry process applies. The package decides for package
+// acceptor, the entry process of the deployment on the platform's machines.
 //
 // The entry that admits a job owns it. A caller whose connection broke sends the job
 // again only after a time within which every run of a lost owner has ended, and within
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -1,10 +1,11 @@
 // Package starter decides, at the agent beside each upstream, which tasks start. A
 // Ledger determines whether a task has started: it keeps a record of each task from the
 // start until after the task's deadline, so that a start that is sent again does not
-// run again.
+// run again. The package decides for package agent, the agent process of the
+// deployment described by a settings file.
 //
 // A Ledger is not safe for concurrent use. It performs no input or output: each call
-// adds Effects, which the caller takes with TakeEffects and carries out.
+// adds Effects, which the caller takes with TakeEffects and applies.
 package starter
 
 import (
@@ -51,7 +52,7 @@
 	Leaving bool
 }
 
-// Effect is an action that the caller of the Ledger carries out.
+// Effect is an action that the caller of the Ledger applies.
 type Effect interface{ effect() }
 
 // Send is the effect of sending Msg to the entry named To.
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -1,7 +1,8 @@
 // Package supervisor implements the agent process: it runs beside one worker, receives
 // placements from entries over links, and applies the effects that an executor decides
 // on. One actor owns the executor; everything else sends it typed messages through its
-// bounded mailbox.
+// bounded mailbox. The package belongs to the deployment on the platform's machines
+// (pomeloferry serve agent); package executor makes its decisions.
 package supervisor
 
 import (
