--- a/scheduler/speed_test.go
+++ b/scheduler/speed_test.go
@@ -15,46 +15,46 @@
 )
 
 const (
-	// fastSlow and usualSlow stretch the work on a quarter of the workers and on
+	// fastWorkFactor and normalWorkFactor stretch the work on a quarter of the workers and on
 	// the others.
-	fastSlow  = 1 / 1.8
-	usualSlow = 1 / 0.83
-	// unevenRoom is the factor of load that takes all room of an uneven fleet of
+	fastWorkFactor   = 1 / 1.8
+	normalWorkFactor = 1 / 0.83
+	// unevenFullLoad is the factor of load that takes all room of an uneven fleet of
 	// twelve workers.
-	unevenRoom = 1.79
+	unevenFullLoad = 1.79
 )
 
 // newUnevenWorld returns a world with a fleet of which a quarter is fast.
-func newUnevenWorld(t testing.TB, seed uint64) *world {
-	w := newWorld(t, seed, 3, 12, cores)
+func newUnevenWorld(t testing.TB, seed uint64) *simulation {
+	w := newSimulation(t, seed, 3, 12, cores)
 	for i, a := range w.agents {
-		a.worker.slow = usualSlow
+		a.worker.slowdown = normalWorkFactor
 		if i%4 == 0 {
-			a.worker.slow = fastSlow
+			a.worker.slowdown = fastWorkFactor
 		}
 	}
 	return w
 }
 
-// speedPlay is a load on a fleet whose workers differ in speed.
-type speedPlay struct {
+// speedScenario is a load on a fleet whose workers differ in speed.
+type speedScenario struct {
 	name  string
-	world func(t testing.TB, seed uint64) *world
+	world func(t testing.TB, seed uint64) *simulation
 	// load is the factor of load for 8 s.
 	load float64
 	// change happens after 3 s; nil for none.
-	change func(w *world)
+	change func(w *simulation)
 	// seeds are firstSeed and the ones after it.
 	firstSeed, seeds uint64
 }
 
 // run plays one seed.
-func (p speedPlay) run(t testing.TB, seed uint64, withoutSpeeds bool) summary {
+func (p speedScenario) run(t testing.TB, seed uint64, withoutSpeeds bool) summary {
 	w := p.world(t, seed)
 	w.withoutSpeeds = withoutSpeeds
 	w.load(8*time.Second, p.load)
 	if p.change != nil {
-		w.after(3*time.Second, func() { p.change(w) })
+		w.schedule(3*time.Second, func() { p.change(w) })
 	}
 	w.run(12 * time.Second)
 	w.check()
@@ -65,7 +65,7 @@
 }
 
 // sum plays all seeds and returns the sum.
-func (p speedPlay) sum(t *testing.T, withoutSpeeds bool) summary {
+func (p speedScenario) sum(t *testing.T, withoutSpeeds bool) summary {
 	all := make([]summary, p.seeds)
 	t.Run(fmt.Sprintf("without speeds %t", withoutSpeeds), func(t *testing.T) {
 		for i := range p.seeds {
@@ -84,20 +84,20 @@
 }
 
 // slowFrom makes one worker slower.
-func slowFrom(agent int, slow float64) func(w *world) {
-	return func(w *world) { w.agents[agent].worker.slow = slow }
+func slowFrom(agent int, slow float64) func(w *simulation) {
+	return func(w *simulation) { w.agents[agent].worker.slowdown = slow }
 }
 
 // newEvenWorld returns a world with a fleet of equal workers.
-func newEvenWorld(t testing.TB, seed uint64) *world { return newWorld(t, seed, 3, 11, cores) }
+func newEvenWorld(t testing.TB, seed uint64) *simulation { return newSimulation(t, seed, 3, 11, cores) }
 
 // TestFastWorkersHaveRoomForAllJobs guards against jobs that are late on slow workers, or
 // on workers whose agents have restarted, while there is room for all of them.
 func TestFastWorkersHaveRoomForAllJobs(t *testing.T) {
 	const fewest = 0.995
-	tests := []speedPlay{
-		{"three fifths of the room", newUnevenWorld, 0.6 * unevenRoom, nil, 600, 6},
-		{"agents of fast workers restart", newUnevenWorld, 0.8 * unevenRoom, func(w *world) {
+	tests := []speedScenario{
+		{"three fifths of the room", newUnevenWorld, 0.6 * unevenFullLoad, nil, 600, 6},
+		{"agents of fast workers restart", newUnevenWorld, 0.8 * unevenFullLoad, func(w *simulation) {
 			w.agents[0].kill(100 * time.Millisecond)
 			w.agents[4].kill(100 * time.Millisecond)
 		}, 700, 4},
@@ -106,7 +106,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := tt.sum(t, false)
 			require.Zero(t, s.failed)
-			require.GreaterOrEqual(t, float64(s.inAim), fewest*float64(s.all))
+			require.GreaterOrEqual(t, float64(s.inTime), fewest*float64(s.all))
 		})
 	}
 }
@@ -116,15 +116,15 @@
 // speeds left out of the reports.
 func TestSpeedsBringMoreJobsInTime(t *testing.T) {
 	tests := []struct {
-		speedPlay
+		speedScenario
 		// gain is the least share of the jobs not in time without speeds that must be
 		// in time with them.
 		gain float64
 	}{
 		// Fast workers are full as well, and what they can take is bounded by their room.
-		{speedPlay{"a quarter is fast, and all room is taken", newUnevenWorld, unevenRoom, nil, 600, 6}, 0.1},
+		{speedScenario{"a quarter is fast, and all room is taken", newUnevenWorld, unevenFullLoad, nil, 600, 6}, 0.1},
 		// The other workers have room for what the slow one does late.
-		{speedPlay{"a worker turns slow", newEvenWorld, 0.9 * 1.53, slowFrom(4, 2.2), 700, 4}, 0.2},
+		{speedScenario{"a worker turns slow", newEvenWorld, 0.9 * 1.53, slowFrom(4, 2.2), 700, 4}, 0.2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -135,12 +135,12 @@
 	}
 }
 
-// TestSpeedThatIsNoLongerTrueDoesNoHarm guards against jobs that are sent to a worker as a
+// TestOutdatedSpeedDoesNoHarm guards against jobs that are sent to a worker as a
 // fast one after it has become the slowest. The same seeds are played with the speeds left
 // out of the reports. The number of jobs not in time varies between plays by its square
 // root at least, which is allowed for.
-func TestSpeedThatIsNoLongerTrueDoesNoHarm(t *testing.T) {
-	p := speedPlay{"a fast worker turns slow", newUnevenWorld, 0.9 * unevenRoom, slowFrom(4, 1.8), 700, 4}
+func TestOutdatedSpeedDoesNoHarm(t *testing.T) {
+	p := speedScenario{"a fast worker turns slow", newUnevenWorld, 0.9 * unevenFullLoad, slowFrom(4, 1.8), 700, 4}
 	with, without := p.sum(t, false), p.sum(t, true)
 	require.Zero(t, with.failed)
 	missed := float64(without.missed())
@@ -151,18 +151,18 @@
 // while 4% of the starts are not answered, which held up every fourth of the short
 // wide jobs by half of what it has to spare.
 func TestLostAnswersToStartsDelayJobsLittle(t *testing.T) {
-	w := newWorld(t, 800, 3, 11, cores)
+	w := newSimulation(t, 800, 3, 11, cores)
 	for _, a := range w.agents {
-		a.worker.lostShare = 0.04
+		a.worker.unansweredShare = 0.04
 	}
 	w.load(10*time.Second, 0.5*1.53)
 	w.run(14 * time.Second)
 	w.check()
-	require.Empty(t, w.repeated)
+	require.Empty(t, w.rerunAfterDone)
 	var beyond []time.Duration
 	for _, r := range w.results {
-		if r.got && r.answer.Outcome == scheduler.Complete && len(r.job.Steps) == 1 && r.job.Steps[0].Count == kinds[0].tasks {
-			beyond = append(beyond, r.took-w.longest(r.job))
+		if r.got && r.answer.Outcome == scheduler.Complete && len(r.job.Steps) == 1 && r.job.Steps[0].Count == jobKinds[0].tasks {
+			beyond = append(beyond, r.took-w.longestTask(r.job))
 		}
 	}
 	slices.Sort(beyond)
@@ -181,14 +181,14 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", 900+seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 900+seed, 3, 7, cores)
+			w := newSimulation(t, 900+seed, 3, 7, cores)
 			for i, a := range w.agents {
-				a.worker.lostShare = 0.05 * float64(i)
+				a.worker.unansweredShare = 0.05 * float64(i)
 			}
 			w.load(6*time.Second, 0.6)
 			for range 6 {
 				at := time.Duration(w.rng.Int64N(int64(6 * time.Second)))
-				w.after(at, fault(w, 200*time.Millisecond+time.Duration(w.rng.Int64N(int64(2*time.Second)))))
+				w.schedule(at, fault(w, 200*time.Millisecond+time.Duration(w.rng.Int64N(int64(2*time.Second)))))
 			}
 			w.run(12 * time.Second)
 			w.check()
@@ -198,52 +198,52 @@
 }
 
 // speedReport returns a report of an agent in a fleet of four, with a speed.
-func speedReport(b *bench, agent string, speed float64) messenger.Report {
-	r := report(agent, 0)
+func speedReport(b *fixture, agent string, speed float64) messenger.Report {
+	r := newReport(agent, 0)
 	r.Upstream = nil
-	r.Echo = b.clock.Since(b.opened[agent])
+	r.Echo = b.clock.Since(b.linkOpenedAt[agent])
 	r.Speed, r.SpeedJobs = speed, 16
 	return r
 }
 
 // newSpeedBench returns a scheduler whose agents have told of their speeds: d is
 // fast.
-func newSpeedBench(t *testing.T) *bench {
-	b := newBench(t)
+func newSpeedBench(t *testing.T) *fixture {
+	b := newFixture(t)
 	for _, a := range []string{"a", "b", "c", "d"} {
-		b.open(a)
+		b.connect(a)
 	}
-	b.tell(0.83, 0.83, 0.83, 1.8)
+	b.reportSpeeds(0.83, 0.83, 0.83, 1.8)
 	return b
 }
 
-// tell has agents a, b and so on tell of their speeds, which are then compared.
-func (b *bench) tell(speeds ...float64) {
+// reportSpeeds has agents a, b and so on tell of their speeds, which are then compared.
+func (b *fixture) reportSpeeds(speeds ...float64) {
 	for i, v := range speeds {
-		b.s.Report(speedReport(b, string(rune('a'+i)), v))
+		b.s.HandleReport(speedReport(b, string(rune('a'+i)), v))
 	}
 	b.clock.Advance(100 * time.Millisecond)
 	for i := range speeds {
 		r := speedReport(b, string(rune('a'+i)), 0)
 		r.SpeedJobs = 0
-		b.s.Report(r)
+		b.s.HandleReport(r)
 	}
 	b.s.Tick()
 	b.drain()
 }
 
-// fill takes the room of agents but for some of it.
-func (b *bench) fill(left int, agents ...string) {
+// reportFree takes the room of agents but for some of it.
+func (b *fixture) reportFree(left int, agents ...string) {
 	for _, a := range agents {
 		r := speedReport(b, a, 0)
 		r.Free = messenger.Resources{CPU: left, Memory: 64_000}
-		b.s.Report(r)
+		b.s.HandleReport(r)
 	}
 	b.drain()
 }
 
-// relative returns the speeds of the agents as they are used.
-func (b *bench) relative() []float64 {
+// relativeSpeeds returns the speeds of the agents as they are used.
+func (b *fixture) relativeSpeeds() []float64 {
 	var out []float64
 	for _, a := range b.s.Dump().Agents {
 		out = append(out, a.Speed)
@@ -251,10 +251,10 @@
 	return out
 }
 
-// agents returns where the last messages place tasks.
-func (b *bench) agents() []string {
+// placedAgents returns where the last messages place tasks.
+func (b *fixture) placedAgents() []string {
 	var out []string
-	for _, e := range b.s.Drain() {
+	for _, e := range b.s.TakeEffects() {
 		if m, ok := e.(scheduler.Send); ok {
 			if _, ok := m.Message.(messenger.Place); ok {
 				out = append(out, m.Agent)
@@ -269,20 +269,20 @@
 func TestFasterWorkerIsTakenWhenNothingWaits(t *testing.T) {
 	b := newSpeedBench(t)
 	b.s.Submit(1, b.job(jobID, 2))
-	require.Equal(t, []string{"d"}, b.agents())
+	require.Equal(t, []string{"d"}, b.placedAgents())
 }
 
 // TestJobWithSlackLeavesFastWorkersToOthersThatWait guards against fast workers that are
 // full of jobs which any worker would have done in time.
 func TestJobWithSlackLeavesFastWorkersToOthersThatWait(t *testing.T) {
 	b := newSpeedBench(t)
-	b.fill(1000, "a", "b", "c", "d")
+	b.reportFree(1000, "a", "b", "c", "d")
 	large := b.job("0000000000000002", 1)
 	large.Steps[0].Demand.CPU = 30_000
 	b.s.Submit(2, large)
-	b.fill(7000, "a", "d")
+	b.reportFree(7000, "a", "d")
 	b.s.Submit(1, b.job(jobID, 2))
-	require.Equal(t, []string{"a"}, b.agents())
+	require.Equal(t, []string{"a"}, b.placedAgents())
 }
 
 // TestJobThatNeedsAFastWorkerIsPlacedThereFirst guards against a fast worker that takes
@@ -299,17 +299,17 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newSpeedBench(t)
-			b.fill(1000, "a", "b", "c", "d")
+			b.reportFree(1000, "a", "b", "c", "d")
 			needs := b.job("0000000000000002", 2)
 			needs.Steps[0].Estimate = 300 * time.Millisecond
 			b.s.Submit(2, needs)
 			b.clock.Advance(130 * time.Millisecond)
-			b.fill(1000, "a", "b", "c", "d")
+			b.reportFree(1000, "a", "b", "c", "d")
 			b.s.Submit(1, b.job(jobID, 2))
 			b.drain()
 			r := speedReport(b, tt.agent, 0)
 			r.Free = messenger.Resources{CPU: 7000, Memory: 64_000}
-			b.s.Report(r)
+			b.s.HandleReport(r)
 			require.Equal(t, tt.first, b.drain()[0].(messenger.Place).Job)
 		})
 	}
@@ -321,21 +321,21 @@
 	for _, agent := range []string{"a", "d"} {
 		t.Run(agent, func(t *testing.T) {
 			b := newSpeedBench(t)
-			b.fill(1000, "a", "b", "c", "d")
+			b.reportFree(1000, "a", "b", "c", "d")
 			j := b.job(jobID, 2)
 			j.Steps[0].Estimate = 300 * time.Millisecond
 			b.s.Submit(1, j)
 			// Its patience is 144 ms.
 			b.clock.Advance(150 * time.Millisecond)
-			b.fill(1000, "a", "b", "c", "d")
+			b.reportFree(1000, "a", "b", "c", "d")
 			b.s.Tick()
 			b.drain()
 			require.Empty(t, b.replies)
 			b.clock.Advance(40 * time.Millisecond)
 			r := speedReport(b, agent, 0)
 			r.Free = messenger.Resources{CPU: 7000, Memory: 64_000}
-			b.s.Report(r)
-			require.Equal(t, agent == "d", len(b.agents()) > 0)
+			b.s.HandleReport(r)
+			require.Equal(t, agent == "d", len(b.placedAgents()) > 0)
 			b.clock.Advance(200 * time.Millisecond)
 			b.s.Tick()
 			b.drain()
@@ -360,23 +360,23 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			for _, a := range []string{"a", "b", "c", "d"} {
-				b.open(a)
+				b.connect(a)
 			}
-			b.tell(1, 1, 1, tt.speed)
-			b.fill(1000, "a", "b", "c")
-			j := b.lasting()
+			b.reportSpeeds(1, 1, 1, tt.speed)
+			b.reportFree(1000, "a", "b", "c")
+			j := b.longJob()
 			j.Steps[0].Estimate = 500 * time.Millisecond
 			b.s.Submit(1, j)
-			require.Equal(t, []string{"d"}, b.agents())
+			require.Equal(t, []string{"d"}, b.placedAgents())
 			b.clock.Advance(500 * time.Millisecond)
-			b.fill(1000, "a", "b", "c")
+			b.reportFree(1000, "a", "b", "c")
 			r := speedReport(b, "d", 0)
 			r.AckedPlace = 1
 			r.ConsecutiveFailedJobs = 2
 			r.Runs = []messenger.Progress{{Run: messenger.Run{Task: jobID + ".0.0.0", Number: 1}, Percent: tt.percent, Age: 500 * time.Millisecond}}
-			b.s.Report(r)
+			b.s.HandleReport(r)
 			b.s.Tick()
 			withdrawn := false
 			for _, m := range b.drain() {
@@ -388,17 +388,17 @@
 	}
 }
 
-// TestWorkersThatDoNotDifferAreServedAsBefore guards against choosing by the error of
+// TestEqualWorkersAreNotChosenBySpeed guards against choosing by the error of
 // the estimates, which are off by 40% either way, where all workers are as fast.
-func TestWorkersThatDoNotDifferAreServedAsBefore(t *testing.T) {
+func TestEqualWorkersAreNotChosenBySpeed(t *testing.T) {
 	for _, n := range []int{4, 11, 26} {
 		for _, jobs := range []int{4, 8, 16} {
 			took := 0
 			const fleets = 100
 			for seed := range uint64(fleets) {
 				b := newFleetBench(t, n)
-				b.tellFleet(seed, jobs, func(int) float64 { return 0.9 })
-				if slices.ContainsFunc(b.relative(), func(v float64) bool { return v != 1 }) {
+				b.reportSampledSpeeds(seed, jobs, func(int) float64 { return 0.9 })
+				if slices.ContainsFunc(b.relativeSpeeds(), func(v float64) bool { return v != 1 }) {
 					took++
 				}
 			}
@@ -421,8 +421,8 @@
 			const seeds = 50
 			for seed := range uint64(seeds) {
 				b := newFleetBench(t, 24)
-				b.tellFleet(seed, 16, speed)
-				if slices.ContainsFunc(b.relative(), func(v float64) bool { return v != 1 }) {
+				b.reportSampledSpeeds(seed, 16, speed)
+				if slices.ContainsFunc(b.relativeSpeeds(), func(v float64) bool { return v != 1 }) {
 					found++
 				}
 			}
@@ -433,26 +433,26 @@
 }
 
 // newFleetBench returns a scheduler with n agents.
-func newFleetBench(t *testing.T, n int) *bench {
-	b := newBench(t)
+func newFleetBench(t *testing.T, n int) *fixture {
+	b := newFixture(t)
 	for i := range n {
-		b.open(string(rune('a' + i)))
+		b.connect(string(rune('a' + i)))
 	}
 	return b
 }
 
-// tellFleet has agents tell of speeds that are the mean of as many jobs, whose
+// reportSampledSpeeds has agents tell of speeds that are the mean of as many jobs, whose
 // estimates are off by up to 40%.
-func (b *bench) tellFleet(seed uint64, jobs int, speed func(i int) float64) {
+func (b *fixture) reportSampledSpeeds(seed uint64, jobs int, speed func(i int) float64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	for i := range len(b.opened) {
+	for i := range len(b.linkOpenedAt) {
 		var sum float64
 		for range jobs {
 			sum += math.Log(speed(i) * (0.6 + 0.8*rng.Float64()))
 		}
 		r := speedReport(b, string(rune('a'+i)), math.Exp(sum/float64(jobs)))
 		r.SpeedJobs = jobs
-		b.s.Report(r)
+		b.s.HandleReport(r)
 	}
 	b.clock.Advance(100 * time.Millisecond)
 	b.s.Tick()
@@ -463,13 +463,13 @@
 // one wrong estimate.
 func TestSpeedWithFewJobsBehindItDoesNotCount(t *testing.T) {
 	b := newSpeedBench(t)
-	require.InDelta(t, 1.8/0.83, b.relative()[3], 0.01)
+	require.InDelta(t, 1.8/0.83, b.relativeSpeeds()[3], 0.01)
 	r := speedReport(b, "d", 1.8)
 	r.SpeedJobs = 3
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.clock.Advance(100 * time.Millisecond)
 	b.s.Tick()
-	require.InDelta(t, 1, b.relative()[3], 0)
+	require.InDelta(t, 1, b.relativeSpeeds()[3], 0)
 }
 
 // TestSpeedOfAnAgentThatRestartsIsForgotten guards against a speed that nobody measures
@@ -477,39 +477,39 @@
 func TestSpeedOfAnAgentThatRestartsIsForgotten(t *testing.T) {
 	tests := []struct {
 		name    string
-		restart func(b *bench)
+		restart func(b *fixture)
 	}{
-		{"the agent", func(b *bench) { b.open("d") }},
-		{"the worker", func(b *bench) {
-			r := report("d", 0)
+		{"the agent", func(b *fixture) { b.connect("d") }},
+		{"the worker", func(b *fixture) {
+			r := newReport("d", 0)
 			r.Upstream.Born = 2
-			b.s.Report(r)
+			b.s.HandleReport(r)
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newSpeedBench(t)
-			require.Greater(t, b.relative()[3], 2.0)
+			require.Greater(t, b.relativeSpeeds()[3], 2.0)
 			tt.restart(b)
-			require.InDelta(t, 1, b.relative()[3], 0)
+			require.InDelta(t, 1, b.relativeSpeeds()[3], 0)
 			b.clock.Advance(100 * time.Millisecond)
 			b.s.Tick()
-			require.InDelta(t, 1, b.relative()[3], 0)
+			require.InDelta(t, 1, b.relativeSpeeds()[3], 0)
 		})
 	}
 }
 
-// TestJobThatIsToStayWholeIsNotSplit guards against a job that is left to fast workers and
+// TestJobDeferredToFastWorkerIsNotSplit guards against a job that is left to fast workers and
 // refused, since one that can take all of its tasks has no room to spare beside them.
-func TestJobThatIsToStayWholeIsNotSplit(t *testing.T) {
+func TestJobDeferredToFastWorkerIsNotSplit(t *testing.T) {
 	b := newSpeedBench(t)
-	b.fill(1000, "a", "b", "c", "d")
+	b.reportFree(1000, "a", "b", "c", "d")
 	j := b.job(jobID, 4)
 	j.Steps[0].Estimate = 300 * time.Millisecond
 	b.s.Submit(1, j)
 	// Its patience is 144 ms.
 	b.clock.Advance(150 * time.Millisecond)
-	b.fill(1000, "a", "b", "c", "d")
+	b.reportFree(1000, "a", "b", "c", "d")
 	b.s.Tick()
 	b.drain()
 	require.Empty(t, b.replies)
@@ -517,7 +517,7 @@
 	r := speedReport(b, "d", 0)
 	// Room for five tasks leaves less than what counts as spare.
 	r.Free = messenger.Resources{CPU: 5 * j.Steps[0].Demand.CPU, Memory: 64_000}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	places := b.drain()
 	require.Len(t, places, 1)
 	require.Len(t, places[0].(messenger.Place).Tasks, 4)
--- a/scheduler/withdrawn_test.go
+++ b/scheduler/withdrawn_test.go
@@ -10,13 +10,13 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// leftBehind has a job of one task placed at an agent, whose caller then leaves,
+// withdrawnRun has a job of one task placed at an agent, whose caller then leaves,
 // and returns the run.
-func (b *bench) leftBehind() messenger.Run {
-	b.open("a")
-	b.open("b")
-	run := b.handIn(1, b.job(jobID, 1))
-	b.s.Leave(1)
+func (b *fixture) withdrawnRun() messenger.Run {
+	b.connect("a")
+	b.connect("b")
+	run := b.submitPlaced(1, b.job(jobID, 1))
+	b.s.CallerLeft(1)
 	require.Equal(b.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, b.drain())
 	return run
 }
@@ -24,47 +24,47 @@
 func TestJobSentAgainWaitsUntilTheRunsOfItsLastTryAreOver(t *testing.T) {
 	tests := []struct {
 		name string
-		over func(b *bench, run messenger.Run)
+		over func(b *fixture, run messenger.Run)
 		run  int
 	}{
-		{"stopped", func(b *bench, run messenger.Run) {
-			r := report("a", 1)
+		{"stopped", func(b *fixture, run messenger.Run) {
+			r := newReport("a", 1)
 			r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunStopped}}
-			b.s.Report(r)
+			b.s.HandleReport(r)
 		}, 2},
-		{"refused", func(b *bench, run messenger.Run) {
-			r := report("a", 1)
+		{"refused", func(b *fixture, run messenger.Run) {
+			r := newReport("a", 1)
 			r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.RefusedWithdrawn}}
-			b.s.Report(r)
+			b.s.HandleReport(r)
 		}, 2},
-		{"not at its agent on the next link", func(b *bench, run messenger.Run) {
-			b.s.Closed("a")
-			b.s.Opened("a")
-			r := report("a", 0)
+		{"not at its agent on the next link", func(b *fixture, run messenger.Run) {
+			b.s.LinkClosed("a")
+			b.s.LinkOpened("a")
+			r := newReport("a", 0)
 			r.RunsComplete = true
 			r.Runs = []messenger.Progress{{Run: run, Percent: 50}}
-			b.s.Report(r)
+			b.s.HandleReport(r)
 			require.Equal(b.t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, b.drain())
 			r.Runs = nil
-			b.s.Report(r)
+			b.s.HandleReport(r)
 		}, 2},
-		{"agent lost", func(b *bench, _ messenger.Run) {
-			b.s.Closed("a")
+		{"agent lost", func(b *fixture, _ messenger.Run) {
+			b.s.LinkClosed("a")
 			for range 5 {
 				b.clock.Advance(260 * time.Millisecond)
-				b.beat("b", 0)
+				b.heartbeat("b", 0)
 			}
 			b.s.Tick()
 		}, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
-			run := b.leftBehind()
-			b.s.Submit(2, b.lasting())
+			b := newFixture(t)
+			run := b.withdrawnRun()
+			b.s.Submit(2, b.longJob())
 			require.Empty(t, b.drain(), "run 1 may go on")
 			b.clock.Advance(100 * time.Millisecond)
-			b.s.Report(report("b", 0))
+			b.s.HandleReport(newReport("b", 0))
 			b.s.Tick()
 			require.Empty(t, b.drain(), "run 1 may still go on")
 			tt.over(b, run)
@@ -75,30 +75,30 @@
 }
 
 func TestWithdrawnRunThatARestartedAgentFoundIsWithdrawnAgain(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	run := b.handIn(1, b.lasting())
-	b.s.Closed("a")
-	b.s.Leave(1)
+	b := newFixture(t)
+	b.connect("a")
+	run := b.submitPlaced(1, b.longJob())
+	b.s.LinkClosed("a")
+	b.s.CallerLeft(1)
 	b.drain()
-	b.relinked("a", messenger.Progress{Run: run})
+	b.reconnectRestarted("a", messenger.Progress{Run: run})
 	require.Equal(t, []any{messenger.Withdraw{Runs: []messenger.Run{run}}}, b.drain())
 }
 
 func TestTaskThatWasDoneInTheLastTryIsNotRunAgain(t *testing.T) {
-	b := newBench(t)
-	run := b.leftBehind()
+	b := newFixture(t)
+	run := b.withdrawnRun()
 	b.s.Submit(2, b.job(jobID, 1))
-	r := report("a", 1)
+	r := newReport("a", 1)
 	r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunDone}}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	require.Empty(t, b.drain())
 	require.Equal(t, scheduler.Complete, b.replies[2].Outcome)
 }
 
 func TestRefusalOfAJobWhoseLastTryMayHaveRunDoesNotSayThatItHasNotRun(t *testing.T) {
-	b := newBench(t)
-	b.leftBehind()
+	b := newFixture(t)
+	b.withdrawnRun()
 	j := b.job(jobID, 1)
 	j.Deadline = b.clock.Now().Add(20 * time.Millisecond)
 	b.s.Submit(2, j)
@@ -107,13 +107,13 @@
 }
 
 func TestRefusalOfARunThatWasThereBeforeDoesNotTellThatTheJobHasNotRun(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
+	b := newFixture(t)
+	b.connect("a")
 	b.s.Submit(1, b.job(jobID, 1))
 	b.drain()
-	r := report("a", 1)
+	r := newReport("a", 1)
 	r.Refused = []messenger.Refusal{{Run: b.placed().Tasks[0].Run, Reason: messenger.RefusedSuperseded}}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.clock.Advance(1500 * time.Millisecond)
 	b.s.Tick()
 	b.drain()
@@ -121,21 +121,21 @@
 }
 
 func TestJobWhoseTaskFailedTooOftenLeavesNoRunBehind(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	b.s.Submit(1, b.lasting())
+	b := newFixture(t)
+	b.connect("a")
+	b.s.Submit(1, b.longJob())
 	b.drain()
 	seen := uint64(0)
 	for len(b.replies) == 0 {
 		run := b.placed().Tasks[0].Run
 		seen++
-		r := report("a", seen)
+		r := newReport("a", seen)
 		r.Ended = []messenger.RunEnd{{Run: run, Reason: messenger.RunFailed}}
-		b.s.Report(r)
+		b.s.HandleReport(r)
 		b.drain()
 		for len(b.replies) == 0 && len(b.sent) == 0 {
 			b.clock.Advance(100 * time.Millisecond)
-			b.s.Report(report("a", seen))
+			b.s.HandleReport(newReport("a", seen))
 			b.s.Tick()
 			b.drain()
 		}
@@ -143,22 +143,22 @@
 	// Its record has gone; the caller sends the job again.
 	b.clock.Advance(16 * time.Second)
 	b.s.Tick()
-	b.s.Report(report("a", seen))
+	b.s.HandleReport(newReport("a", seen))
 	b.drain()
-	b.s.Submit(2, b.lasting())
+	b.s.Submit(2, b.longJob())
 	b.drain()
 	require.NotEmpty(t, b.sent, "all runs of the last try have ended")
 }
 
 func TestRunThatARestartedAgentFoundHasBegunItsJob(t *testing.T) {
-	b := newBench(t)
-	b.open("a")
-	run := b.handIn(1, b.job(jobID, 1))
-	b.s.Closed("a")
-	r := b.relinked("a", messenger.Progress{Run: run})
+	b := newFixture(t)
+	b.connect("a")
+	run := b.submitPlaced(1, b.job(jobID, 1))
+	b.s.LinkClosed("a")
+	r := b.reconnectRestarted("a", messenger.Progress{Run: run})
 	r.Refused = []messenger.Refusal{{Run: run, Reason: messenger.RefusedNoRoom}}
 	r.Free = messenger.Resources{}
-	b.s.Report(r)
+	b.s.HandleReport(r)
 	b.clock.Advance(400 * time.Millisecond)
 	b.s.Tick()
 	b.drain()
--- a/soaker/deployment_test.go
+++ b/soaker/deployment_test.go
@@ -276,7 +276,7 @@
 	}
 }
 
-// lastRun is where and when a task last began.
+// lastRunNumber is where and when a task last began.
 type lastRun struct {
 	at     time.Time
 	worker string
--- a/soaker/proxy_test.go
+++ b/soaker/proxy_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// carryOut carries what the target sends.
+// applyEffects carries what the target sends.
 func (p *proxy) carryOut(c *pair) {
 	defer p.close(c)
 	buf := make([]byte, 16<<10)
--- a/soaker/watcher_test.go
+++ b/soaker/watcher_test.go
@@ -23,7 +23,7 @@
 const (
 	// evacuateWithin is how long after an evacuation tasks may still start.
 	evacuateWithin = 5 * time.Second
-	// resendAfter is the time after which a caller sends a job again.
+	// minResendDelay is the time after which a caller sends a job again.
 	resendAfter = 1300 * time.Millisecond
 	// callerPatience is how long a caller waits for its answer.
 	callerPatience = 3 * time.Second
