--- a/messenger/link.go
+++ b/messenger/link.go
@@ -53,7 +53,7 @@
 	handler Handler
 }
 
-// NewLink starts a link over socket. The link closes socket when it ends.
+// NewLink starts a link over conn. The link closes conn when it ends.
 func NewLink(conn net.Conn, h Handler) *Link {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		// Data still in flight when a link is closed must not arrive later.
--- a/messenger/link_test.go
+++ b/messenger/link_test.go
@@ -13,17 +13,17 @@
 
 // inbox collects what arrives on a link and records when it closes.
 type inbox struct {
-	got    chan any
-	closed chan struct{}
+	received chan any
+	closed   chan struct{}
 }
 
-func newInbox() *inbox { return &inbox{got: make(chan any, 100), closed: make(chan struct{})} }
+func newInbox() *inbox { return &inbox{received: make(chan any, 100), closed: make(chan struct{})} }
 
-func (h *inbox) Receive(_ *messenger.Link, msg any) { h.got <- msg }
+func (h *inbox) Receive(_ *messenger.Link, msg any) { h.received <- msg }
 func (h *inbox) Closed(*messenger.Link)             { close(h.closed) }
 
-// pair returns the two ends of a link and their handlers.
-func pair(t *testing.T) (a, b *messenger.Link, ha, hb *inbox) {
+// newLinkPair returns the two ends of a link and their handlers.
+func newLinkPair(t *testing.T) (a, b *messenger.Link, ha, hb *inbox) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -31,9 +31,9 @@
 	ha, hb = newInbox(), newInbox()
 	a, err = messenger.Dial(context.Background(), listener.Addr().String(), ha)
 	require.NoError(t, err)
-	socket, err := listener.Accept()
+	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	b = messenger.NewLink(socket, hb)
+	b = messenger.NewLink(accepted, hb)
 	t.Cleanup(func() {
 		a.Close()
 		b.Close()
@@ -42,21 +42,21 @@
 }
 
 func TestMessagesArriveWholeAndInOrder(t *testing.T) {
-	a, b, ha, hb := pair(t)
-	up := messenger.Upstream{ID: "w", Born: 17, Service: "s", DataCentre: "d", Labels: []string{"x"}, Capacity: messenger.Resources{CPU: 1, Memory: 2, GPU: 3}, Draining: true, Remaining: time.Second}
+	a, b, ha, hb := newLinkPair(t)
+	upstream := messenger.Upstream{ID: "w", Born: 17, Service: "s", DataCentre: "d", Labels: []string{"x"}, Capacity: messenger.Resources{CPU: 1, Memory: 2, GPU: 3}, Draining: true, Remaining: time.Second}
 	run := messenger.Run{Task: "j.0.0.1", Number: 2}
-	down := []any{
-		messenger.Hello{Entry: "e", Incarnation: 3, Upstream: up},
+	toAgent := []any{
+		messenger.Hello{Entry: "e", Incarnation: 3, Upstream: upstream},
 		messenger.Place{Number: 1, Job: "j", Spec: "spec", Service: "s", MaxWait: time.Millisecond, Echo: 5, Tasks: []messenger.Task{{Run: run, Demand: messenger.Resources{CPU: 3100}, Estimate: time.Second}}},
 		messenger.Withdraw{Runs: []messenger.Run{run}},
 		messenger.Reserve{Number: 4, Demand: messenger.Resources{CPU: 16_000}, TTL: time.Second},
 		messenger.Heartbeat{Timestamp: 7, Echo: 8, HeldJobs: messenger.HeldJobs{Running: []string{"j"}, Yielding: []string{"k"}, Finished: []string{"l"}}},
 	}
-	for _, m := range down {
+	for _, m := range toAgent {
 		a.Send(m)
 	}
-	back := messenger.Report{
-		Agent: "a", DataCentre: "d", Incarnation: 1, Timestamp: 2, Echo: 3, AckedPlace: 4, Upstream: &up, Free: messenger.Resources{CPU: -5}, UnansweredCalls: 6, ConsecutiveFailedJobs: 7,
+	report := messenger.Report{
+		Agent: "a", DataCentre: "d", Incarnation: 1, Timestamp: 2, Echo: 3, AckedPlace: 4, Upstream: &upstream, Free: messenger.Resources{CPU: -5}, UnansweredCalls: 6, ConsecutiveFailedJobs: 7,
 		Pace: 0.5, PaceJobs: 3, ConnectedEntries: 2, Leaving: true, RunsComplete: true,
 		Forecast: []messenger.Resources{{}, {CPU: 1}}, ReservationNumber: 4,
 		Backfill: messenger.Backfill{Resources: messenger.Resources{CPU: 2}, Window: time.Millisecond},
@@ -65,20 +65,20 @@
 		Refused:  []messenger.Refusal{{Run: run, Reason: messenger.RefusedNoRoom}},
 		HeldJobs: &messenger.HeldJobs{Running: []string{"j"}, Yielding: []string{"k"}, Finished: []string{"l"}},
 	}
-	b.Send(back)
-	none := messenger.Report{Agent: "a", HeldJobs: &messenger.HeldJobs{}}
-	b.Send(none)
-	require.Equal(t, &back, <-ha.got)
-	require.Equal(t, &none, <-ha.got)
-	require.Equal(t, down[0], *(<-hb.got).(*messenger.Hello))
-	require.Equal(t, down[1], *(<-hb.got).(*messenger.Place))
-	require.Equal(t, down[2], *(<-hb.got).(*messenger.Withdraw))
-	require.Equal(t, down[3], *(<-hb.got).(*messenger.Reserve))
-	require.Equal(t, down[4], *(<-hb.got).(*messenger.Heartbeat))
+	b.Send(report)
+	emptyReport := messenger.Report{Agent: "a", HeldJobs: &messenger.HeldJobs{}}
+	b.Send(emptyReport)
+	require.Equal(t, &report, <-ha.received)
+	require.Equal(t, &emptyReport, <-ha.received)
+	require.Equal(t, toAgent[0], *(<-hb.received).(*messenger.Hello))
+	require.Equal(t, toAgent[1], *(<-hb.received).(*messenger.Place))
+	require.Equal(t, toAgent[2], *(<-hb.received).(*messenger.Withdraw))
+	require.Equal(t, toAgent[3], *(<-hb.received).(*messenger.Reserve))
+	require.Equal(t, toAgent[4], *(<-hb.received).(*messenger.Heartbeat))
 }
 
 func TestLinkClosesForBothWhenOneCloses(t *testing.T) {
-	a, b, ha, hb := pair(t)
+	a, b, ha, hb := newLinkPair(t)
 	a.Close()
 	<-ha.closed
 	<-hb.closed
@@ -86,7 +86,7 @@
 }
 
 func TestSilentLinkCloses(t *testing.T) {
-	_, _, ha, _ := pair(t)
+	_, _, ha, _ := newLinkPair(t)
 	select {
 	case <-ha.closed:
 	case <-time.After(20 * messenger.IdleTimeout):
@@ -104,17 +104,17 @@
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer listener.Close()
-			socket, err := net.Dial("tcp", listener.Addr().String())
+			conn, err := net.Dial("tcp", listener.Addr().String())
 			require.NoError(t, err)
-			defer socket.Close()
-			in, err := listener.Accept()
+			defer conn.Close()
+			accepted, err := listener.Accept()
 			require.NoError(t, err)
 			h := newInbox()
-			messenger.NewLink(in, h)
-			_, err = socket.Write(raw)
+			messenger.NewLink(accepted, h)
+			_, err = conn.Write(raw)
 			require.NoError(t, err)
 			<-h.closed
-			require.Empty(t, h.got)
+			require.Empty(t, h.received)
 		})
 	}
 }
--- a/scheduler/longtask_test.go
+++ b/scheduler/longtask_test.go
@@ -9,8 +9,8 @@
 // a lost agent.
 func TestNoLongTaskRunsTwiceAtOnce(t *testing.T) {
 	tests := []struct {
-		name string
-		harm func(w *simulation, a *simAgent)
+		name        string
+		injectFault func(w *simulation, a *simAgent)
 	}{
 		{"link cut, stops delayed", func(w *simulation, a *simAgent) {
 			a.worker.lateStopsUntil = w.clock.Now().Add(2 * time.Second)
@@ -35,7 +35,7 @@
 				w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(2)], jobKind{tasks: 2, work: 3 * time.Second, cpu: 3100}) })
 			}
 			for at := time.Second; at < 8*time.Second; at += time.Second {
-				w.schedule(at, func() { tt.harm(w, w.anyAgent()) })
+				w.schedule(at, func() { tt.injectFault(w, w.anyAgent()) })
 			}
 			w.run(16 * time.Second)
 			t.Logf("%d tasks ran twice at once, %+v", len(w.duplicates), w.summary())
--- a/scheduler/rackload_test.go
+++ b/scheduler/rackload_test.go
@@ -23,11 +23,11 @@
 	maxLoss = 0.01
 )
 
-// newRackWorld returns a simulation in which the first workers are on the rack.
-func newRackWorld(t testing.TB, seed uint64, entries int, far float64, aware bool) *simulation {
+// newRackSimulation returns a simulation in which the first workers are on the rack.
+func newRackSimulation(t testing.TB, seed uint64, entries int, farFactor float64, farFactorKnown bool) *simulation {
 	w := newSimulation(t, seed, entries, fleetWorkers, cores)
-	w.farFactor = far
-	w.farFactorKnown = aware
+	w.farFactor = farFactor
+	w.farFactorKnown = farFactorKnown
 	for _, a := range w.agents[:rackWorkers] {
 		a.worker.up.Labels = []string{rackLabel}
 		a.core.SetUpstream(a.worker.up)
@@ -41,21 +41,21 @@
 
 // rackLoad submits jobs that take a share of the capacity of all workers, for the given
 // time. The data of most of the short wide jobs is on the rack.
-func (w *simulation) rackLoad(span time.Duration, room float64) {
+func (w *simulation) rackLoad(duration time.Duration, load float64) {
 	perSecond := []float64{34.4, 6.25, 100}
 	var work float64
 	for i, k := range jobKinds {
 		work += perSecond[i] * float64(k.tasks) * k.work.Seconds() * float64(k.cpu)
 	}
-	factor := room * fleetWorkers * cores / work
+	factor := load * fleetWorkers * cores / work
 	for i, k := range jobKinds {
 		gap := time.Duration(float64(time.Second) / (perSecond[i] * factor))
-		for at := time.Duration(w.rng.Int64N(int64(gap))); at < span; at += time.Duration(float64(gap) * (0.5 + w.rng.Float64())) {
-			asked := k
+		for at := time.Duration(w.rng.Int64N(int64(gap))); at < duration; at += time.Duration(float64(gap) * (0.5 + w.rng.Float64())) {
+			drawn := k
 			if i == 0 && w.rng.Float64() < rackShare {
-				asked.rack = rackLabel
+				drawn.rack = rackLabel
 			}
-			w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(len(w.entries))], asked) })
+			w.schedule(at, func() { w.submit(w.entries[w.rng.IntN(len(w.entries))], drawn) })
 		}
 	}
 }
@@ -70,13 +70,13 @@
 		seeds = 1
 	}
 	tests := []struct {
-		// room is the share of all workers' capacity that the jobs would take on near
+		// load is the share of all workers' capacity that the jobs would take on near
 		// workers.
-		room float64
-		far  float64
-		// saved is the minimum share, of the jobs for the rack that are late with far
+		load      float64
+		farFactor float64
+		// minSaved is the minimum share, of the jobs for the rack that are late with far
 		// at once, that must be in time with the choice.
-		saved float64
+		minSaved float64
 	}{
 		{0.6, 2, 0.5},
 		{0.6, 3, 0.5},
@@ -84,13 +84,13 @@
 		{1, 3, 0.5},
 	}
 	for _, tt := range tests {
-		t.Run(fmt.Sprintf("%v of the capacity, far factor %v", tt.room, tt.far), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v of the capacity, far factor %v", tt.load, tt.farFactor), func(t *testing.T) {
 			t.Parallel()
-			play := func(aware bool) rackShares {
+			simulate := func(farFactorKnown bool) rackShares {
 				var sum rackShares
 				for seed := range seeds {
-					w := newRackWorld(t, 600+seed, entries, tt.far, aware)
-					w.rackLoad(4*time.Second, tt.room)
+					w := newRackSimulation(t, 600+seed, entries, tt.farFactor, farFactorKnown)
+					w.rackLoad(4*time.Second, tt.load)
 					w.run(6 * time.Second)
 					w.check()
 					require.Zero(t, w.summary().unanswered)
@@ -98,12 +98,12 @@
 				}
 				return sum
 			}
-			before, now := play(false), play(true)
-			t.Logf("far at once %v, with the choice %v", before, now)
+			farAtOnce, withChoice := simulate(false), simulate(true)
+			t.Logf("far at once %v, with the choice %v", farAtOnce, withChoice)
 			for k := range jobKinds {
-				require.GreaterOrEqual(t, now.kinds[k], before.kinds[k]-maxLoss, "kind %d", k)
+				require.GreaterOrEqual(t, withChoice.kinds[k], farAtOnce.kinds[k]-maxLoss, "kind %d", k)
 			}
-			require.GreaterOrEqual(t, now.rack, before.rack+tt.saved*(1-before.rack))
+			require.GreaterOrEqual(t, withChoice.rack, farAtOnce.rack+tt.minSaved*(1-farAtOnce.rack))
 		})
 	}
 }
@@ -113,13 +113,13 @@
 func TestRackLostWhileJobsWaitForIt(t *testing.T) {
 	const (
 		lostAt = 2 * time.Second
-		// settled is when the runs lost with the rack have ended.
-		settled = lostAt + scheduler.AgentLossTimeout + time.Second
-		seeds   = 4
+		// recoveredAfter is when the runs lost with the rack have ended.
+		recoveredAfter = lostAt + scheduler.AgentLossTimeout + time.Second
+		seeds          = 4
 	)
-	play := func(seed uint64, aware bool) (good, all int) {
-		w := newRackWorld(t, seed, 3, 2, aware)
-		began := w.clock.Now()
+	simulate := func(seed uint64, farFactorKnown bool) (inTime, all int) {
+		w := newRackSimulation(t, seed, 3, 2, farFactorKnown)
+		startTime := w.clock.Now()
 		w.rackLoad(6*time.Second, 0.4)
 		w.schedule(lostAt, func() {
 			for _, a := range w.agents[:rackWorkers] {
@@ -130,33 +130,33 @@
 		w.check()
 		require.Zero(t, w.summary().unanswered)
 		for _, r := range w.results {
-			if r.job.Steps[0].Rack == "" || r.sent.Sub(began) < settled {
+			if r.job.Steps[0].Rack == "" || r.sent.Sub(startTime) < recoveredAfter {
 				continue
 			}
 			all++
 			if w.inTime(r) {
-				good++
+				inTime++
 			}
 		}
-		return good, all
+		return inTime, all
 	}
-	var before, now, all int
+	var farAtOnce, withChoice, all int
 	for seed := range uint64(seeds) {
-		good, _ := play(700+seed, false)
-		before += good
-		good, n := play(700+seed, true)
-		now += good
+		inTime, _ := simulate(700+seed, false)
+		farAtOnce += inTime
+		inTime, n := simulate(700+seed, true)
+		withChoice += inTime
 		all += n
 	}
-	t.Logf("in time of %d jobs for the lost rack: %d far at once, %d with the choice", all, before, now)
-	require.Greater(t, before, all/2)
-	require.GreaterOrEqual(t, float64(now), float64(before)-maxLoss*float64(all))
+	t.Logf("in time of %d jobs for the lost rack: %d far at once, %d with the choice", all, farAtOnce, withChoice)
+	require.Greater(t, farAtOnce, all/2)
+	require.GreaterOrEqual(t, float64(withChoice), float64(farAtOnce)-maxLoss*float64(all))
 }
 
 // TestFarWorkDoesNotMakeAWorkerCountAsSlow guards against healthy workers that are
 // ejected because far work takes longer than its estimate for near workers.
 func TestFarWorkDoesNotMakeAWorkerCountAsSlow(t *testing.T) {
-	w := newRackWorld(t, 800, 3, 3, true)
+	w := newRackSimulation(t, 800, 3, 3, true)
 	for _, a := range w.agents[:rackWorkers] {
 		a.kill(time.Minute)
 	}
@@ -197,24 +197,24 @@
 }
 
 func (w *simulation) rackShares() rackShares {
-	r := rackShares{rack: w.servedNear()}
+	r := rackShares{rack: w.rackInTimeShare()}
 	copy(r.kinds[:], w.served())
 	return r
 }
 
-// servedNear returns the share of the jobs with data on the rack that are in time.
-func (w *simulation) servedNear() float64 {
-	var all, good float64
+// rackInTimeShare returns the share of the jobs with data on the rack that are in time.
+func (w *simulation) rackInTimeShare() float64 {
+	var all, inTime float64
 	for _, r := range w.results {
 		if r.job.Steps[0].Rack == "" {
 			continue
 		}
 		all++
 		if w.inTime(r) {
-			good++
+			inTime++
 		}
 	}
-	return good / all
+	return inTime / all
 }
 
 // inTime reports whether a job was complete within its objective.
--- a/scheduler/reservation_test.go
+++ b/scheduler/reservation_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomeloferry/pomeloferry/scheduler"
 )
 
-// largeJob returns a job of one task that takes half of a worker of the bench.
+// largeJob returns a job of one task that takes half of a worker of the fixture.
 func (b *fixture) largeJob(id string) scheduler.Job {
 	j := b.job(id, 1)
 	j.Queue.Slack = time.Second
@@ -19,8 +19,8 @@
 	return j
 }
 
-// reportFull has agents report that they are full and echo the entry's heartbeats. It applies
-// change to each report first.
+// reportFull has agents report that they are full and echo the entry's heartbeats. It
+// applies change to each report first.
 func (b *fixture) reportFull(change func(r *messenger.Report), agents ...string) {
 	for _, a := range agents {
 		b.s.HeldJobs()
@@ -56,7 +56,7 @@
 	return out
 }
 
-// newFullFixture returns a bench with full agents.
+// newFullFixture returns a fixture with full agents.
 func newFullFixture(t *testing.T, agents ...string) *fixture {
 	b := newFixture(t)
 	for _, a := range agents {
@@ -67,14 +67,14 @@
 	return b
 }
 
-// requestReservation submits a large job and lets it wait until an agent is asked for a reservation,
-// which it returns.
+// requestReservation submits a large job and lets it wait until an agent is asked for a
+// reservation, which it returns.
 func (b *fixture) requestReservation(agents ...string) messenger.Reserve {
 	b.s.Submit(1, b.largeJob(jobID))
 	b.advanceFull(30*time.Millisecond, nil, agents...)
-	list := b.reserveMessages()
-	require.Len(b.t, list, 1)
-	for _, r := range list {
+	requests := b.reserveMessages()
+	require.Len(b.t, requests, 1)
+	for _, r := range requests {
 		require.NotZero(b.t, r.TTL)
 		return r
 	}
@@ -94,9 +94,9 @@
 	b.advanceFull(29*time.Millisecond, nil, "a", "b")
 	require.Empty(t, b.reserveMessages(), "has not waited long enough")
 	b.advanceFull(time.Millisecond, nil, "a", "b")
-	list := b.reserveMessages()
-	require.Len(t, list, 1)
-	for _, r := range list {
+	requests := b.reserveMessages()
+	require.Len(t, requests, 1)
+	for _, r := range requests {
 		require.Equal(t, messenger.Resources{CPU: 16_000}, r.Demand)
 		require.LessOrEqual(t, r.TTL, time.Second)
 	}
@@ -170,7 +170,7 @@
 // TestRoomIsAskedForWhereItIsExpectedFirst guards against a long reservation at one
 // agent while another one would have had the capacity soon.
 func TestRoomIsAskedForWhereItIsExpectedFirst(t *testing.T) {
-	ahead := func(cpu ...int) []messenger.Resources {
+	forecast := func(cpu ...int) []messenger.Resources {
 		out := make([]messenger.Resources, len(cpu))
 		for i, c := range cpu {
 			out[i].CPU = c
@@ -180,16 +180,16 @@
 	// By default the agents have 3 of the 16 cores free.
 	tests := map[string]map[string]func(r *messenger.Report){
 		"soonest": {
-			"a": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 13_000, 13_000) },
-			"b": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 13_000, 13_000, 13_000) },
-			"c": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 13_000) },
+			"a": func(r *messenger.Report) { r.Forecast = forecast(0, 0, 0, 13_000, 13_000) },
+			"b": func(r *messenger.Report) { r.Forecast = forecast(0, 0, 13_000, 13_000, 13_000) },
+			"c": func(r *messenger.Report) { r.Forecast = forecast(0, 0, 0, 0, 13_000) },
 		},
 		"within a horizon before no forecast": {
 			"a": func(r *messenger.Report) { r.Free.CPU = 9000 },
-			"b": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 13_000) },
+			"b": func(r *messenger.Report) { r.Forecast = forecast(0, 0, 0, 0, 13_000) },
 		},
 		"no forecast before beyond all horizons": {
-			"a": func(r *messenger.Report) { r.Forecast = ahead(0, 0, 0, 0, 12_000) },
+			"a": func(r *messenger.Report) { r.Forecast = forecast(0, 0, 0, 0, 12_000) },
 			"b": func(*messenger.Report) {},
 		},
 		"most free capacity without a forecast": {
@@ -199,14 +199,14 @@
 		},
 		"not reserving for another entry": {
 			"a": func(r *messenger.Report) {
-				r.Forecast = ahead(13_000)
+				r.Forecast = forecast(13_000)
 				r.Backfill = messenger.Backfill{Resources: messenger.Resources{CPU: 1}, Window: time.Second}
 			},
 			"b": func(*messenger.Report) {},
 		},
 		"worker large enough for the task": {
 			"a": func(r *messenger.Report) {
-				r.Forecast = ahead(13_000)
+				r.Forecast = forecast(13_000)
 				r.Upstream.Capacity.CPU = 15_999
 			},
 			"b": func(*messenger.Report) {},
@@ -225,9 +225,9 @@
 				b.reportFull(agents[a], a)
 			}
 			b.s.Tick()
-			list := b.reserveMessages()
-			require.Len(t, list, 1)
-			require.Contains(t, list, "b")
+			requests := b.reserveMessages()
+			require.Len(t, requests, 1)
+			require.Contains(t, requests, "b")
 		})
 	}
 }
@@ -251,21 +251,21 @@
 	require.Empty(t, b.reserveMessages(), "the reservation has ended")
 }
 
-// TestSmallTaskBackfillsOnlyIfItEndsInTime guards against capacity that is idle while it is
-// being collected for another entry's task.
+// TestSmallTaskBackfillsOnlyIfItEndsInTime guards against capacity that is idle while
+// it is being collected for another entry's task.
 func TestSmallTaskBackfillsOnlyIfItEndsInTime(t *testing.T) {
 	for _, tt := range []struct {
-		span   time.Duration
+		window time.Duration
 		placed int
 	}{{70 * time.Millisecond, 1}, {69 * time.Millisecond, 0}} {
 		b := newFullFixture(t, "a")
 		b.s.Submit(1, b.job(jobID, 1)) // It takes 60 ms, and 10 ms to reach the worker.
 		b.reserveMessages()
 		b.reportFull(func(m *messenger.Report) {
-			m.Backfill = messenger.Backfill{Resources: messenger.Resources{CPU: 4000}, Window: tt.span}
+			m.Backfill = messenger.Backfill{Resources: messenger.Resources{CPU: 4000}, Window: tt.window}
 		}, "a")
 		b.reserveMessages()
-		require.Len(t, b.sent, tt.placed, tt.span)
+		require.Len(t, b.sent, tt.placed, tt.window)
 	}
 }
 
@@ -275,30 +275,30 @@
 func TestReservationIsGivenUp(t *testing.T) {
 	tests := map[string]struct {
 		change func(b *fixture, number uint64)
-		// told is whether the agent is sent the cancellation.
-		told bool
+		// sent is whether the agent is sent the cancellation.
+		sent bool
 	}{
-		"missing from two reports": {told: true, change: func(b *fixture, _ uint64) {
+		"missing from two reports": {sent: true, change: func(b *fixture, _ uint64) {
 			b.advanceFull(20*time.Millisecond, nil, "a")
 			require.Empty(b.t, b.reserveMessages())
 			b.advanceFull(20*time.Millisecond, nil, "a")
 		}},
-		"confirmed, then missing": {told: true, change: func(b *fixture, n uint64) {
+		"confirmed, then missing": {sent: true, change: func(b *fixture, n uint64) {
 			b.advanceFull(20*time.Millisecond, confirming(n), "a")
 			b.advanceFull(20*time.Millisecond, nil, "a")
 			require.Empty(b.t, b.reserveMessages())
 			b.advanceFull(20*time.Millisecond, nil, "a")
 		}},
-		"caller left": {told: true, change: func(b *fixture, n uint64) {
+		"caller left": {sent: true, change: func(b *fixture, n uint64) {
 			b.s.CallerLeft(1)
 		}},
-		"placed elsewhere": {told: true, change: func(b *fixture, n uint64) {
+		"placed elsewhere": {sent: true, change: func(b *fixture, n uint64) {
 			b.connect("b")
 			b.advanceFull(10*time.Millisecond, confirming(n), "a")
 			require.Empty(b.t, b.reserveMessages(), "the placement may still be refused")
 			b.advanceFull(24*time.Millisecond, confirming(n), "a")
 		}},
-		"expired": {told: true, change: func(b *fixture, n uint64) {
+		"expired": {sent: true, change: func(b *fixture, n uint64) {
 			for range 20 {
 				b.advanceFull(20*time.Millisecond, confirming(n), "a")
 				if len(b.reserveMessages()) > 0 {
@@ -308,16 +308,16 @@
 				}
 			}
 		}},
-		"worker drains": {told: true, change: func(b *fixture, n uint64) {
+		"worker drains": {sent: true, change: func(b *fixture, n uint64) {
 			b.advanceFull(20*time.Millisecond, func(r *messenger.Report) {
 				r.ReservationNumber = n
 				r.Upstream.Draining = true
 			}, "a")
 		}},
-		"evacuated": {told: true, change: func(b *fixture, _ uint64) {
+		"evacuated": {sent: true, change: func(b *fixture, _ uint64) {
 			b.s.Configure(configuration().WithEvacuated(map[string]bool{"dc-0": true}, 2))
 		}},
-		"worker does not answer": {told: true, change: func(b *fixture, n uint64) {
+		"worker does not answer": {sent: true, change: func(b *fixture, n uint64) {
 			b.advanceFull(20*time.Millisecond, func(r *messenger.Report) {
 				r.ReservationNumber = n
 				r.UnansweredCalls = 1
@@ -331,34 +331,35 @@
 			b := newFullFixture(t, "a")
 			r := b.requestReservation("a")
 			tt.change(b, r.Number)
-			b.requireCancelled(r.Number, tt.told)
+			b.requireCancelled(r.Number, tt.sent)
 			// Nothing depends on the reservation any more: the job, if it is still
 			// waiting, gets a new one.
 			b.connect("a")
 			b.reportFull(nil, "a")
 			b.s.Tick()
-			for _, again := range b.reserveMessages() {
-				require.NotZero(t, again.TTL)
+			for _, request := range b.reserveMessages() {
+				require.NotZero(t, request.TTL)
 			}
 		})
 	}
 }
 
-// requireCancelled asserts whether the agent has been told that a reservation is cancelled.
-func (b *fixture) requireCancelled(number uint64, told bool) {
+// requireCancelled asserts whether the agent has been sent the cancellation of a
+// reservation.
+func (b *fixture) requireCancelled(number uint64, wantSent bool) {
 	b.t.Helper()
-	ends := 0
+	cancellations := 0
 	for _, m := range b.sent {
 		if r, ok := m.(messenger.Reserve); ok && r.TTL == 0 && r.Number == number {
-			ends++
+			cancellations++
 		}
 	}
 	for _, r := range b.reserveMessages() {
 		if r.TTL == 0 && r.Number == number {
-			ends++
+			cancellations++
 		}
 	}
-	require.Equal(b.t, told, ends > 0)
+	require.Equal(b.t, wantSent, cancellations > 0)
 }
 
 // TestRefusedPlacementDoesNotRestartTheWait guards against a large task that loses
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -60,36 +60,36 @@
 // free capacity at once and races with no other entry.
 func TestScarceRoomIsSharedByWhatWaits(t *testing.T) {
 	const (
-		entries = 9
-		agents  = 44
-		factor  = 6.3
-		span    = 2 * time.Second
+		entries  = 9
+		agents   = 44
+		factor   = 6.3
+		duration = 2 * time.Second
 	)
-	play := func(entries int, delay time.Duration) *simulation {
+	simulate := func(entries int, delay time.Duration) *simulation {
 		w := newSimulation(t, 50, entries, agents, cores)
 		w.linkDelay = delay
-		w.loadAt(w.entries[:1], span, factor/4)
-		w.loadAt(w.entries[entries-1:], span, factor/4)
-		w.loadAt(w.entries, span, factor/2)
-		w.run(span + 2*time.Second)
+		w.loadAt(w.entries[:1], duration, factor/4)
+		w.loadAt(w.entries[entries-1:], duration, factor/4)
+		w.loadAt(w.entries, duration, factor/2)
+		w.run(duration + 2*time.Second)
 		w.check()
 		return w
 	}
-	inAim := func(s summary) float64 { return float64(s.inTime) / float64(s.all) }
+	inTimeShare := func(s summary) float64 { return float64(s.inTime) / float64(s.all) }
 	for _, delay := range []time.Duration{linkDelay, 2 * linkDelay} {
 		t.Run(delay.String(), func(t *testing.T) {
-			alone, together := play(1, delay).summary(), play(entries, delay).summary()
-			t.Logf("one entry %+v, %d entries %+v", alone, entries, together)
-			require.GreaterOrEqual(t, inAim(together), 0.95*inAim(alone))
-			require.LessOrEqual(t, float64(together.late), 0.02*float64(together.all))
+			single, several := simulate(1, delay).summary(), simulate(entries, delay).summary()
+			t.Logf("one entry %+v, %d entries %+v", single, entries, several)
+			require.GreaterOrEqual(t, inTimeShare(several), 0.95*inTimeShare(single))
+			require.LessOrEqual(t, float64(several.late), 0.02*float64(several.all))
 		})
 	}
 }
 
 func TestBadWorkers(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(v *simWorker)
+		name        string
+		injectFault func(v *simWorker)
 	}{
 		{"fails all", func(v *simWorker) { v.failsAll = true }},
 		{"hangs", func(v *simWorker) { v.hangs = true }},
@@ -100,7 +100,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			w := newSimulation(t, 3, 3, 11, cores)
 			w.load(8*time.Second, 0.8)
-			w.schedule(time.Second, func() { tt.spoil(w.agents[4].worker) })
+			w.schedule(time.Second, func() { tt.injectFault(w.agents[4].worker) })
 			w.run(14 * time.Second)
 			w.check()
 			s := w.summary()
@@ -119,18 +119,18 @@
 		// probes is the number of probes that an entry sends in 6 s: after 0.4, 0.8,
 		// 1.6 and 3 s.
 		probes = 4
-		// scarce is a load factor at which every worker with free capacity is used.
-		scarce = 1.7
+		// scarceLoad is a load factor at which every worker with free capacity is used.
+		scarceLoad = 1.7
 	)
 	w := newSimulation(t, 3, entries, 11, cores)
-	w.load(9*time.Second, scarce)
+	w.load(9*time.Second, scarceLoad)
 	slow := w.agents[4].worker
 	w.schedule(time.Second, func() { slow.slowdown = 8 })
 	w.run(3 * time.Second)
-	before := slow.starts
+	startsBefore := slow.starts
 	w.run(6 * time.Second)
 	w.check()
-	require.LessOrEqual(t, slow.starts-before, entries*(probes+1))
+	require.LessOrEqual(t, slow.starts-startsBefore, entries*(probes+1))
 }
 
 func TestNoTaskRunsTwiceAtOnceWhateverFails(t *testing.T) {
@@ -145,8 +145,8 @@
 			w.load(8*time.Second, 0.6)
 			for range 14 {
 				at := time.Duration(w.rng.Int64N(int64(8 * time.Second)))
-				span := 200*time.Millisecond + time.Duration(w.rng.Int64N(int64(3*time.Second)))
-				w.schedule(at, fault(w, span))
+				duration := 200*time.Millisecond + time.Duration(w.rng.Int64N(int64(3*time.Second)))
+				w.schedule(at, fault(w, duration))
 			}
 			w.run(16 * time.Second)
 			w.check()
@@ -155,41 +155,41 @@
 	}
 }
 
-// fault returns a random fault that lasts for span.
-func fault(w *simulation, span time.Duration) func() {
+// fault returns a random fault that lasts for the given duration.
+func fault(w *simulation, duration time.Duration) func() {
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	a := w.agents[w.rng.IntN(len(w.agents))]
 	switch w.rng.IntN(7) {
 	case 6:
 		return func() {
 			if !a.down && !w.clock.Now().Before(a.pausedUntil) {
-				a.restartWorker(span)
+				a.restartWorker(duration)
 			}
 		}
 	case 0:
 		return func() {
 			if !e.down {
-				e.kill(span)
+				e.kill(duration)
 			}
 		}
 	case 1:
 		return func() {
 			if !a.down {
-				a.kill(span)
+				a.kill(duration)
 			}
 		}
 	case 2:
-		return func() { e.pausedUntil = w.clock.Now().Add(span) }
+		return func() { e.pausedUntil = w.clock.Now().Add(duration) }
 	case 3:
-		return func() { a.pausedUntil = w.clock.Now().Add(span) }
+		return func() { a.pausedUntil = w.clock.Now().Add(duration) }
 	case 4:
-		return func() { a.worker.unresponsiveUntil = w.clock.Now().Add(span) }
+		return func() { a.worker.unresponsiveUntil = w.clock.Now().Add(duration) }
 	default:
 		return func() {
 			for _, l := range a.links {
 				l.cut = true
 			}
-			w.schedule(span, func() {
+			w.schedule(duration, func() {
 				for _, l := range a.links {
 					l.cut = false
 				}
--- a/scheduler/sizes_test.go
+++ b/scheduler/sizes_test.go
@@ -24,14 +24,14 @@
 	mixedLoadDuration = 6 * time.Second
 )
 
-// mixedSizesScenario is a simulated load of small and large jobs of one task each, one in
-// jobsPerLarge large, that takes a share of the full capacity. Estimates are wrong by up
-// to off, either way.
+// mixedSizesScenario is a simulated load of small and large jobs of one task each, of
+// which one in jobsPerLarge is large. It takes loadShare of the full capacity.
+// Estimates are wrong by up to estimateError, either way.
 type mixedSizesScenario struct {
-	entries, agents      int
-	share, estimateError float64
-	seed                 uint64
-	withoutReservations  bool
+	entries, agents          int
+	loadShare, estimateError float64
+	seed                     uint64
+	withoutReservations      bool
 	// fault is applied to the simulation before the load begins.
 	fault func(w *simulation)
 }
@@ -44,7 +44,7 @@
 		m.fault(w)
 	}
 	mean := (float64(jobsPerLarge-1)*smallCPU*smallWork.Seconds() + largeCPU*largeWork.Seconds()) / jobsPerLarge
-	gap := time.Duration(float64(time.Second) * mean / (m.share * float64(cores*m.agents)))
+	gap := time.Duration(float64(time.Second) * mean / (m.loadShare * float64(cores*m.agents)))
 	n := 0
 	for at := time.Duration(0); at < mixedLoadDuration; at += time.Duration(float64(gap) * 2 * w.rng.Float64()) {
 		n++
@@ -62,20 +62,20 @@
 // runAll simulates the load once with each seed.
 func (m mixedSizesScenario) runAll(t testing.TB, seeds []uint64) []*simulation {
 	t.Helper()
-	var worlds []*simulation
+	var simulations []*simulation
 	for _, seed := range seeds {
 		m.seed = seed
-		worlds = append(worlds, m.run(t))
+		simulations = append(simulations, m.run(t))
 	}
-	return worlds
+	return simulations
 }
 
 // submitOne submits a job of one task whose caller allows a wait of a second.
-func (w *simulation) submitOne(e *simEntry, cpu int, mean time.Duration, off float64) {
+func (w *simulation) submitOne(e *simEntry, cpu int, mean time.Duration, maxError float64) {
 	w.jobs++
 	id := fmt.Sprintf("%016x", w.jobs)
 	work := time.Duration(float64(mean) * (0.5 + w.rng.Float64()))
-	estimate := time.Duration(float64(work) * (1 - off + 2*off*w.rng.Float64()))
+	estimate := time.Duration(float64(work) * (1 - maxError + 2*maxError*w.rng.Float64()))
 	q := quotes()
 	q.Slack = time.Second
 	j := scheduler.Job{
@@ -117,46 +117,46 @@
 	return share + 3*math.Sqrt(share*(1-share)/float64(n))
 }
 
-// maxWaitInTime is how long a job of one task can wait and still meet its latency objective,
-// which is 1.6 times its work plus 60 ms.
+// maxWaitInTime is how long a job of one task can wait and still meet its latency
+// objective, which is 1.6 times its work plus 60 ms.
 func maxWaitInTime(work time.Duration) time.Duration { return work*6/10 + 60*time.Millisecond }
 
 // statsFor returns the statistics of the jobs with a CPU demand in all simulations. The
 // wait of a job lasts until its task begins, or until it is refused.
-func statsFor(cpu int, worlds ...*simulation) sizeStats {
+func statsFor(cpu int, simulations ...*simulation) sizeStats {
 	var f sizeStats
 	var waits []time.Duration
-	for _, w := range worlds {
+	for _, w := range simulations {
 		for id, r := range w.results {
 			if r.job.Steps[0].Demand.CPU == cpu {
-				waits = append(waits, w.addTo(&f, id, r))
+				waits = append(waits, w.addToStats(&f, id, r))
 			}
 		}
 	}
 	slices.Sort(waits)
-	at := func(q float64) time.Duration {
+	percentile := func(q float64) time.Duration {
 		return waits[int(math.Ceil(q*float64(len(waits))))-1].Round(100 * time.Microsecond)
 	}
 	f.waits = waits
-	f.p50, f.p99, f.longest = at(0.5), at(0.99), at(1)
+	f.p50, f.p99, f.longest = percentile(0.5), percentile(0.99), percentile(1)
 	return f
 }
 
-// addTo adds a job to the statistics and returns its wait.
-func (w *simulation) addTo(f *sizeStats, id string, r *result) time.Duration {
+// addToStats adds a job to the statistics and returns its wait.
+func (w *simulation) addToStats(f *sizeStats, id string, r *result) time.Duration {
 	task := id + ".0.0.0"
 	f.jobs++
 	wait := r.took
-	at, began := w.firstStartAt[task]
+	at, started := w.firstStartAt[task]
 	switch {
 	case !r.got:
 		f.unanswered++
-	case began:
+	case started:
 		wait = at.Sub(r.sent)
 	default:
 		f.refused++
 	}
-	if !began || wait > maxWaitInTime(w.tasks[task].work) {
+	if !started || wait > maxWaitInTime(w.tasks[task].work) {
 		f.late++
 	}
 	return wait
@@ -168,63 +168,63 @@
 // large tasks is about the second longest wait.
 func TestLargeTasksWaitLessForReservedRoom(t *testing.T) {
 	const (
-		// largeFewer is the maximum ratio of late large jobs with reservations to those
+		// maxLargeLateRatio is the maximum ratio of late large jobs with reservations to those
 		// without at nine tenths of the capacity: a gain of less than a tenth is not
 		// worth the idle capacity on a worker.
-		largeFewer = 0.9
-		// smallSpared is the maximum share of small jobs that may be late at that load.
-		smallSpared = 0.01
-		// smallRefused is the maximum share of small jobs that are refused in overload.
-		smallRefused = 0.02
-		// smallLate is the maximum share of them that are late in overload, as in
+		maxLargeLateRatio = 0.9
+		// maxSmallLate is the maximum share of small jobs that may be late at that load.
+		maxSmallLate = 0.01
+		// maxSmallRefused is the maximum share of small jobs that are refused in overload.
+		maxSmallRefused = 0.02
+		// maxSmallLateInOverload is the maximum share of them that are late in overload, as in
 		// TestOverloadIsRefusedAtOnceAndStarvesNoKind.
-		smallLate = 0.05
+		maxSmallLateInOverload = 0.05
 	)
 	for _, m := range []mixedSizesScenario{
-		{entries: 2, share: 0.7},
-		{entries: 2, share: 0.7, estimateError: 0.4},
-		{entries: 2, share: 0.9},
-		{entries: 2, share: 0.9, estimateError: 0.4},
-		{entries: 2, share: 1.1},
-		{entries: 2, share: 1.1, estimateError: 0.4},
-		{entries: 5, share: 0.7},
-		{entries: 5, share: 0.7, estimateError: 0.4},
-		{entries: 5, share: 0.9},
-		{entries: 5, share: 0.9, estimateError: 0.4},
-		{entries: 5, share: 1.1},
-		{entries: 5, share: 1.1, estimateError: 0.4},
+		{entries: 2, loadShare: 0.7},
+		{entries: 2, loadShare: 0.7, estimateError: 0.4},
+		{entries: 2, loadShare: 0.9},
+		{entries: 2, loadShare: 0.9, estimateError: 0.4},
+		{entries: 2, loadShare: 1.1},
+		{entries: 2, loadShare: 1.1, estimateError: 0.4},
+		{entries: 5, loadShare: 0.7},
+		{entries: 5, loadShare: 0.7, estimateError: 0.4},
+		{entries: 5, loadShare: 0.9},
+		{entries: 5, loadShare: 0.9, estimateError: 0.4},
+		{entries: 5, loadShare: 1.1},
+		{entries: 5, loadShare: 1.1, estimateError: 0.4},
 	} {
 		m.agents = 11
-		t.Run(fmt.Sprintf("%d entries, %.0f%% of the capacity, estimates wrong by up to %.0f%%", m.entries, 100*m.share, 100*m.estimateError), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d entries, %.0f%% of the capacity, estimates wrong by up to %.0f%%", m.entries, 100*m.loadShare, 100*m.estimateError), func(t *testing.T) {
 			t.Parallel()
 			seeds := []uint64{31, 32, 33, 34, 35, 36}
 			with := m.runAll(t, seeds)
 			m.withoutReservations = true
 			without := m.runAll(t, seeds)
 			small, large := statsFor(smallCPU, with...), statsFor(largeCPU, with...)
-			smallBefore, largeBefore := statsFor(smallCPU, without...), statsFor(largeCPU, without...)
-			t.Logf("small %s, without reservations %s", small, smallBefore)
-			t.Logf("large %s, without reservations %s", large, largeBefore)
+			smallWithout, largeWithout := statsFor(smallCPU, without...), statsFor(largeCPU, without...)
+			t.Logf("small %s, without reservations %s", small, smallWithout)
+			t.Logf("large %s, without reservations %s", large, largeWithout)
 			require.Zero(t, small.unanswered+large.unanswered)
-			require.LessOrEqual(t, small.refusedShare(), smallRefused)
-			switch m.share {
+			require.LessOrEqual(t, small.refusedShare(), maxSmallRefused)
+			switch m.loadShare {
 			case 0.7:
 				require.Zero(t, small.late)
-				require.LessOrEqual(t, small.shareWaitingOver(smallBefore.p99), onePercentBound(small.jobs))
-				require.LessOrEqual(t, large.p99, largeBefore.p99+linkDelay)
+				require.LessOrEqual(t, small.shareWaitingOver(smallWithout.p99), onePercentBound(small.jobs))
+				require.LessOrEqual(t, large.p99, largeWithout.p99+linkDelay)
 			case 0.9:
-				require.LessOrEqual(t, large.refused, largeBefore.refused)
-				require.LessOrEqual(t, float64(large.late), largeFewer*float64(largeBefore.late))
-				require.LessOrEqual(t, small.lateShare(), smallSpared)
+				require.LessOrEqual(t, large.refused, largeWithout.refused)
+				require.LessOrEqual(t, float64(large.late), maxLargeLateRatio*float64(largeWithout.late))
+				require.LessOrEqual(t, small.lateShare(), maxSmallLate)
 			default:
-				require.LessOrEqual(t, small.lateShare(), smallLate)
+				require.LessOrEqual(t, small.lateShare(), maxSmallLateInOverload)
 			}
 		})
 	}
 }
 
-// reservingAgent returns an agent with a reservation, and the entry that the reservation is
-// for; nil when there is none.
+// reservingAgent returns an agent with a reservation, and the entry that the
+// reservation is for; nil when there is none.
 func (w *simulation) reservingAgent() (*simAgent, *simEntry) {
 	for _, a := range w.agents {
 		holder := a.core.Dump().Holder
@@ -242,10 +242,10 @@
 // at once.
 func TestReservationsEndWhateverFails(t *testing.T) {
 	const (
-		begin = 2 * time.Second
-		// patience covers the longest time for which an agent waits for an entry that
-		// sends nothing.
-		patience = messenger.IdleTimeout + 100*time.Millisecond
+		faultAfter = 2 * time.Second
+		// releaseTimeout covers the longest time for which an agent waits for an entry
+		// that sends nothing.
+		releaseTimeout = messenger.IdleTimeout + 100*time.Millisecond
 	)
 	tests := map[string]func(w *simulation, a *simAgent, e *simEntry){
 		"entry killed":      func(_ *simulation, _ *simAgent, e *simEntry) { e.kill(time.Second) },
@@ -255,12 +255,12 @@
 		"worker turns slow": func(_ *simulation, a *simAgent, _ *simEntry) { a.worker.slowdown = 8 },
 		"worker restarted":  func(_ *simulation, a *simAgent, _ *simEntry) { a.restartWorker(500 * time.Millisecond) },
 	}
-	for name, fail := range tests {
+	for name, inject := range tests {
 		for _, entries := range []int{2, 5} {
 			t.Run(fmt.Sprintf("%s, %d entries", name, entries), func(t *testing.T) {
 				t.Parallel()
-				failed := false
-				m := mixedSizesScenario{entries: entries, agents: 11, share: 0.9, estimateError: 0.4, seed: 33}
+				injected := false
+				m := mixedSizesScenario{entries: entries, agents: 11, loadShare: 0.9, estimateError: 0.4, seed: 33}
 				m.fault = func(w *simulation) {
 					var watch func()
 					watch = func() {
@@ -269,9 +269,9 @@
 							w.schedule(time.Millisecond, watch)
 							return
 						}
-						failed = true
-						fail(w, a, e)
-						w.schedule(patience, func() {
+						injected = true
+						inject(w, a, e)
+						w.schedule(releaseTimeout, func() {
 							if e.down || w.clock.Now().Before(e.pausedUntil) {
 								require.NotEqual(t, e.name, a.core.Dump().Holder)
 							}
@@ -280,10 +280,10 @@
 							}
 						})
 					}
-					w.schedule(begin, watch)
+					w.schedule(faultAfter, watch)
 				}
 				w := m.run(t)
-				require.True(t, failed)
+				require.True(t, injected)
 				for _, a := range w.agents {
 					require.Empty(t, a.core.Dump().Holder, a.name)
 				}
--- a/scheduler/speed_test.go
+++ b/scheduler/speed_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// fastWorkFactor and normalWorkFactor are the factors of the work's duration on a quarter of the
-	// workers and on the others.
+	// fastWorkFactor and normalWorkFactor are the factors of the work's duration on a
+	// quarter of the workers and on the others.
 	fastWorkFactor   = 1 / 1.8
 	normalWorkFactor = 1 / 0.83
 	// unevenFullLoad is the load factor that uses the full capacity of twelve workers of
@@ -24,8 +24,8 @@
 	unevenFullLoad = 1.79
 )
 
-// newUnevenWorld returns a simulation in which a quarter of the workers are fast.
-func newUnevenWorld(t testing.TB, seed uint64) *simulation {
+// newUnevenSimulation returns a simulation in which a quarter of the workers are fast.
+func newUnevenSimulation(t testing.TB, seed uint64) *simulation {
 	w := newSimulation(t, seed, 3, 12, cores)
 	for i, a := range w.agents {
 		a.worker.slowdown = normalWorkFactor
@@ -38,8 +38,8 @@
 
 // speedScenario is a simulated load on workers of different speeds.
 type speedScenario struct {
-	name  string
-	world func(t testing.TB, seed uint64) *simulation
+	name          string
+	newSimulation func(t testing.TB, seed uint64) *simulation
 	// load is the load factor for 8 s.
 	load float64
 	// change is called after 3 s; nil for none.
@@ -50,7 +50,7 @@
 
 // run simulates one seed.
 func (p speedScenario) run(t testing.TB, seed uint64, withoutSpeeds bool) summary {
-	w := p.world(t, seed)
+	w := p.newSimulation(t, seed)
 	w.withoutSpeeds = withoutSpeeds
 	w.load(8*time.Second, p.load)
 	if p.change != nil {
@@ -83,22 +83,25 @@
 	return sum
 }
 
-// slowFrom sets the factor of the work's duration on one worker.
-func slowFrom(agent int, slow float64) func(w *simulation) {
-	return func(w *simulation) { w.agents[agent].worker.slowdown = slow }
+// setSlowdown returns a change that sets the factor of the work's duration on one
+// worker.
+func setSlowdown(agent int, slowdown float64) func(w *simulation) {
+	return func(w *simulation) { w.agents[agent].worker.slowdown = slowdown }
 }
 
-// newEvenWorld returns a simulation with workers of equal speed.
-func newEvenWorld(t testing.TB, seed uint64) *simulation { return newSimulation(t, seed, 3, 11, cores) }
+// newUniformSimulation returns a simulation with workers of equal speed.
+func newUniformSimulation(t testing.TB, seed uint64) *simulation {
+	return newSimulation(t, seed, 3, 11, cores)
+}
 
 // TestFastWorkersHaveRoomForAllJobs guards against jobs that are late on slow workers,
 // or on workers whose agents have restarted, while fast workers have free capacity for
 // all of them.
 func TestFastWorkersHaveRoomForAllJobs(t *testing.T) {
-	const fewest = 0.995
+	const minInTimeShare = 0.995
 	tests := []speedScenario{
-		{"three fifths of the room", newUnevenWorld, 0.6 * unevenFullLoad, nil, 600, 6},
-		{"agents of fast workers restart", newUnevenWorld, 0.8 * unevenFullLoad, func(w *simulation) {
+		{"three fifths of the capacity", newUnevenSimulation, 0.6 * unevenFullLoad, nil, 600, 6},
+		{"agents of fast workers restart", newUnevenSimulation, 0.8 * unevenFullLoad, func(w *simulation) {
 			w.agents[0].kill(100 * time.Millisecond)
 			w.agents[4].kill(100 * time.Millisecond)
 		}, 700, 4},
@@ -107,7 +110,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := tt.sum(t, false)
 			require.Zero(t, s.failed)
-			require.GreaterOrEqual(t, float64(s.inTime), fewest*float64(s.all))
+			require.GreaterOrEqual(t, float64(s.inTime), minInTimeShare*float64(s.all))
 		})
 	}
 }
@@ -118,31 +121,31 @@
 func TestSpeedsBringMoreJobsInTime(t *testing.T) {
 	tests := []struct {
 		speedScenario
-		// gain is the minimum share of the jobs late without speeds that must be in
+		// minGain is the minimum share of the jobs late without speeds that must be in
 		// time with them.
-		gain float64
+		minGain float64
 	}{
 		// Fast workers are full as well, which bounds what they can take.
-		{speedScenario{"a quarter is fast, and all room is taken", newUnevenWorld, unevenFullLoad, nil, 600, 6}, 0.1},
+		{speedScenario{"a quarter is fast, and all capacity is used", newUnevenSimulation, unevenFullLoad, nil, 600, 6}, 0.1},
 		// The other workers have free capacity for the jobs that are late on the slow
 		// one.
-		{speedScenario{"a worker turns slow", newEvenWorld, 0.9 * 1.53, slowFrom(4, 2.2), 700, 4}, 0.2},
+		{speedScenario{"a worker turns slow", newUniformSimulation, 0.9 * 1.53, setSlowdown(4, 2.2), 700, 4}, 0.2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			with, without := tt.sum(t, false), tt.sum(t, true)
 			require.Zero(t, with.failed)
-			require.LessOrEqual(t, float64(with.missed()), (1-tt.gain)*float64(without.missed()))
+			require.LessOrEqual(t, float64(with.missed()), (1-tt.minGain)*float64(without.missed()))
 		})
 	}
 }
 
-// TestOutdatedSpeedDoesNoHarm guards against jobs that are sent to a worker
-// as a fast one after it has become the slowest. The same seeds are also simulated with
-// the speeds left out of the reports. The number of late jobs varies between runs by at
+// TestOutdatedSpeedDoesNoHarm guards against jobs that are sent to a worker as a fast
+// one after it has become the slowest. The same seeds are also simulated with the
+// speeds left out of the reports. The number of late jobs varies between runs by at
 // least its square root, which is allowed for.
 func TestOutdatedSpeedDoesNoHarm(t *testing.T) {
-	p := speedScenario{"a fast worker turns slow", newUnevenWorld, 0.9 * unevenFullLoad, slowFrom(4, 1.8), 700, 4}
+	p := speedScenario{"a fast worker turns slow", newUnevenSimulation, 0.9 * unevenFullLoad, setSlowdown(4, 1.8), 700, 4}
 	with, without := p.sum(t, false), p.sum(t, true)
 	require.Zero(t, with.failed)
 	missed := float64(without.missed())
@@ -161,16 +164,16 @@
 	w.run(14 * time.Second)
 	w.check()
 	require.Empty(t, w.rerunAfterDone)
-	var beyond []time.Duration
+	var excess []time.Duration
 	for _, r := range w.results {
 		if r.got && r.answer.Outcome == scheduler.Complete && len(r.job.Steps) == 1 && r.job.Steps[0].Count == jobKinds[0].tasks {
-			beyond = append(beyond, r.took-w.longestTask(r.job))
+			excess = append(excess, r.took-w.longestTask(r.job))
 		}
 	}
-	slices.Sort(beyond)
-	tenth := beyond[len(beyond)*9/10]
-	t.Logf("%+v, p90 of the short wide jobs' time beyond their work: %v", w.summary(), tenth)
-	require.LessOrEqual(t, tenth, 25*time.Millisecond)
+	slices.Sort(excess)
+	p90 := excess[len(excess)*9/10]
+	t.Logf("%+v, p90 of the short wide jobs' time beyond their work: %v", w.summary(), p90)
+	require.LessOrEqual(t, p90, 25*time.Millisecond)
 }
 
 // TestNoTaskRunsTwiceAtOnceWhenStartsAreLateOrNotAnswered guards against a start that
@@ -208,8 +211,8 @@
 	return r
 }
 
-// newSpeedHarness returns a scheduler whose agents have reported their speeds: d is fast.
-func newSpeedBench(t *testing.T) *fixture {
+// newSpeedFixture returns a fixture whose agents have reported their speeds: d is fast.
+func newSpeedFixture(t *testing.T) *fixture {
 	b := newFixture(t)
 	for _, a := range []string{"a", "b", "c", "d"} {
 		b.connect(a)
@@ -218,8 +221,8 @@
 	return b
 }
 
-// reportSpeeds has agents a, b and so on report their speeds, and has the scheduler compare
-// them.
+// reportSpeeds has agents a, b and so on report their speeds, and has the scheduler
+// compare them.
 func (b *fixture) reportSpeeds(speeds ...float64) {
 	for i, v := range speeds {
 		b.s.HandleReport(speedReport(b, string(rune('a'+i)), v))
@@ -235,10 +238,10 @@
 }
 
 // reportFree has agents report that they have only the given CPU left free.
-func (b *fixture) reportFree(left int, agents ...string) {
+func (b *fixture) reportFree(free int, agents ...string) {
 	for _, a := range agents {
 		r := speedReport(b, a, 0)
-		r.Free = messenger.Resources{CPU: left, Memory: 64_000}
+		r.Free = messenger.Resources{CPU: free, Memory: 64_000}
 		b.s.HandleReport(r)
 	}
 	b.drain()
@@ -269,7 +272,7 @@
 // TestFasterWorkerIsTakenWhenNothingWaits guards against fast workers that are idle
 // while slow ones are busy.
 func TestFasterWorkerIsTakenWhenNothingWaits(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newSpeedFixture(t)
 	b.s.Submit(1, b.job(jobID, 2))
 	require.Equal(t, []string{"d"}, b.placedAgents())
 }
@@ -277,7 +280,7 @@
 // TestJobWithSlackLeavesFastWorkersToOthersThatWait guards against fast workers that
 // are full of jobs which any worker would have done in time.
 func TestJobWithSlackLeavesFastWorkersToOthersThatWait(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newSpeedFixture(t)
 	b.reportFree(1000, "a", "b", "c", "d")
 	large := b.job("0000000000000002", 1)
 	large.Steps[0].Demand.CPU = 30_000
@@ -295,16 +298,16 @@
 		agent string
 		first string
 	}{
-		{"room at a slow worker", "a", jobID},
-		{"room at a fast worker", "d", "0000000000000002"},
+		{"capacity at a slow worker", "a", jobID},
+		{"capacity at a fast worker", "d", "0000000000000002"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newSpeedBench(t)
+			b := newSpeedFixture(t)
 			b.reportFree(1000, "a", "b", "c", "d")
-			needs := b.job("0000000000000002", 2)
-			needs.Steps[0].Estimate = 300 * time.Millisecond
-			b.s.Submit(2, needs)
+			needsFast := b.job("0000000000000002", 2)
+			needsFast.Steps[0].Estimate = 300 * time.Millisecond
+			b.s.Submit(2, needsFast)
 			b.clock.Advance(130 * time.Millisecond)
 			b.reportFree(1000, "a", "b", "c", "d")
 			b.s.Submit(1, b.job(jobID, 2))
@@ -322,7 +325,7 @@
 func TestJobTooLateForSlowWorkersMayStillGoToAFastOne(t *testing.T) {
 	for _, agent := range []string{"a", "d"} {
 		t.Run(agent, func(t *testing.T) {
-			b := newSpeedBench(t)
+			b := newSpeedFixture(t)
 			b.reportFree(1000, "a", "b", "c", "d")
 			j := b.job(jobID, 2)
 			j.Steps[0].Estimate = 300 * time.Millisecond
@@ -357,7 +360,7 @@
 	}{
 		{"as slow as known", 0.5, 25, false},
 		{"slower than known", 0.5, 10, true},
-		{"not known to be slow", 1, 25, true},
+		{"speed not known to be low", 1, 25, true},
 		{"so slow that it has a fault", 0.1, 10, true},
 	}
 	for _, tt := range tests {
@@ -390,22 +393,22 @@
 	}
 }
 
-// TestEqualWorkersAreNotChosenBySpeed guards against choosing workers of equal
-// speed by the error of the estimates, which are wrong by up to 40% either way.
+// TestEqualWorkersAreNotChosenBySpeed guards against choosing workers of equal speed by
+// the error of the estimates, which are wrong by up to 40% either way.
 func TestEqualWorkersAreNotChosenBySpeed(t *testing.T) {
 	for _, n := range []int{4, 11, 26} {
 		for _, jobs := range []int{4, 8, 16} {
-			took := 0
-			const fleets = 100
-			for seed := range uint64(fleets) {
-				b := newFleetBench(t, n)
+			inEffect := 0
+			const samples = 100
+			for seed := range uint64(samples) {
+				b := newConnectedFixture(t, n)
 				b.reportSampledSpeeds(seed, jobs, func(int) float64 { return 0.9 })
 				if slices.ContainsFunc(b.relativeSpeeds(), func(v float64) bool { return v != 1 }) {
-					took++
+					inEffect++
 				}
 			}
-			t.Logf("%d workers, speeds from %d jobs each: in effect in %d of %d samples", n, jobs, took, fleets)
-			require.LessOrEqual(t, took, fleets/20)
+			t.Logf("%d workers, speeds from %d jobs each: in effect in %d of %d samples", n, jobs, inEffect, samples)
+			require.LessOrEqual(t, inEffect, samples/20)
 		}
 	}
 }
@@ -413,16 +416,16 @@
 // TestWorkersThatDifferAreFound guards against estimation errors that hide that every
 // third worker takes 1.3 times as long, or that a quarter of the workers are faster.
 func TestWorkersThatDifferAreFound(t *testing.T) {
-	fleets := map[string]func(i int) float64{
+	speedsByCase := map[string]func(i int) float64{
 		"every third slow": func(i int) float64 { return []float64{1, 1, 1 / 1.3}[i%3] },
 		"a quarter fast":   func(i int) float64 { return []float64{1.8, 0.83, 0.83, 0.83}[i%4] },
 	}
-	for name, speed := range fleets {
+	for name, speed := range speedsByCase {
 		t.Run(name, func(t *testing.T) {
 			found := 0
 			const seeds = 50
 			for seed := range uint64(seeds) {
-				b := newFleetBench(t, 24)
+				b := newConnectedFixture(t, 24)
 				b.reportSampledSpeeds(seed, 16, speed)
 				if slices.ContainsFunc(b.relativeSpeeds(), func(v float64) bool { return v != 1 }) {
 					found++
@@ -434,8 +437,8 @@
 	}
 }
 
-// newFleetBench returns a scheduler with n agents.
-func newFleetBench(t *testing.T, n int) *fixture {
+// newConnectedFixture returns a fixture with n connected agents.
+func newConnectedFixture(t *testing.T, n int) *fixture {
 	b := newFixture(t)
 	for i := range n {
 		b.connect(string(rune('a' + i)))
@@ -443,8 +446,8 @@
 	return b
 }
 
-// reportSampledSpeeds has each agent report a speed that is the geometric mean over the given
-// number of jobs, whose estimates are wrong by up to 40%.
+// reportSampledSpeeds has each agent report a speed that is the geometric mean over the
+// given number of jobs, whose estimates are wrong by up to 40%.
 func (b *fixture) reportSampledSpeeds(seed uint64, jobs int, speed func(i int) float64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	for i := range len(b.linkOpenedAt) {
@@ -464,7 +467,7 @@
 // TestSpeedWithFewJobsBehindItDoesNotCount guards against a worker that is chosen
 // because of one wrong estimate.
 func TestSpeedWithFewJobsBehindItDoesNotCount(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newSpeedFixture(t)
 	require.InDelta(t, 1.8/0.83, b.relativeSpeeds()[3], 0.01)
 	r := speedReport(b, "d", 1.8)
 	r.SpeedJobs = 3
@@ -490,7 +493,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newSpeedBench(t)
+			b := newSpeedFixture(t)
 			require.Greater(t, b.relativeSpeeds()[3], 2.0)
 			tt.restart(b)
 			require.InDelta(t, 1, b.relativeSpeeds()[3], 0)
@@ -505,7 +508,7 @@
 // and is refused because the worker that can take all of its tasks has no headroom
 // beside them.
 func TestJobDeferredToFastWorkerIsNotSplit(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newSpeedFixture(t)
 	b.reportFree(1000, "a", "b", "c", "d")
 	j := b.job(jobID, 4)
 	j.Steps[0].Estimate = 300 * time.Millisecond
